--- a/bench/load/main.c
+++ b/bench/load/main.c
@@ -32,19 +32,19 @@
 static void
 without_patience (struct dff_core_options *options)
 {
-	options->headroom_patience_times = 0.0;
+	options->headroom_wait_ratio = 0.0;
 }
 
 static void
 without_guards (struct dff_core_options *options)
 {
-	options->max_guards = 0;
+	options->max_rack_reservations = 0;
 }
 
 static void
 without_evict_bound (struct dff_core_options *options)
 {
-	options->evict_work_times = 0.0;
+	options->evict_work_ratio = 0.0;
 }
 
 static const struct variant variants[] = {
--- a/bench/slopes/watching.c
+++ b/bench/slopes/watching.c
@@ -97,7 +97,7 @@
 	options.clock = dff_clock_system ();
 	options.metrics = watch->metrics;
 	options.seed = 1;
-	options.sighted = ignore_sighting;
+	options.report = ignore_sighting;
 	watch->watcher = dff_watcher_new (&options);
 }
 
@@ -225,10 +225,10 @@
 	struct dff_message message = {
 		.sender = dff_name_from ("entry-1"),
 		.kind = DFF_MESSAGE_SIGHTING,
-		.sighting = {.worker = dff_name_from ("r100-w1"),
-			     .reachable = true,
-			     .reports = data,
-			     .n_reports = reports->len},
+		.worker_report = {.worker = dff_name_from ("r100-w1"),
+				  .reachable = true,
+				  .reports = data,
+				  .n_reports = reports->len},
 	};
 	GByteArray *bytes = dff_message_encode (&message);
 	slopes_add (slopes, &sighting, n, bytes->len);
--- a/cell/cell_private.h
+++ b/cell/cell_private.h
@@ -269,7 +269,7 @@
 	struct dff_cell_feed feed;
 	struct dff_cell_recovery recovery;
 	struct dff_cell_retention retention;
-	struct dff_cell_attempts attempts;
+	struct dff_cell_attempts attempt_retention;
 	/** Rows that were found or became ended and are still there, by outcome. */
 	int64_t ended[DFF_OUTCOME_UNKNOWN + 1];
 	struct dff_cell_metrics metrics;
--- a/cell/records.c
+++ b/cell/records.c
@@ -313,7 +313,7 @@
 		.n_conditions = G_N_ELEMENTS (conditions),
 		.writes = &table_write,
 		.n_writes = 1,
-		.give_up_ms = write->type == DFF_CELL_WRITE_START ? START_GIVE_UP_MS : 0,
+		.queue_timeout_ms = write->type == DFF_CELL_WRITE_START ? START_GIVE_UP_MS : 0,
 	};
 	struct dff_cell_call *call = dff_cell_call_begin (cell, DFF_CELL_CALL_WRITE);
 	call->task.job = job->row->spec.id;
--- a/cell/retention.c
+++ b/cell/retention.c
@@ -268,7 +268,7 @@
 		.n_conditions = condition != NULL ? 3 : 2,
 		.writes = writes,
 		.n_writes = hash != NULL ? 2 : 1,
-		.give_up_ms = DELETE_GIVE_UP_MS,
+		.queue_timeout_ms = DELETE_GIVE_UP_MS,
 	};
 	call->ticket = dff_recorder_write (cell->options.recorder, &record, done, call);
 }
--- a/cell/retention_attempts.c
+++ b/cell/retention_attempts.c
@@ -30,14 +30,14 @@
 void
 dff_cell_attempts_init (struct dff_cell *cell)
 {
-	cell->attempts.expired = g_array_new (FALSE, TRUE, sizeof (struct expired));
+	cell->attempt_retention.expired = g_array_new (FALSE, TRUE, sizeof (struct expired));
 	dff_cell_attempts_clear (cell);
 }
 
 void
 dff_cell_attempts_clear (struct dff_cell *cell)
 {
-	struct dff_cell_attempts *attempts = &cell->attempts;
+	struct dff_cell_attempts *attempts = &cell->attempt_retention;
 	g_array_set_size (attempts->expired, 0);
 	attempts->next = 0;
 	attempts->cursor = 0;
@@ -50,7 +50,7 @@
 void
 dff_cell_attempts_free (struct dff_cell *cell)
 {
-	g_array_unref (cell->attempts.expired);
+	g_array_unref (cell->attempt_retention.expired);
 }
 
 static bool
@@ -83,7 +83,7 @@
 static void
 take_row (struct dff_cell *cell, const struct dff_table_row *row)
 {
-	struct dff_cell_attempts *attempts = &cell->attempts;
+	struct dff_cell_attempts *attempts = &cell->attempt_retention;
 	const size_t skipped = strlen (PREFIX);
 	struct expired expired = {.revision = row->revision};
 	attempts->cursor = row->revision;
@@ -103,7 +103,7 @@
 	struct dff_cell_call call;
 	if (!dff_cell_call_end (user, &call))
 		return;
-	struct dff_cell_attempts *attempts = &call.cell->attempts;
+	struct dff_cell_attempts *attempts = &call.cell->attempt_retention;
 	attempts->n_waiting -= 1;
 	if (result->outcome != DFF_TABLE_OK)
 		return;
@@ -115,7 +115,7 @@
 static void
 read_page (struct dff_cell *cell)
 {
-	struct dff_cell_attempts *attempts = &cell->attempts;
+	struct dff_cell_attempts *attempts = &cell->attempt_retention;
 	const struct dff_table *table = cell->options.table;
 	g_array_set_size (attempts->expired, 0);
 	attempts->next = 0;
@@ -131,7 +131,7 @@
 	struct dff_cell_call call;
 	if (!dff_cell_call_end (user, &call))
 		return;
-	call.cell->attempts.n_waiting -= 1;
+	call.cell->attempt_retention.n_waiting -= 1;
 	if (outcome == DFF_RECORD_DONE)
 		*call.cell->metrics.attempts_expired += 1;
 }
@@ -150,17 +150,17 @@
 		.n_conditions = G_N_ELEMENTS (conditions),
 		.writes = &deletion,
 		.n_writes = 1,
-		.give_up_ms = DELETE_GIVE_UP_MS,
+		.queue_timeout_ms = DELETE_GIVE_UP_MS,
 	};
 	struct dff_cell_call *call = dff_cell_call_begin (cell, DFF_CELL_CALL_WRITE);
-	cell->attempts.n_waiting += 1;
+	cell->attempt_retention.n_waiting += 1;
 	call->ticket = dff_recorder_write (cell->options.recorder, &record, on_deleted, call);
 }
 
 static void
 delete_some (struct dff_cell *cell)
 {
-	struct dff_cell_attempts *attempts = &cell->attempts;
+	struct dff_cell_attempts *attempts = &cell->attempt_retention;
 	guint end = MIN (attempts->next + DELETE_UNITS, attempts->expired->len);
 	while (attempts->next < end)
 		delete_one (cell,
@@ -170,7 +170,7 @@
 void
 dff_cell_attempts_tick (struct dff_cell *cell)
 {
-	struct dff_cell_attempts *attempts = &cell->attempts;
+	struct dff_cell_attempts *attempts = &cell->attempt_retention;
 	int64_t now_ms = dff_cell_now_ms (cell);
 	if (attempts->n_waiting > 0 || now_ms < attempts->due_ms ||
 	    dff_recorder_is_open (cell->options.recorder))
--- a/cell/workers.c
+++ b/cell/workers.c
@@ -280,7 +280,7 @@
 	if (sighting->reachable)
 		worker->said_leaving = sighting->leaving;
 	cell->workers_due_ms = 0;
-	if (sighting->whole && misses_a_task (cell, sighting))
+	if (sighting->complete && misses_a_task (cell, sighting))
 		dff_cell_worker_query (cell, &sighting->worker, now_ms);
 	for (size_t i = 0; i < sighting->n_reports; i++)
 		dff_cell_take_report (cell, &sighting->worker, 0, &sighting->reports[i]);
--- a/client/apply.c
+++ b/client/apply.c
@@ -65,7 +65,7 @@
 ask_all (struct dff_caller *caller, struct dff_pool_progress *progress)
 {
 	struct dff_call_request request = {
-		.method = EVHTTP_REQ_GET, .path = "/v1/status", .once = true};
+		.method = EVHTTP_REQ_GET, .path = "/v1/status", .no_retry = true};
 	struct dff_call_response *failure = NULL;
 	for (guint i = 0; i < dff_caller_n_servers (caller); i++) {
 		request.only_server = i + 1;
--- a/client/batch.c
+++ b/client/batch.c
@@ -155,8 +155,8 @@
 	     GString *lines)
 {
 	DFF_AUTO (dff_call_response) response = dff_result_fetch (caller, job, true);
-	int exit_code =
-		response->damaged ? DFF_EXIT_FAILED : dff_exit_code_for_status (response->status);
+	int exit_code = response->digest_mismatch ? DFF_EXIT_FAILED
+						  : dff_exit_code_for_status (response->status);
 	json_t *line = json_pack ("{s:s}", "id", job->data);
 	if (response->status == 200) {
 		json_object_set_new (line, "outcome", json_string ("completed"));
@@ -167,7 +167,7 @@
 	}
 	if (response->status == 202)
 		exit_code = DFF_EXIT_PENDING;
-	if (response->damaged)
+	if (response->digest_mismatch)
 		json_object_set_new (line, "code", json_string ("damaged"));
 	g_autofree char *text = json_dumps (line, JSON_COMPACT);
 	g_string_append_printf (lines, "%s\n", text);
--- a/client/call.c
+++ b/client/call.c
@@ -255,7 +255,7 @@
 		enum dff_http_outcome outcome =
 			exchange_with (caller, server, request, first, response);
 		first = first && left_nothing (response, outcome);
-		if (request->once || !may_repeat (request, response, outcome))
+		if (request->no_retry || !may_repeat (request, response, outcome))
 			return response;
 		if (asks_to_return (response))
 			come_back_ms = MAX (come_back_ms, response->retry_after_s * 1000);
--- a/client/result.c
+++ b/client/result.c
@@ -45,7 +45,7 @@
 		struct dff_call_response *response = fetch_once (caller, job, wait_ms);
 		if (response->status == 200 && !dff_call_response_is_whole (response)) {
 			response->status = 0;
-			response->damaged = true;
+			response->digest_mismatch = true;
 		}
 		if (response->status != 202 || !wait || remaining_ms <= PAUSE_MS)
 			return response;
@@ -59,7 +59,7 @@
 {
 	if (response->status == 200)
 		return DFF_EXIT_OK;
-	if (response->damaged) {
+	if (response->digest_mismatch) {
 		fprintf (stderr, "dragonflyfold: %s: the result does not have its digest\n",
 			 job->data);
 		return DFF_EXIT_FAILED;
--- a/core/apart.c
+++ b/core/apart.c
@@ -24,7 +24,7 @@
 bool
 dff_core_job_is_apart (const struct dff_core *core, const struct dff_core_job *job)
 {
-	return core->options.blame_apart > 0 && job->blame >= core->options.blame_apart;
+	return core->options.isolation_blame > 0 && job->blame >= core->options.isolation_blame;
 }
 
 static bool
--- a/core/core.c
+++ b/core/core.c
@@ -21,25 +21,25 @@
 	options->seed = 1;
 	options->start_timeout_ms = DEFAULT_START_TIMEOUT_MS;
 	options->checkpoint_grace_ms = DEFAULT_CHECKPOINT_GRACE_MS;
-	options->patient = false;
+	options->retry_without_limit = false;
 	options->blame_limit = 0;
-	options->blame_apart = 0;
+	options->isolation_blame = 0;
 	options->ageing_ms = 0.0;
 	options->quarantine_ms = 0;
-	options->at_once_share = 0.0;
-	options->data_wait_ms = 0;
+	options->early_failure_share = 0.0;
+	options->locality_wait_ms = 0;
 	options->rack_wait_ms = 0;
 	options->urgent_rack_wait_ms = 0;
-	options->calm_wait_ms = 0;
-	options->guard_after_ms = DEFAULT_GUARD_AFTER_MS;
-	options->guard_grace_ms = DEFAULT_GUARD_GRACE_MS;
-	options->max_guards = DEFAULT_MAX_GUARDS;
+	options->low_load_wait_ms = 0;
+	options->rack_reservation_delay_ms = DEFAULT_GUARD_AFTER_MS;
+	options->rack_reservation_grace_ms = DEFAULT_GUARD_GRACE_MS;
+	options->max_rack_reservations = DEFAULT_MAX_GUARDS;
 	options->checkpoint_loss_ms = DEFAULT_CHECKPOINT_LOSS_MS;
-	options->stall_loss_ms = DEFAULT_STALL_LOSS_MS;
+	options->stall_restart_max_ms = DEFAULT_STALL_LOSS_MS;
 	options->headroom_decay_ms = 0;
-	options->headroom_patience_times = 0.0;
-	options->evict_work_times = 0.0;
-	options->evict_any_after_ms = 0;
+	options->headroom_wait_ratio = 0.0;
+	options->evict_work_ratio = 0.0;
+	options->evict_unlimited_after_ms = 0;
 }
 
 static GArray *
@@ -71,7 +71,7 @@
 	dff_core_pace_init (core);
 	core->pending = array_new (sizeof (struct dff_command), NULL);
 	core->adjacent_unit = DEFAULT_ADJACENT_UNIT;
-	core->max_guards = options->max_guards;
+	core->max_guards = options->max_rack_reservations;
 	return core;
 }
 
@@ -187,7 +187,7 @@
 static const char *
 refusal (const struct dff_core *core, const struct dff_core_job *job)
 {
-	if (core->options.patient)
+	if (core->options.retry_without_limit)
 		return NULL;
 	if (job->team == DFF_CORE_NONE || !dff_core_team_at (core, job->team)->declared)
 		return "unknown_team";
@@ -268,7 +268,7 @@
 		.per_worker = spec->per_worker,
 	};
 	if (job.label == DFF_CORE_NONE && !dff_name_is_empty (&spec->label) &&
-	    !core->options.patient)
+	    !core->options.retry_without_limit)
 		return (struct dff_admission){.reason = "never_runnable"};
 	if (!dff_name_is_empty (&spec->region) && job.region == DFF_CORE_NONE)
 		return (struct dff_admission){.reason = "unknown_region"};
@@ -346,7 +346,7 @@
 		struct dff_core_job *tenant = g_ptr_array_index (tenants, i);
 		if (tenant->hold == DFF_CORE_HOLD_SOFT && tenant->state == DFF_CORE_RUNNING &&
 		    (tenant->checkpoint ||
-		     core->now_ms - tenant->started_ms <= core->options.stall_loss_ms))
+		     core->now_ms - tenant->started_ms <= core->options.stall_restart_max_ms))
 			dff_core_job_preempt (core, tenant, DFF_CORE_PREEMPT_WORKER_STALLED);
 	}
 }
--- a/core/guard.c
+++ b/core/guard.c
@@ -130,7 +130,7 @@
 		const struct dff_core_rack *rack = dff_core_rack_at (core, (int32_t)i);
 		/* The estimates that it was chosen by were far off: choose again. */
 		if (rack->guard != NULL &&
-		    rack->guard_ms + core->options.guard_grace_ms < core->now_ms)
+		    rack->guard_ms + core->options.rack_reservation_grace_ms < core->now_ms)
 			dff_core_unguard (core, rack->guard);
 	}
 }
--- a/core/order.c
+++ b/core/order.c
@@ -141,8 +141,8 @@
 static bool
 may_be_calm (const struct dff_core *core, const struct dff_core_job *job)
 {
-	return core->options.calm_wait_ms > 0 &&
-	       core->now_ms - job->submitted_ms >= core->options.calm_wait_ms;
+	return core->options.low_load_wait_ms > 0 &&
+	       core->now_ms - job->submitted_ms >= core->options.low_load_wait_ms;
 }
 
 /* Starts the jobs of a class in order. Returns: whether all went. */
@@ -165,7 +165,7 @@
 {
 	return job->gang > 1 && job->adjacency != DFF_ADJACENCY_NONE &&
 	       dff_core_job_accelerators (job) >= core->adjacent_unit / 2 &&
-	       core->now_ms - job->submitted_ms > core->options.guard_after_ms;
+	       core->now_ms - job->submitted_ms > core->options.rack_reservation_delay_ms;
 }
 
 void
@@ -175,7 +175,7 @@
 	if (!core->dirty && !review)
 		return;
 	/* What a job may use can depend on its wait alone: nothing need come free for that. */
-	core->fresh = core->dirty || core->options.patient;
+	core->fresh = core->dirty || core->options.retry_without_limit;
 	core->dirty = false;
 	if (review) {
 		int32_t budget = DFF_CORE_EVICTION_LOOKS / (int32_t)(core->workers->len + 1);
--- a/core/outcome.c
+++ b/core/outcome.c
@@ -86,7 +86,8 @@
 	}
 	job->start_failures++;
 	core->stats.start_failures++;
-	if (!core->options.patient && job->start_failures >= DFF_CORE_START_FAILURES_MAX) {
+	if (!core->options.retry_without_limit &&
+	    job->start_failures >= DFF_CORE_START_FAILURES_MAX) {
 		dff_core_job_give_up (core, job, "start_failed");
 		return;
 	}
@@ -116,7 +117,8 @@
 		dff_core_job_end (core, job, DFF_OUTCOME_FAILED, "attempts_exhausted");
 		return;
 	}
-	if (!core->options.patient && job->losses >= job->max_attempts + DFF_CORE_LOSSES_MAX) {
+	if (!core->options.retry_without_limit &&
+	    job->losses >= job->max_attempts + DFF_CORE_LOSSES_MAX) {
 		dff_core_job_end (core, job, DFF_OUTCOME_FAILED, "workers_lost");
 		return;
 	}
--- a/core/pace.c
+++ b/core/pace.c
@@ -156,14 +156,14 @@
 dff_core_note_pace (struct dff_core *core, const struct dff_event *event)
 {
 	int32_t index = dff_core_find_worker (core, &event->worker);
-	if (index == DFF_CORE_NONE || event->whole_ms <= 0)
+	if (index == DFF_CORE_NONE || event->duration_ms <= 0)
 		return;
 	if (core->n_paces >= SEEN_MAX)
 		drop_oldest (core);
-	struct cohort *cohort = cohort_for (core, event->cohort);
+	struct cohort *cohort = cohort_for (core, event->peer_group);
 	if (cohort->seen->len >= COHORT_MAX)
 		return;
-	struct seen seen = {.worker = index, .log_ms = logf ((float)event->whole_ms)};
+	struct seen seen = {.worker = index, .log_ms = logf ((float)event->duration_ms)};
 	g_array_append_val (cohort->seen, seen);
 	core->n_paces++;
 	cohort->last_ms = core->now_ms;
@@ -268,7 +268,7 @@
 	for (int32_t i = 0; i < PASSES; i++)
 		learn (core, sums);
 	learn_spread (core, sums);
-	core->stats.pace_spread = sqrt (core->pace_variance);
+	core->stats.duration_spread = sqrt (core->pace_variance);
 }
 
 /** Limits of pace for urgent work, tried one after the other, in deviations from the mean. */
--- a/core/place.c
+++ b/core/place.c
@@ -86,8 +86,8 @@
 static bool
 is_calm (const struct dff_core *core, const struct dff_core_job *job)
 {
-	if (core->options.calm_wait_ms == 0 ||
-	    core->now_ms - job->submitted_ms < core->options.calm_wait_ms)
+	if (core->options.low_load_wait_ms == 0 ||
+	    core->now_ms - job->submitted_ms < core->options.low_load_wait_ms)
 		return false;
 	struct dff_resources up = {0}, used = {0};
 	for (guint i = 0; i < core->workers->len; i++) {
@@ -237,7 +237,7 @@
 		return true;
 	/* A job that leaves its data is several times as slow there: waiting a while pays. */
 	if (!job->unkept && job->data_rack != DFF_CORE_NONE && rack->label != job->data_rack &&
-	    core->now_ms - job->submitted_ms < core->options.data_wait_ms)
+	    core->now_ms - job->submitted_ms < core->options.locality_wait_ms)
 		return false;
 	return job->unkept || !dff_core_rack_is_kept (core, rack, job);
 }
@@ -466,7 +466,7 @@
 		for (guint j = 0; j < rack->workers->len; j++) {
 			int32_t index = g_array_index (rack->workers, int32_t, j);
 			const struct dff_core_worker *worker = dff_core_worker_at (core, index);
-			if (core->options.patient && !dff_core_worker_usable (worker))
+			if (core->options.retry_without_limit && !dff_core_worker_usable (worker))
 				continue;
 			if (dff_core_is_headroom (core, worker, level))
 				continue;
--- a/core/quarantine.c
+++ b/core/quarantine.c
@@ -108,7 +108,7 @@
 static bool
 fails_at_once (const struct dff_core *core, const struct dff_core_job *job)
 {
-	double limit_ms = core->options.at_once_share * (double)job->estimate_ms;
+	double limit_ms = core->options.early_failure_share * (double)job->estimate_ms;
 	bool started = job->state == DFF_CORE_RUNNING;
 	return limit_ms > 0.0 && job->n_avoided == 0 &&
 	       (!started || (double)(core->now_ms - job->started_ms) <= limit_ms);
--- a/core/start.c
+++ b/core/start.c
@@ -34,14 +34,14 @@
 costs_too_much (const struct dff_core *core, const struct dff_core_job *job, const int32_t *workers)
 {
 	const struct dff_core_options *options = &core->options;
-	if (options->evict_work_times <= 0.0)
+	if (options->evict_work_ratio <= 0.0)
 		return false;
 	if (dff_core_job_is_assured (core, job) &&
-	    core->now_ms - job->submitted_ms >= options->evict_any_after_ms)
+	    core->now_ms - job->submitted_ms >= options->evict_unlimited_after_ms)
 		return false;
 	double own = (double)dff_core_job_weight (core, job) * (double)job->estimate_ms;
 	double lost = (double)dff_core_total_evict_cost (core, job, workers);
-	return lost > options->evict_work_times * own;
+	return lost > options->evict_work_ratio * own;
 }
 
 /* Preemption for borrowing work looks at every tenant, so that it is tried for a few
--- a/core/stats.c
+++ b/core/stats.c
@@ -4,7 +4,7 @@
 dff_core_get_stats (const struct dff_core *core, struct dff_core_stats *stats)
 {
 	*stats = core->stats;
-	stats->paces_kept = core->n_paces;
+	stats->duration_samples = core->n_paces;
 	int64_t whole = 0;
 	for (guint i = 0; i < core->racks->len; i++) {
 		const struct dff_core_rack *rack = dff_core_rack_at (core, (int32_t)i);
--- a/daemon/events.c
+++ b/daemon/events.c
@@ -160,7 +160,7 @@
 		.job_hint = handle_job_hint,
 		.job_ended = handle_job_ended,
 		.job_watch = handle_job_watch,
-		.sighting = handle_sighting,
+		.worker_report = handle_sighting,
 		.grants_received = handle_grants,
 		.members_changed = handle_members_changed,
 		.ctx = daemon,
--- a/daemon/parts.c
+++ b/daemon/parts.c
@@ -94,7 +94,7 @@
 	watcher.seed = random_seed ();
 	watcher.interval_ms = settings->watch_interval_ms;
 	watcher.lease_ms = settings->task_lease_ms;
-	watcher.sighted = dff_daemon_handle_own_sighting;
+	watcher.report = dff_daemon_handle_own_sighting;
 	watcher.ctx = daemon;
 	daemon->watcher = dff_watcher_new (&watcher);
 }
--- a/daemon/watch_isolation.c
+++ b/daemon/watch_isolation.c
@@ -10,7 +10,7 @@
 	for (guint i = 0; i < members->len; i++) {
 		const struct dff_member *member = &g_array_index (members, struct dff_member, i);
 		if (!dff_name_equal (&member->instance.id, &daemon->settings->instance))
-			last_ms = MAX (last_ms, member->heard_ms);
+			last_ms = MAX (last_ms, member->heartbeat_received_ms);
 	}
 	return last_ms;
 }
--- a/entry/attempt.c
+++ b/entry/attempt.c
@@ -312,7 +312,7 @@
 		.n_conditions = 1,
 		.writes = &change,
 		.n_writes = 1,
-		.give_up_ms = (int32_t)MAX (1, timeout_ms),
+		.queue_timeout_ms = (int32_t)MAX (1, timeout_ms),
 	};
 	request->state = DFF_REQUEST_RECORDING;
 	request->recording = true;
--- a/entry/record.c
+++ b/entry/record.c
@@ -82,7 +82,7 @@
 	}
 	struct pending_write *pending = g_new0 (struct pending_write, 1);
 	struct dff_record_write bounded = *write;
-	bounded.give_up_ms = timeout_ms;
+	bounded.queue_timeout_ms = timeout_ms;
 	pending->entry = dff_entry_ref (entry);
 	pending->done = done;
 	pending->user = user;
--- a/entry/request_read.c
+++ b/entry/request_read.c
@@ -73,8 +73,8 @@
 	const GArray *members = dff_peer_members (entry->options.peer);
 	for (guint i = 0; i < members->len; i++) {
 		const struct dff_member *member = &g_array_index (members, struct dff_member, i);
-		bool replaced =
-			maker->start != 0 && member->start != 0 && member->start != maker->start;
+		bool replaced = maker->start != 0 && member->start_id != 0 &&
+				member->start_id != maker->start;
 		if (member->state != DFF_MEMBER_DEAD && !replaced &&
 		    is_instance (&member->instance.id, maker->instance))
 			return true;
--- a/fleet/config.c
+++ b/fleet/config.c
@@ -31,7 +31,7 @@
 	g_array_set_clear_func (config->classes, class_clear);
 	config->teams = g_array_new (FALSE, TRUE, sizeof (struct dff_fleet_team));
 	g_array_set_clear_func (config->teams, team_clear);
-	config->unguarded = g_array_new (FALSE, TRUE, sizeof (struct dff_name));
+	config->unenforced = g_array_new (FALSE, TRUE, sizeof (struct dff_name));
 	return config;
 }
 
@@ -40,7 +40,7 @@
 {
 	g_array_unref (config->classes);
 	g_array_unref (config->teams);
-	g_array_unref (config->unguarded);
+	g_array_unref (config->unenforced);
 	g_free (config);
 }
 
--- a/fleet/fleet.c
+++ b/fleet/fleet.c
@@ -112,8 +112,8 @@
 	const struct dff_fleet *fleet = ctx;
 	tell_teams (fleet, config);
 	dff_holder_set_unguarded (fleet->holder,
-				  (const struct dff_name *)(void *)config->unguarded->data,
-				  config->unguarded->len);
+				  (const struct dff_name *)(void *)config->unenforced->data,
+				  config->unenforced->len);
 }
 
 static void
@@ -204,8 +204,8 @@
 		.rows = dff_http_rows_interface (fleet->rows),
 		.probe_table = DFF_TABLE_CELL,
 		.probe_key = DFF_KEY_HOLDER,
-		.heard = handle_store_heard,
-		.heard_ctx = fleet,
+		.recovered = handle_store_heard,
+		.recovered_ctx = fleet,
 	};
 	fleet->store = dff_rows_health_new (&health);
 	fleet->runner = dff_http_runner_new (fleet->worker_client);
@@ -217,7 +217,7 @@
 	struct dff_presence_options options = {.base = fleet->base,
 					       .clock = fleet->clock,
 					       .metrics = fleet->metrics,
-					       .life = fleet->life};
+					       .incarnation = fleet->life};
 	fleet->presence = dff_presence_new (&options);
 }
 
@@ -237,9 +237,9 @@
 		.timers = &fleet->timers,
 		.metrics = fleet->metrics,
 		.direct = dff_http_runner_interface (fleet->runner),
-		.life = fleet->life,
+		.incarnation = fleet->life,
 		.address = fleet->settings.relay_address,
-		.decider_lost = handle_decider_lost,
+		.holder_lost = handle_decider_lost,
 		.ctx = fleet,
 	};
 	fleet->relays = dff_fleet_relays_new (&options);
@@ -312,17 +312,17 @@
 		.timers = &fleet->timers,
 		.rows = dff_rows_health_interface (fleet->store),
 		.metrics = fleet->metrics,
-		.together_from_ms = 0,
+		.forward_min_latency_ms = 0,
 		.store_is_silent = store_is_silent,
-		.store_took_ms = store_took_ms,
+		.store_latency_ms = store_took_ms,
 		.store_ctx = fleet,
 		.forward = dff_intake_link_forward,
 		.forward_ctx = fleet->intake_link,
 		.record = record_row,
 		.record_ctx = fleet,
-		.gatherer_lost = handle_decider_lost,
-		.gatherer_moved = handle_gatherer_moved,
-		.gatherer_ctx = fleet,
+		.holder_lost = handle_decider_lost,
+		.holder_moved = handle_gatherer_moved,
+		.holder_ctx = fleet,
 	};
 	fleet->intake = dff_intake_new (&options);
 }
@@ -333,8 +333,8 @@
 	struct dff_state_link_options options = {.base = fleet->base,
 						 .clock = fleet->clock,
 						 .metrics = fleet->metrics,
-						 .decider_lost = handle_decider_lost,
-						 .decider_moved = handle_decider_moved,
+						 .holder_lost = handle_decider_lost,
+						 .holder_moved = handle_decider_moved,
 						 .ctx = fleet};
 	fleet->state_link = dff_state_link_new (&options);
 }
@@ -363,16 +363,16 @@
 	options.rows = dff_rows_health_interface (fleet->store);
 	options.runner = dff_fleet_relays_runner (fleet->relays);
 	options.relay_address = fleet->settings.relay_address;
-	options.relay_follow = dff_fleet_relays_follow;
-	options.relay_want = dff_fleet_relays_want;
+	options.relay_connect = dff_fleet_relays_follow;
+	options.relay_set_limit = dff_fleet_relays_want;
 	options.relay_ctx = fleet->relays;
-	options.note_holder = note_holder;
-	options.note_ctx = fleet;
+	options.holder_changed = note_holder;
+	options.holder_ctx = fleet;
 	options.metrics = fleet->metrics;
 	options.instance = fleet->life;
-	options.presence_address = fleet->settings.ready_address;
-	options.ask_presence = dff_presence_ask;
-	options.presence_ctx = fleet->presence;
+	options.probe_address = fleet->settings.ready_address;
+	options.send_probe = dff_presence_ask;
+	options.probe_ctx = fleet->presence;
 	options.store_served_ms = store_served_ms;
 	options.store_ctx = fleet;
 	options.takeover_ms = takeover_ms (&fleet->settings);
@@ -383,7 +383,7 @@
 		MIN (options.lease_ms, fleet->settings.worker_lease_max_ms - LEASE_MARGIN_MS);
 	options.lease_max_ms = fleet->settings.worker_lease_max_ms;
 	options.gang_wait_ms = fleet->settings.gang_wait_ms;
-	options.data_wait_ms = (int64_t)(DATA_WAIT_MS * (fleet->settings.far_factor - 1.0));
+	options.locality_wait_ms = (int64_t)(DATA_WAIT_MS * (fleet->settings.far_factor - 1.0));
 	options.rack_wait_ms = (int64_t)(RACK_WAIT_MS * (fleet->settings.far_factor - 1.0));
 	options.retention_ms =
 		fleet->settings.retention_s * INT64_C (1000) + options.retention_ms / 10;
@@ -400,10 +400,10 @@
 		.rows = dff_intake_interface (fleet->intake),
 		.metrics = fleet->metrics,
 		.store_is_silent = store_is_silent,
-		.writes_elsewhere = writes_elsewhere,
+		.writes_forwarded = writes_elsewhere,
 		.ctx = fleet,
-		.ask_state = dff_state_link_ask,
-		.ask_ctx = fleet->state_link,
+		.query_state = dff_state_link_ask,
+		.query_ctx = fleet->state_link,
 	};
 	fleet->front = dff_front_new (&front);
 	struct dff_ingress_options ingress = {
@@ -421,7 +421,7 @@
 		.metrics = fleet->metrics,
 		.bound_ms = fleet->settings.config_bound_ms,
 		.config_changed = handle_config,
-		.evacuated = handle_evacuated,
+		.evacuations_changed = handle_evacuated,
 		.ctx = fleet,
 	};
 	fleet->in_force = dff_in_force_new (&in_force);
--- a/fleet/in_force.c
+++ b/fleet/in_force.c
@@ -146,18 +146,19 @@
 	in_force->options = *options;
 	in_force->version = dff_metrics_gauge (options->metrics, "dff_fleet_config_version",
 					       "Version of the configuration in force.");
-	struct dff_evacuations_options evacuations = {
-		.metrics = options->metrics, .changed = options->evacuated, .ctx = options->ctx};
+	struct dff_evacuations_options evacuations = {.metrics = options->metrics,
+						      .changed = options->evacuations_changed,
+						      .ctx = options->ctx};
 	in_force->evacuations = dff_evacuations_new (&evacuations);
 	struct dff_follower_options follower = {
 		.timers = options->timers,
 		.rows = options->rows,
 		.table = DFF_TABLE_CONFIG,
 		.wait_ms = WAIT_MS,
-		.patience_ms = PATIENCE_MS,
+		.timeout_margin_ms = PATIENCE_MS,
 		.sink = {.row = handle_row,
-			 .begin = handle_begin,
-			 .whole = handle_whole,
+			 .begin_snapshot = handle_begin,
+			 .end_snapshot = handle_whole,
 			 .ctx = in_force},
 	};
 	in_force->follower = dff_follower_new (&follower);
--- a/fleet/intake_link.c
+++ b/fleet/intake_link.c
@@ -65,11 +65,11 @@
 handle_response (void *user, const struct dff_http_response *response)
 {
 	g_autofree struct call *call = user;
-	struct dff_intake_forwarded forwarded = {.receiver = receiver_of (response),
+	struct dff_intake_forwarded forwarded = {.delivery = receiver_of (response),
 						 .outcome = outcome_of (response)};
-	if (forwarded.receiver == DFF_INTAKE_MISDIRECTED) {
+	if (forwarded.delivery == DFF_INTAKE_MISDIRECTED) {
 		forwarded.outcome = DFF_ROWS_NOT_DONE;
-		dff_address_read (response->body, &forwarded.decider);
+		dff_address_read (response->body, &forwarded.holder);
 	}
 	call->done (call->user, &forwarded);
 }
--- a/fleet/presence.c
+++ b/fleet/presence.c
@@ -34,12 +34,12 @@
 	if (query == NULL || evhttp_parse_query_str (query, &fields) != 0)
 		return question;
 	const char *takeover = evhttp_find_header (&fields, QUERY_TAKEOVER);
-	question.yield = evhttp_find_header (&fields, QUERY_YIELD) != NULL;
-	question.takeover_ms = takeover != NULL ? g_ascii_strtoll (takeover, NULL, 10) : 0;
+	question.release_if_unwritable = evhttp_find_header (&fields, QUERY_YIELD) != NULL;
+	question.asker_takeover_ms = takeover != NULL ? g_ascii_strtoll (takeover, NULL, 10) : 0;
 	const char *decider = evhttp_find_header (&fields, QUERY_DECIDER);
 	const char *epoch = evhttp_find_header (&fields, QUERY_EPOCH);
 	if (decider != NULL && epoch != NULL &&
-	    dff_address_read (dff_str_from (decider), &question.decider))
+	    dff_address_read (dff_str_from (decider), &question.new_holder))
 		question.epoch = g_ascii_strtoll (epoch, NULL, 10);
 	evhttp_clear_headers (&fields);
 	return question;
@@ -49,14 +49,14 @@
 question_path (const struct dff_holder_question *question)
 {
 	GString *path = g_string_new (INSTANCE_PATH "?");
-	if (question->yield)
+	if (question->release_if_unwritable)
 		g_string_append (path, QUERY_YIELD "=1&");
-	if (question->takeover_ms > 0)
+	if (question->asker_takeover_ms > 0)
 		g_string_append_printf (path, QUERY_TAKEOVER "=%" PRId64 "&",
-					question->takeover_ms);
-	if (!dff_name_is_empty (&question->decider))
+					question->asker_takeover_ms);
+	if (!dff_name_is_empty (&question->new_holder))
 		g_string_append_printf (path, QUERY_DECIDER "=%s&" QUERY_EPOCH "=%" PRId64 "&",
-					question->decider.data, question->epoch);
+					question->new_holder.data, question->epoch);
 	/* The mark that is left over. */
 	g_string_truncate (path, path->len - 1);
 	return path;
@@ -70,8 +70,8 @@
 	struct dff_holder_question question = read_question (query);
 	struct dff_holder *holder = presence->options.holder;
 	bool idle = dff_holder_answer_presence (holder, &question) == DFF_HOLDER_IDLE;
-	evbuffer_add (evhttp_request_get_output_buffer (request), presence->options.life.data,
-		      presence->options.life.len);
+	evbuffer_add (evhttp_request_get_output_buffer (request),
+		      presence->options.incarnation.data, presence->options.incarnation.len);
 	evhttp_send_reply (request, idle ? STATUS_IDLE : HTTP_OK, NULL, NULL);
 }
 
--- a/fleet/relays.c
+++ b/fleet/relays.c
@@ -150,7 +150,7 @@
 	struct dff_fleet_relays *relays = ctx;
 	drop_stream (relays);
 	pause_connecting (relays);
-	relays->options.decider_lost (relays->options.ctx);
+	relays->options.holder_lost (relays->options.ctx);
 }
 
 static void
@@ -218,8 +218,8 @@
 	struct dff_relay_options relay = {.timers = options->timers,
 					  .metrics = options->metrics,
 					  .runner = options->direct,
-					  .name = options->life,
-					  .silent = options->decider_lost,
+					  .name = options->incarnation,
+					  .holder_silent = options->holder_lost,
 					  .ctx = options->ctx};
 	relays->relay = dff_relay_new (&relay);
 	relays->listener =
--- a/fleet/state_link.c
+++ b/fleet/state_link.c
@@ -64,11 +64,11 @@
 {
 	if (!dff_name_is_empty (next) && !dff_name_equal (next, &link->decider)) {
 		dff_state_link_set_decider (link, next, false);
-		link->options.decider_moved (link->options.ctx, next);
+		link->options.holder_moved (link->options.ctx, next);
 	} else {
 		link->avoid_until_ms = dff_clock_now_ms (link->options.clock) + AVOID_MS;
 	}
-	link->options.decider_lost (link->options.ctx);
+	link->options.holder_lost (link->options.ctx);
 }
 
 static void
--- a/front/front.c
+++ b/front/front.c
@@ -196,7 +196,7 @@
 {
 	const struct dff_front_options *options = &request->front->options;
 	bool elsewhere =
-		options->writes_elsewhere != NULL && options->writes_elsewhere (options->ctx);
+		options->writes_forwarded != NULL && options->writes_forwarded (options->ctx);
 	request_begin_if (request, step, elsewhere || store_answers (options));
 }
 
@@ -369,8 +369,8 @@
 {
 	const struct dff_front_options *options = &front->options;
 	struct request *request = request_new (front, job, reply);
-	if (options->ask_state == NULL ||
-	    !options->ask_state (options->ask_ctx, job, handle_asked_to_cancel, request))
+	if (options->query_state == NULL ||
+	    !options->query_state (options->query_ctx, job, handle_asked_to_cancel, request))
 		request_begin (request, cancel_find_step);
 }
 
@@ -470,8 +470,8 @@
 {
 	const struct dff_front_options *options = &front->options;
 	struct request *request = request_new (front, job, reply);
-	if (options->ask_state == NULL ||
-	    !options->ask_state (options->ask_ctx, job, handle_asked_state, request))
+	if (options->query_state == NULL ||
+	    !options->query_state (options->query_ctx, job, handle_asked_state, request))
 		request_begin (request, state_step);
 }
 
--- a/front/intake.c
+++ b/front/intake.c
@@ -237,7 +237,7 @@
 static bool
 is_slow (const struct dff_intake *intake)
 {
-	return intake->options.store_took_ms (intake->options.store_ctx) >= SLOW_MS;
+	return intake->options.store_latency_ms (intake->options.store_ctx) >= SLOW_MS;
 }
 
 static void
@@ -388,9 +388,9 @@
 	if (!intake->is_gatherer &&
 	    (dff_name_is_empty (&intake->gatherer) || now < intake->avoid_until_ms))
 		return false;
-	return now < intake->refused_until_ms || intake->options.together_from_ms == 0 ||
-	       intake->options.store_took_ms (intake->options.store_ctx) >=
-		       intake->options.together_from_ms;
+	return now < intake->refused_until_ms || intake->options.forward_min_latency_ms == 0 ||
+	       intake->options.store_latency_ms (intake->options.store_ctx) >=
+		       intake->options.forward_min_latency_ms;
 }
 
 static void
@@ -412,13 +412,13 @@
 	bool moved = !dff_name_is_empty (next) && !dff_name_equal (next, &intake->gatherer);
 	if (moved) {
 		dff_intake_set_gatherer (intake, next, false);
-		if (options->gatherer_moved != NULL)
-			options->gatherer_moved (options->gatherer_ctx, next);
+		if (options->holder_moved != NULL)
+			options->holder_moved (options->holder_ctx, next);
 	} else {
 		intake->avoid_until_ms = now_ms (intake) + AVOID_MS;
 	}
-	if (options->gatherer_lost != NULL)
-		options->gatherer_lost (options->gatherer_ctx);
+	if (options->holder_lost != NULL)
+		options->holder_lost (options->holder_ctx);
 }
 
 static void handle_forwarded (void *user, const struct dff_intake_forwarded *forwarded);
@@ -469,9 +469,9 @@
 handle_forwarded (void *user, const struct dff_intake_forwarded *forwarded)
 {
 	struct forward *forward = user;
-	if (forwarded->receiver != DFF_INTAKE_TAKEN)
-		leave_gatherer (forward->intake, &forwarded->decider);
-	if (forwarded->receiver != DFF_INTAKE_TAKEN && forwarded->outcome == DFF_ROWS_NOT_DONE)
+	if (forwarded->delivery != DFF_INTAKE_TAKEN)
+		leave_gatherer (forward->intake, &forwarded->holder);
+	if (forwarded->delivery != DFF_INTAKE_TAKEN && forwarded->outcome == DFF_ROWS_NOT_DONE)
 		forward_again (forward);
 	else
 		end_forward (forward, forwarded->outcome);
--- a/graph/progress.c
+++ b/graph/progress.c
@@ -115,7 +115,7 @@
 	    GArray *units)
 {
 	struct dff_step_progress *at = dff_progress_step (progress, occurrence, step);
-	at->offered = true;
+	at->units_taken = true;
 	struct dff_unit unit = {.occurrence = occurrence, .step = step, .index = -1};
 	if (dff_plan_step (plan, step)->gang) {
 		g_array_append_val (units, unit);
@@ -142,7 +142,7 @@
 		if (due_ms > now_wall_ms)
 			return due_ms;
 		for (int32_t j = 0; j < progress->n_steps; j++) {
-			if (!dff_progress_step (progress, i, j)->offered &&
+			if (!dff_progress_step (progress, i, j)->units_taken &&
 			    !step_is_done (progress, i, j) && step_may_begin (progress, plan, i, j))
 				offer_step (progress, plan, i, j, units);
 		}
--- a/graph/progress_row.c
+++ b/graph/progress_row.c
@@ -54,8 +54,8 @@
 		json_array_append_new (value, json_string (checkpoint));
 	if (task->blame > 0)
 		json_array_append_new (value, json_integer (task->blame));
-	if (task->fresh_blame > 0)
-		json_array_append_new (value, json_integer (task->fresh_blame));
+	if (task->startup_blame > 0)
+		json_array_append_new (value, json_integer (task->startup_blame));
 	return value;
 }
 
@@ -139,7 +139,7 @@
 	if (json_string_length (checkpoint) > 0)
 		task->checkpoint = g_strdup (json_string_value (checkpoint));
 	task->blame = (int32_t)json_integer_value (json_array_get (value, 5));
-	task->fresh_blame = (int32_t)json_integer_value (json_array_get (value, 6));
+	task->startup_blame = (int32_t)json_integer_value (json_array_get (value, 6));
 }
 
 static bool
--- a/holder/blame.c
+++ b/holder/blame.c
@@ -114,9 +114,9 @@
 	if (dff_progress_note_lost (job->progress, &unit->unit, index)) {
 		points = points_for (holder, run, loss);
 		if (seen_ms (run) >= CLEARED_MS)
-			task->blame = task->fresh_blame = points = 0;
+			task->blame = task->startup_blame = points = 0;
 		task->blame += points;
-		task->fresh_blame += points == DFF_POLICY_BLAME_FRESH ? points : 0;
+		task->startup_blame += points == DFF_POLICY_BLAME_FRESH ? points : 0;
 		if (points > 0 && loss == DFF_LOSS_LEASE_LAPSED)
 			remember_blamed (run->worker, &run->task);
 		tell_blame (holder, job, &unit->unit);
@@ -125,7 +125,7 @@
 		DFF_LOG_CELL, DFF_LOG_WARNING,
 		"Run lost. task=%s run=%d worker=%s reason=%s ran=%d unanswered=%d open_ms=%" PRId64
 		" seen_ms=%" PRId64 " points=%d blame=%d",
-		run->task.data, run->run, run->worker->upstream.life.id.data,
+		run->task.data, run->run, run->worker->upstream.incarnation.id.data,
 		blame_loss_name (loss), run->ran, run->n_unanswered,
 		holder_now_ms (holder) - run->open_ms, seen_ms (run), points, task->blame);
 }
@@ -137,12 +137,12 @@
 	struct holder_job *job = run->unit->job;
 	struct dff_task *task = dff_progress_task (job->progress, at->occurrence, at->step,
 						   MAX (at->index, 0) + run->member);
-	if (task->fresh_blame == 0 || seen_ms (run) < OUTLIVED_MS)
+	if (task->startup_blame == 0 || seen_ms (run) < OUTLIVED_MS)
 		return;
-	task->blame -= task->fresh_blame;
-	task->fresh_blame = 0;
+	task->blame -= task->startup_blame;
+	task->startup_blame = 0;
 	dff_log (DFF_LOG_CELL, DFF_LOG_INFO, "Blame cleared. task=%s run=%d worker=%s blame=%d",
-		 run->task.data, run->run, run->worker->upstream.life.id.data, task->blame);
+		 run->task.data, run->run, run->worker->upstream.incarnation.id.data, task->blame);
 	tell_blame (holder, job, at);
 }
 
@@ -157,7 +157,7 @@
 		return;
 	struct dff_task *task =
 		dff_progress_task (job->progress, ref.occurrence, ref.step, ref.index);
-	task->blame = MAX (task->blame - DFF_POLICY_BLAME_SEEN, task->fresh_blame);
+	task->blame = MAX (task->blame - DFF_POLICY_BLAME_SEEN, task->startup_blame);
 	bool gang = dff_plan_step (job->plan, ref.step)->gang;
 	struct dff_unit at = {
 		.occurrence = ref.occurrence, .step = ref.step, .index = gang ? -1 : ref.index};
--- a/holder/holder.c
+++ b/holder/holder.c
@@ -34,10 +34,10 @@
 		.lease_max_ms = LEASE_MAX_MS,
 		.suspect_ms = SUSPECT_MS,
 		.gang_wait_ms = GANG_WAIT_MS,
-		.long_list = LONG_LIST,
-		.relays_from_workers = RELAYS_FROM_WORKERS,
+		.feed_min_workers = LONG_LIST,
+		.relay_min_workers = RELAYS_FROM_WORKERS,
 		.retention_ms = RETENTION_MS,
-		.data_wait_ms = DATA_WAIT_MS,
+		.locality_wait_ms = DATA_WAIT_MS,
 		.rack_wait_ms = RACK_WAIT_MS,
 	};
 }
@@ -303,11 +303,11 @@
 enum dff_holder_presence
 dff_holder_answer_presence (struct dff_holder *holder, const struct dff_holder_question *question)
 {
-	if (question->yield && is_helpless (holder))
+	if (question->release_if_unwritable && is_helpless (holder))
 		lease_stand_down (holder, "store_lost");
-	handover_answer (holder, question->takeover_ms);
-	if (!dff_name_is_empty (&question->decider))
-		relays_note_decider (holder, &question->decider, question->epoch);
+	handover_answer (holder, question->asker_takeover_ms);
+	if (!dff_name_is_empty (&question->new_holder))
+		relays_note_decider (holder, &question->new_holder, question->epoch);
 	return holder->phase == DFF_HOLDER_WATCHING ? DFF_HOLDER_IDLE : DFF_HOLDER_PRESENT;
 }
 
--- a/holder/jobs.c
+++ b/holder/jobs.c
@@ -31,7 +31,7 @@
 	struct dff_core_options options;
 	dff_policy_core_options (&options, holder->options.gang_wait_ms);
 	options.seed = (uint64_t)holder->epoch;
-	options.data_wait_ms = holder->options.data_wait_ms;
+	options.locality_wait_ms = holder->options.locality_wait_ms;
 	options.rack_wait_ms = holder->options.rack_wait_ms;
 	holder->core = dff_core_new (&options);
 	holder->commands = g_array_new (FALSE, TRUE, sizeof (struct dff_command));
--- a/holder/lease.c
+++ b/holder/lease.c
@@ -100,7 +100,7 @@
 	return dff_json_print (json_pack (
 		"{s:I, s:I, s:s, s:s, s:b, s:I, s:I, s:I, s:s, s:i}", "epoch",
 		(json_int_t)holder->epoch, "sequence", (json_int_t)sequence, "instance",
-		holder->options.instance.data, "address", holder->options.presence_address.data,
+		holder->options.instance.data, "address", holder->options.probe_address.data,
 		"released", released, "renewing_until", (json_int_t)until_ms, "takeover",
 		(json_int_t)holder->options.takeover_ms, "least_takeover",
 		(json_int_t)holder->least_takeover_ms, "relay", holder->options.relay_address.data,
@@ -171,13 +171,13 @@
 tell_former (struct dff_holder *holder)
 {
 	if (dff_name_is_empty (&holder->former_address) ||
-	    dff_name_equal (&holder->former_address, &holder->options.presence_address))
+	    dff_name_equal (&holder->former_address, &holder->options.probe_address))
 		return;
-	struct dff_holder_question question = {.decider = holder->options.presence_address,
+	struct dff_holder_question question = {.new_holder = holder->options.probe_address,
 					       .epoch = holder->epoch};
-	holder->options.ask_presence (holder->options.presence_ctx, &holder->former_address,
-				      &holder->former_instance, &question, ignore_presence,
-				      holder_call_begin (holder, sizeof (struct holder_call)));
+	holder->options.send_probe (holder->options.probe_ctx, &holder->former_address,
+				    &holder->former_instance, &question, ignore_presence,
+				    holder_call_begin (holder, sizeof (struct holder_call)));
 }
 
 static void
@@ -291,11 +291,11 @@
 	struct ask_call *ask = holder_call_begin (holder, sizeof (*ask));
 	ask->revision = revision;
 	struct dff_holder_question question = {
-		.yield = holder->read_took_ms < SLOW_READ_MS,
-		.takeover_ms = relieve ? holder->options.takeover_ms : 0,
+		.release_if_unwritable = holder->read_took_ms < SLOW_READ_MS,
+		.asker_takeover_ms = relieve ? holder->options.takeover_ms : 0,
 	};
-	holder->options.ask_presence (holder->options.presence_ctx, &lease->address,
-				      &lease->instance, &question, handle_presence, ask);
+	holder->options.send_probe (holder->options.probe_ctx, &lease->address, &lease->instance,
+				    &question, handle_presence, ask);
 }
 
 static void
@@ -327,9 +327,9 @@
 		return;
 	holder->next_former_ask_ms = now_ms + ASK_FORMER_EVERY_MS;
 	struct dff_holder_question question = {0};
-	holder->options.ask_presence (holder->options.presence_ctx, &holder->former_address,
-				      &holder->former_instance, &question, handle_former_presence,
-				      holder_call_begin (holder, sizeof (struct holder_call)));
+	holder->options.send_probe (holder->options.probe_ctx, &holder->former_address,
+				    &holder->former_instance, &question, handle_former_presence,
+				    holder_call_begin (holder, sizeof (struct holder_call)));
 }
 
 /* A process that is to take the cell after quicker ones only need not notice as soon as they that
--- a/holder/list.c
+++ b/holder/list.c
@@ -55,7 +55,7 @@
 		note_unreadable (holder, row);
 		return;
 	}
-	g_hash_table_add (holder->list_seen, dff_name_dup (&upstream.life.id));
+	g_hash_table_add (holder->list_seen, dff_name_dup (&upstream.incarnation.id));
 	workers_note_listed (holder, &upstream, row->revision, begun_ms);
 }
 
@@ -90,8 +90,8 @@
 	g_hash_table_iter_init (&iter, holder->workers);
 	while (g_hash_table_iter_next (&iter, NULL, &value)) {
 		const struct holder_worker *worker = value;
-		if (!g_hash_table_contains (holder->list_seen, &worker->upstream.life.id))
-			workers_note_unlisted (holder, &worker->upstream.life.id);
+		if (!g_hash_table_contains (holder->list_seen, &worker->upstream.incarnation.id))
+			workers_note_unlisted (holder, &worker->upstream.incarnation.id);
 	}
 	g_hash_table_remove_all (holder->list_seen);
 	workers_sweep (holder);
@@ -155,7 +155,7 @@
 	    now_ms < holder->next_list_ms)
 		return;
 	if (holder->list_revision > 0 &&
-	    g_hash_table_size (holder->workers) >= holder->options.long_list)
+	    g_hash_table_size (holder->workers) >= holder->options.feed_min_workers)
 		ask_changes (holder);
 	else
 		read_whole (holder);
@@ -173,7 +173,7 @@
 		.timeout_ms = PAGE_TIMEOUT_MS,
 		.sink = {.row = handle_row,
 			 .page = handle_page,
-			 .whole = handle_whole,
+			 .done = handle_whole,
 			 .ctx = holder},
 	};
 	holder->list_reading = dff_reading_new (&reading);
--- a/holder/lives.c
+++ b/holder/lives.c
@@ -26,8 +26,8 @@
 		DFF_LOG_UPSTREAM, DFF_LOG_WARNING,
 		"What a worker says of its start is not taken. worker=%s reason=%s born_ms=%" PRId64
 		" known_born_ms=%" PRId64 " so_far=%" PRId64,
-		worker->upstream.life.id.data, reason, born_ms, worker->upstream.life.born_ms,
-		*holder->metrics.odd_births);
+		worker->upstream.incarnation.id.data, reason, born_ms,
+		worker->upstream.incarnation.started_ms, *holder->metrics.odd_births);
 }
 
 /* Whether an order that was sent to a life which is over may be carried out by the next one. What a
@@ -81,7 +81,7 @@
 		       const struct dff_name *task,
 		       int32_t run)
 {
-	if (!dff_born_is_told (worker->upstream.life.born_ms))
+	if (!dff_born_is_told (worker->upstream.incarnation.started_ms))
 		return;
 	if (worker->unanswered == NULL)
 		worker->unanswered = g_array_new (FALSE, FALSE, sizeof (struct lives_order));
@@ -134,7 +134,7 @@
 	if (holder->phase != DFF_HOLDER_HOLDING)
 		return;
 	struct dff_event event = {.type = DFF_EVENT_WORKER_RENEWED,
-				  .worker = worker->upstream.life.id};
+				  .worker = worker->upstream.incarnation.id};
 	dff_core_handle_event (holder->core, &event, holder_now_ms (holder));
 }
 
@@ -145,7 +145,7 @@
 	      struct holder_worker *worker,
 	      const struct dff_runner_result *result)
 {
-	worker->upstream.life.born_ms = MAX (result->born_ms, DFF_BORN_UNTOLD);
+	worker->upstream.incarnation.started_ms = MAX (result->started_ms, DFF_BORN_UNTOLD);
 	worker->n_lives++;
 	worker->born_known_ms = holder_now_ms (holder);
 	worker->upstream.leaving = false;
@@ -173,9 +173,9 @@
 	dff_log (DFF_LOG_UPSTREAM, DFF_LOG_WARNING,
 		 "Worker has started again. worker=%s born_ms=%" PRId64 " before_born_ms=%" PRId64
 		 " runs=%u listed=%zu heard_ms_ago=%" PRId64 " entry_born_ms=%" PRId64,
-		 worker->upstream.life.id.data, result->born_ms, worker->upstream.life.born_ms,
-		 n_runs, result->n_running, holder_now_ms (holder) - worker->heard_ms,
-		 worker->entry_born_ms);
+		 worker->upstream.incarnation.id.data, result->started_ms,
+		 worker->upstream.incarnation.started_ms, n_runs, result->n_running,
+		 holder_now_ms (holder) - worker->heard_ms, worker->entry_born_ms);
 	(*holder->metrics.restarted_workers)++;
 	g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
 	worker->gone = true;
@@ -185,7 +185,7 @@
 	reset_worker (holder, worker, result);
 	tell_renewed (holder, worker);
 	struct lives_entry *entry = g_steal_pointer (&worker->next_entry);
-	if (entry != NULL && entry->upstream.life.born_ms == result->born_ms)
+	if (entry != NULL && entry->upstream.incarnation.started_ms == result->started_ms)
 		workers_note_listed (holder, &entry->upstream, entry->revision, entry->begun_ms);
 	g_free (entry);
 }
@@ -209,10 +209,11 @@
 		const struct dff_runner_result *result,
 		const struct lives_mark *mark)
 {
-	enum dff_life_order order = dff_life_compare (result->born_ms, &worker->upstream.life);
+	enum dff_life_order order =
+		dff_life_compare (result->started_ms, &worker->upstream.incarnation);
 	if (order == DFF_LIFE_EARLIER && mark->begun_ms > worker->born_known_ms)
 		return DFF_LIFE_LATER;
-	bool untold = !dff_born_is_told (result->born_ms);
+	bool untold = !dff_born_is_told (result->started_ms);
 	if (order == DFF_LIFE_SAME && untold && mark->n_lives != worker->n_lives)
 		return DFF_LIFE_EARLIER;
 	return order;
@@ -243,16 +244,16 @@
 		 const struct dff_runner_result *result,
 		 const struct lives_mark *mark)
 {
-	bool expected = dff_born_is_told (worker->upstream.life.born_ms);
-	bool told = dff_born_is_told (result->born_ms);
+	bool expected = dff_born_is_told (worker->upstream.incarnation.started_ms);
+	bool told = dff_born_is_told (result->started_ms);
 	if (expected && !told) {
-		note_odd (holder, worker, result->born_ms,
-			  result->born_ms == DFF_BORN_UNTOLD ? "missing" : "unreadable");
+		note_odd (holder, worker, result->started_ms,
+			  result->started_ms == DFF_BORN_UNTOLD ? "missing" : "unreadable");
 		return take_untold_list (holder, worker, result);
 	}
 	switch (compare_answer (worker, result, mark)) {
 	case DFF_LIFE_EARLIER:
-		note_odd (holder, worker, result->born_ms, "earlier_life");
+		note_odd (holder, worker, result->started_ms, "earlier_life");
 		return false;
 	case DFF_LIFE_LATER:
 		begin_next (holder, worker, result);
@@ -262,7 +263,7 @@
 		break;
 	}
 	if (!expected && told) {
-		worker->upstream.life.born_ms = result->born_ms;
+		worker->upstream.incarnation.started_ms = result->started_ms;
 		worker->born_known_ms = holder_now_ms (holder);
 	}
 	refute_entry (worker, mark->begun_ms);
@@ -295,10 +296,10 @@
 		  int64_t revision,
 		  int64_t begun_ms)
 {
-	int64_t born_ms = upstream->life.born_ms;
+	int64_t born_ms = upstream->incarnation.started_ms;
 	if (born_ms == DFF_BORN_UNREADABLE)
 		note_odd (holder, worker, born_ms, "unreadable_in_entry");
-	enum dff_life_order order = dff_life_compare (born_ms, &worker->upstream.life);
+	enum dff_life_order order = dff_life_compare (born_ms, &worker->upstream.incarnation);
 	if (order == DFF_LIFE_EARLIER) {
 		note_odd (holder, worker, born_ms, "earlier_entry");
 		return false;
@@ -306,8 +307,8 @@
 	worker->entry_born_ms = MAX (born_ms, DFF_BORN_UNTOLD);
 	if (order == DFF_LIFE_SAME)
 		return true;
-	bool known =
-		worker->next_entry != NULL && worker->next_entry->upstream.life.born_ms == born_ms;
+	bool known = worker->next_entry != NULL &&
+		     worker->next_entry->upstream.incarnation.started_ms == born_ms;
 	struct lives_entry entry = {.upstream = *upstream,
 				    .revision = revision,
 				    .begun_ms = begun_ms,
@@ -324,5 +325,6 @@
 lives_are_sure (const struct holder_worker *worker)
 {
 	return worker->next_entry == NULL &&
-	       dff_life_compare (worker->entry_born_ms, &worker->upstream.life) == DFF_LIFE_SAME;
+	       dff_life_compare (worker->entry_born_ms, &worker->upstream.incarnation) ==
+		       DFF_LIFE_SAME;
 }
--- a/holder/pace.c
+++ b/holder/pace.c
@@ -68,9 +68,9 @@
 	if (!is_near_data (run))
 		return;
 	struct dff_event event = {.type = DFF_EVENT_TASK_PACE,
-				  .worker = run->worker->upstream.life.id,
-				  .cohort = cohort_of (run),
-				  .whole_ms = worked_ms * 100 / done};
+				  .worker = run->worker->upstream.incarnation.id,
+				  .peer_group = cohort_of (run),
+				  .duration_ms = worked_ms * 100 / done};
 	dff_core_handle_event (holder->core, &event, holder_now_ms (holder));
 }
 
--- a/holder/policy.c
+++ b/holder/policy.c
@@ -54,23 +54,23 @@
 {
 	dff_core_options_init (options);
 	options->start_timeout_ms = gang_wait_ms + START_TIMEOUT_MS;
-	options->patient = true;
+	options->retry_without_limit = true;
 	options->blame_limit = DFF_POLICY_BLAME_LIMIT;
-	options->blame_apart = DFF_POLICY_BLAME_FRESH;
+	options->isolation_blame = DFF_POLICY_BLAME_FRESH;
 	options->ageing_ms = AGEING_MS;
 	options->quarantine_ms = QUARANTINE_MS;
-	options->at_once_share = AT_ONCE_SHARE;
+	options->early_failure_share = AT_ONCE_SHARE;
 	options->urgent_rack_wait_ms = URGENT_RACK_WAIT_MS;
-	options->calm_wait_ms = CALM_WAIT_MS;
-	options->guard_after_ms = GUARD_AFTER_MS;
-	options->guard_grace_ms = GUARD_GRACE_MS;
-	options->max_guards = GUARDS_MAX;
-	options->evict_work_times = EVICT_WORK_TIMES;
-	options->evict_any_after_ms = EVICT_ANY_AFTER_MS;
+	options->low_load_wait_ms = CALM_WAIT_MS;
+	options->rack_reservation_delay_ms = GUARD_AFTER_MS;
+	options->rack_reservation_grace_ms = GUARD_GRACE_MS;
+	options->max_rack_reservations = GUARDS_MAX;
+	options->evict_work_ratio = EVICT_WORK_TIMES;
+	options->evict_unlimited_after_ms = EVICT_ANY_AFTER_MS;
 	options->headroom_decay_ms = HEADROOM_DECAY_MS;
-	options->headroom_patience_times = HEADROOM_PATIENCE_TIMES;
+	options->headroom_wait_ratio = HEADROOM_PATIENCE_TIMES;
 	options->checkpoint_loss_ms = CHECKPOINT_LOSS_MS;
-	options->stall_loss_ms = STALL_LOSS_MS;
+	options->stall_restart_max_ms = STALL_LOSS_MS;
 }
 
 /* Symptom: jobs of wide gangs wait until a loaded day is over, and those of many single tasks of a
--- a/holder/recovery.c
+++ b/holder/recovery.c
@@ -32,9 +32,9 @@
 		.rows = holder->options.rows,
 		.table = DFF_TABLE_JOBS,
 		.wait_ms = JOBS_WAIT_MS,
-		.patience_ms = JOBS_PATIENCE_MS,
+		.timeout_margin_ms = JOBS_PATIENCE_MS,
 		.page_timeout_ms = JOBS_PAGE_TIMEOUT_MS,
-		.sink = {.row = jobs_handle_row, .whole = handle_whole, .ctx = holder},
+		.sink = {.row = jobs_handle_row, .end_snapshot = handle_whole, .ctx = holder},
 	};
 	holder->jobs_follower = dff_follower_new (&options);
 }
@@ -72,7 +72,7 @@
 		.rows = holder->options.rows,
 		.table = DFF_TABLE_PROGRESS,
 		.timeout_ms = READ_TIMEOUT_MS,
-		.sink = {.row = handle_progress_row, .whole = handle_whole_progress, .ctx = holder},
+		.sink = {.row = handle_progress_row, .done = handle_whole_progress, .ctx = holder},
 	};
 	holder->progress_reading = dff_reading_new (&options);
 	dff_reading_start (holder->progress_reading);
--- a/holder/relays.c
+++ b/holder/relays.c
@@ -11,22 +11,22 @@
 static void
 want (const struct dff_holder *holder, int32_t n_relays)
 {
-	if (holder->options.relay_want != NULL)
-		holder->options.relay_want (holder->options.relay_ctx, n_relays);
+	if (holder->options.relay_set_limit != NULL)
+		holder->options.relay_set_limit (holder->options.relay_ctx, n_relays);
 }
 
 static void
 follow (const struct dff_holder *holder, const struct dff_name *address, int32_t n_relays)
 {
-	if (holder->options.relay_follow != NULL)
-		holder->options.relay_follow (holder->options.relay_ctx, address, n_relays);
+	if (holder->options.relay_connect != NULL)
+		holder->options.relay_connect (holder->options.relay_ctx, address, n_relays);
 }
 
 static void
 note_holder (const struct dff_holder *holder, const struct dff_name *address, bool self)
 {
-	if (holder->options.note_holder != NULL)
-		holder->options.note_holder (holder->options.note_ctx, address, self);
+	if (holder->options.holder_changed != NULL)
+		holder->options.holder_changed (holder->options.holder_ctx, address, self);
 }
 
 void
@@ -72,7 +72,7 @@
 {
 	int32_t n_workers = (int32_t)g_hash_table_size (holder->workers);
 	int32_t n_relays = 0;
-	if (n_workers >= holder->options.relays_from_workers)
+	if (n_workers >= holder->options.relay_min_workers)
 		n_relays = (n_workers + WORKERS_PER_RELAY - 1) / WORKERS_PER_RELAY;
 	if (n_relays == holder->n_relays)
 		return;
--- a/holder/rooms.c
+++ b/holder/rooms.c
@@ -22,7 +22,7 @@
 rooms_allow_start (const struct dff_holder *holder, const struct holder_worker *worker)
 {
 	return rooms_are_known (holder, worker) &&
-	       dff_core_worker_has_room (holder->core, &worker->upstream.life.id);
+	       dff_core_worker_has_room (holder->core, &worker->upstream.incarnation.id);
 }
 
 bool
--- a/holder/runs.c
+++ b/holder/runs.c
@@ -71,7 +71,7 @@
 	dff_log (DFF_LOG_CELL, DFF_LOG_ERROR,
 		 "A run was open when the next one of its task was placed there. task=%s run=%d "
 		 "worker=%s",
-		 task->data, former->run, worker->upstream.life.id.data);
+		 task->data, former->run, worker->upstream.incarnation.id.data);
 	run_forget (holder, former);
 }
 
@@ -209,7 +209,7 @@
 	struct holder_unit *unit = run->unit;
 	dff_log (DFF_LOG_CELL, DFF_LOG_INFO,
 		 "Run ended. task=%s run=%d end=%s worker=%s number=%" PRId64, run->task.data,
-		 run->run, dff_run_end_name (ended->end), run->worker->upstream.life.id.data,
+		 run->run, dff_run_end_name (ended->end), run->worker->upstream.incarnation.id.data,
 		 ended->number);
 	if (ended->checkpoint.len > 0 && ended->end != DFF_RUN_COMPLETED) {
 		dff_progress_save (unit->job->progress, unit->job->plan, &unit->unit,
@@ -245,8 +245,8 @@
 	(*holder->metrics.starts_rejected)++;
 	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING,
 		 "Start refused. task=%s run=%d worker=%s reason=%s unanswered=%d", run->task.data,
-		 run->run, run->worker->upstream.life.id.data, dff_runner_outcome_name (outcome),
-		 run->n_unanswered);
+		 run->run, run->worker->upstream.incarnation.id.data,
+		 dff_runner_outcome_name (outcome), run->n_unanswered);
 	bool blamed = outcome == DFF_RUNNER_UNHEALTHY || outcome == DFF_RUNNER_INVALID;
 	enum dff_event_type event = blamed ? DFF_EVENT_TASK_START_FAILED : DFF_EVENT_TASK_REJECTED;
 	if (run->n_unanswered == 0 && outcome != DFF_RUNNER_OLD_RUN) {
@@ -378,7 +378,7 @@
 order_call_new (struct dff_holder *holder, const struct holder_worker *worker, bool is_stop)
 {
 	struct order_call *call = holder_call_begin (holder, sizeof (*call));
-	call->worker = worker->upstream.life.id;
+	call->worker = worker->upstream.incarnation.id;
 	call->mark = lives_mark (holder, worker);
 	call->is_stop = is_stop;
 	return call;
@@ -390,7 +390,7 @@
 	const struct holder_worker *worker = run->worker;
 	const GString *payload = run->unit->job->plan->payload;
 	struct dff_run_order order = {
-		.worker = worker->upstream.life.id,
+		.worker = worker->upstream.incarnation.id,
 		.address = worker->upstream.address,
 		.task = run->task,
 		.run = run->run,
@@ -431,7 +431,7 @@
 	(*holder->metrics.strays)++;
 	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING,
 		 "Stopping a run that is not on record. task=%s run=%d worker=%s epoch=%" PRId64,
-		 task->data, run, worker->upstream.life.id.data, holder->epoch);
+		 task->data, run, worker->upstream.incarnation.id.data, holder->epoch);
 	run_bar (holder, worker, task, run);
 }
 
@@ -441,7 +441,7 @@
 	 const struct dff_name *task,
 	 int32_t run)
 {
-	struct dff_run_order order = {.worker = worker->upstream.life.id,
+	struct dff_run_order order = {.worker = worker->upstream.incarnation.id,
 				      .address = worker->upstream.address,
 				      .task = *task,
 				      .run = run,
@@ -464,7 +464,7 @@
 	(*holder->metrics.starts_withdrawn)++;
 	dff_log (DFF_LOG_CELL, DFF_LOG_INFO,
 		 "Start withdrawn. task=%s run=%d worker=%s data_centre=%s reason=%s unanswered=%d",
-		 run->task.data, run->run, run->worker->upstream.life.id.data,
+		 run->task.data, run->run, run->worker->upstream.incarnation.id.data,
 		 run->worker->upstream.data_centre.data, reason, run->n_unanswered);
 	run->unseen_event = DFF_EVENT_TASK_REJECTED;
 	run_stop (holder, run);
--- a/holder/watch.c
+++ b/holder/watch.c
@@ -111,7 +111,7 @@
 	dff_log (DFF_LOG_UPSTREAM, DFF_LOG_WARNING,
 		 "Worker's runs are over. worker=%s reason=%s runs=%u heard_ms_ago=%" PRId64
 		 " deadline_ms=%" PRId64 " clock_ms=%" PRId64,
-		 worker->upstream.life.id.data, blame_loss_name (loss),
+		 worker->upstream.incarnation.id.data, blame_loss_name (loss),
 		 g_hash_table_size (worker->runs),
 		 worker->heard_ms > 0 ? holder_now_ms (holder) - worker->heard_ms : -1,
 		 worker->deadline_ms, worker->clock_ms);
@@ -242,9 +242,9 @@
 	worker->stalled_ms = now_ms;
 	(*holder->metrics.stalled_workers)++;
 	dff_log (DFF_LOG_UPSTREAM, DFF_LOG_WARNING, "Worker's tasks stand still. worker=%s runs=%u",
-		 worker->upstream.life.id.data, n_still);
+		 worker->upstream.incarnation.id.data, n_still);
 	struct dff_event event = {.type = DFF_EVENT_WORKER_STALLED,
-				  .worker = worker->upstream.life.id};
+				  .worker = worker->upstream.incarnation.id};
 	dff_core_handle_event (holder->core, &event, now_ms);
 }
 
@@ -335,7 +335,7 @@
 {
 	bool shown = !look && worker->n_silent == 0 && lives_are_sure (worker) &&
 		     worker->start_ms <= worker->lists_ms;
-	if (!shown && dff_born_is_told (worker->upstream.life.born_ms))
+	if (!shown && dff_born_is_told (worker->upstream.incarnation.started_ms))
 		return 0;
 	return worker->ended_recorded;
 }
@@ -344,13 +344,13 @@
 send_watch (struct dff_holder *holder, struct holder_worker *worker, bool look)
 {
 	struct watch_call *call = holder_call_begin (holder, sizeof (*call));
-	call->worker = worker->upstream.life.id;
+	call->worker = worker->upstream.incarnation.id;
 	call->mark = lives_mark (holder, worker);
 	call->look = look;
 	call->at_next = look && worker->next_entry != NULL;
 	bool waits = !look && worker->n_silent == 0 && worker->heard_ms > 0;
 	struct dff_run_watch watch = {
-		.worker = worker->upstream.life.id,
+		.worker = worker->upstream.incarnation.id,
 		.address = call->at_next ? worker->next_entry->upstream.address
 					 : worker->upstream.address,
 		.epoch = holder->epoch,
--- a/holder/workers.c
+++ b/holder/workers.c
@@ -39,11 +39,11 @@
 	if (worker != NULL)
 		return worker;
 	worker = g_new0 (struct holder_worker, 1);
-	worker->upstream.life.id = *id;
+	worker->upstream.incarnation.id = *id;
 	worker->state = DFF_WORKER_DOWN;
 	worker->missing_since_ms = holder_now_ms (holder);
 	worker->runs = g_hash_table_new_full (dff_name_hash, dff_name_equal_func, NULL, run_free);
-	g_hash_table_insert (holder->workers, &worker->upstream.life.id, worker);
+	g_hash_table_insert (holder->workers, &worker->upstream.incarnation.id, worker);
 	return worker;
 }
 
@@ -72,7 +72,7 @@
 {
 	int64_t now_ms = holder_now_ms (holder);
 	struct dff_event event = {.type = DFF_EVENT_WORKER_STATE,
-				  .worker = worker->upstream.life.id,
+				  .worker = worker->upstream.incarnation.id,
 				  .worker_state = worker->state};
 	if (worker->leaves_ms > 0)
 		event.leaves_in_ms = MAX (worker->leaves_ms - now_ms, 1);
@@ -93,9 +93,10 @@
 	dff_log (DFF_LOG_UPSTREAM, DFF_LOG_INFO,
 		 "Worker %s. worker=%s data_centre=%s address=%s was=%s listed=%d silent_calls=%d "
 		 "remaining_ms=%" PRId64 " heard_ms_ago=%" PRId64 " runs=%u",
-		 names[state], worker->upstream.life.id.data, worker->upstream.data_centre.data,
-		 worker->upstream.address.data, names[worker->state], worker->listed,
-		 worker->n_silent, worker->upstream.remaining_ms,
+		 names[state], worker->upstream.incarnation.id.data,
+		 worker->upstream.data_centre.data, worker->upstream.address.data,
+		 names[worker->state], worker->listed, worker->n_silent,
+		 worker->upstream.remaining_ms,
 		 worker->heard_ms > 0 ? holder_now_ms (holder) - worker->heard_ms : -1,
 		 g_hash_table_size (worker->runs));
 	worker->state = state;
@@ -138,15 +139,15 @@
 		     int64_t revision,
 		     int64_t begun_ms)
 {
-	struct holder_worker *worker = workers_intern (holder, &upstream->life.id);
+	struct holder_worker *worker = workers_intern (holder, &upstream->incarnation.id);
 	worker->listed = true;
 	if (!lives_take_entry (holder, worker, upstream, revision, begun_ms))
 		return;
 	holder->pool_changed |= differs (&worker->upstream, upstream);
-	struct dff_life life = worker->upstream.life;
+	struct dff_life life = worker->upstream.incarnation;
 	bool leaving = worker->upstream.leaving || upstream->leaving;
 	worker->upstream = *upstream;
-	worker->upstream.life = life;
+	worker->upstream.incarnation = life;
 	worker->upstream.leaving = leaving;
 	if (worker->leaves_ms == 0 && leaving && upstream->remaining_ms >= 0)
 		worker->leaves_ms = MAX (begun_ms + upstream->remaining_ms, 1);
@@ -167,7 +168,7 @@
 	dff_log (DFF_LOG_UPSTREAM, DFF_LOG_INFO,
 		 "Worker's entry removed. worker=%s leaving=%d changed_ms_ago=%" PRId64
 		 " silent_calls=%d runs=%u",
-		 worker->upstream.life.id.data, worker->upstream.leaving,
+		 worker->upstream.incarnation.id.data, worker->upstream.leaving,
 		 holder_now_ms (holder) - worker->entry_changed_ms, worker->n_silent,
 		 g_hash_table_size (worker->runs));
 }
@@ -235,7 +236,8 @@
 	if (order == 0)
 		order = dff_name_compare (&one->upstream.rack, &other->upstream.rack);
 	if (order == 0)
-		order = dff_name_compare (&one->upstream.life.id, &other->upstream.life.id);
+		order = dff_name_compare (&one->upstream.incarnation.id,
+					  &other->upstream.incarnation.id);
 	return order;
 }
 
@@ -306,7 +308,7 @@
 		struct dff_worker_traits traits = {.capacity = worker->upstream.capacity};
 		for (size_t j = 0; j < DFF_WORKER_LABELS_MAX; j++)
 			traits.labels[j] = worker->upstream.labels[j];
-		g_array_append_val (rack->workers, worker->upstream.life.id);
+		g_array_append_val (rack->workers, worker->upstream.incarnation.id);
 		g_array_append_val (rack->traits, traits);
 	}
 	holder->pool_changed = false;
--- a/include/cell/cell.h
+++ b/include/cell/cell.h
@@ -99,7 +99,7 @@
 	/** @reports are all the tasks the worker knew when it answered: one that is missing was not
 	 * seen by it, or was lost when it started anew. To be confirmed by a query or a stop, as a
 	 * start may have arrived since. */
-	bool whole;
+	bool complete;
 };
 
 /** Takes in what a watcher (this process or a peer) saw. Ignored unless holder. */
--- a/include/client/call.h
+++ b/include/client/call.h
@@ -43,7 +43,7 @@
 	/** May be sent again when it is not known whether it took effect. */
 	bool idempotent;
 	/** Send once and take what comes. */
-	bool once;
+	bool no_retry;
 	/** Time to wait for one answer, ms; 0: 10 seconds. */
 	int32_t answer_timeout_ms;
 	/** Index of the only server to ask, plus 1; 0: any. */
@@ -56,7 +56,7 @@
 	/** No answer, and it may have taken effect. */
 	bool uncertain;
 	/** An answer, but not the bytes that its digest states. */
-	bool damaged;
+	bool digest_mismatch;
 	GString *body;
 	/** Empty where the header is missing. */
 	GString *etag;
--- a/include/core/core.h
+++ b/include/core/core.h
@@ -40,12 +40,12 @@
 	int32_t checkpoint_grace_ms;
 	/** Jobs that no worker could hold wait for one, and lost or rejected attempts are repeated
 	 * without limit: the list of workers lags, so that today's answer may be wrong. */
-	bool patient;
+	bool retry_without_limit;
 	/** Points against a job, for workers that ended under it, at which it is given up; 0: it
 	 * never is for that reason. */
 	int32_t blame_limit;
 	/** Points at which it is placed where least else runs; 0: it never is for that reason. */
-	int32_t blame_apart;
+	int32_t isolation_blame;
 	/** Wait after which a job's score is divided by four, on top of its own estimate, ms; 0:
 	 * what the pool's weights say. */
 	double ageing_ms;
@@ -53,9 +53,9 @@
 	int64_t quarantine_ms;
 	/** Share of its expected run time within which a run's failure counts as the worker's fault
 	 * alone; 0: time does not tell. */
-	double at_once_share;
+	double early_failure_share;
 	/** How long a job waits for room near its data before it goes elsewhere, ms. */
-	int64_t data_wait_ms;
+	int64_t locality_wait_ms;
 	/** How long a gang that fits a rack waits for a whole one before it spreads, ms; 0: for
 	 * ever. */
 	int64_t rack_wait_ms;
@@ -63,30 +63,30 @@
 	int64_t urgent_rack_wait_ms;
 	/** Wait after which a job gets room that is kept from it for the sake of others, as long as
 	 * less than half of the pool is in use, ms; 0: never. */
-	int64_t calm_wait_ms;
+	int64_t low_load_wait_ms;
 	/** Wait after which racks are kept for a gang, ms. */
-	int64_t guard_after_ms;
+	int64_t rack_reservation_delay_ms;
 	/** Time past the expected one that they are kept, ms. */
-	int64_t guard_grace_ms;
+	int64_t rack_reservation_grace_ms;
 	/** Gangs at once for which racks are kept. */
-	int32_t max_guards;
+	int32_t max_rack_reservations;
 	/** Run time up to which a job without checkpoints is started anew when its worker stalls,
 	 * ms. */
-	int64_t stall_loss_ms;
+	int64_t stall_restart_max_ms;
 	/** Run time that is lost when a task with checkpoints is stopped and started again, ms. */
 	int64_t checkpoint_loss_ms;
 	/** Work that an urgent job may throw away to get its place, in times the work that it does
 	 * itself; 0: any. */
-	double evict_work_times;
+	double evict_work_ratio;
 	/** Wait after which an urgent job whose team has a right to its accelerators throws away
 	 * any, ms. */
-	int64_t evict_any_after_ms;
+	int64_t evict_unlimited_after_ms;
 	/** Time constant with which headroom shrinks again, ms: the room that work of a priority
 	 * leaves free for work before it, see core/headroom.c. 0: none is left. */
 	int64_t headroom_decay_ms;
 	/** Wait after which work of the last priority leaves headroom for the first alone, in times
 	 * its expected run time; 0: never. */
-	double headroom_patience_times;
+	double headroom_wait_ratio;
 };
 
 /** Fills in the defaults that docs/decisions/ gives reasons for. */
@@ -139,7 +139,7 @@
 	DFF_EVENT_TASK_STOPPED,  /**< Proven stopped; @ran tells whether it ever ran. */
 	DFF_EVENT_TASK_LOST,     /**< Its lease has lapsed: it no longer runs, and may have run. */
 	DFF_EVENT_TASK_PROGRESS, /**< @percent of the task's work is done. */
-	/** @worker, @cohort, @whole_ms. Told once a run, as soon as its progress tells. */
+	/** @worker, @peer_group, @duration_ms. Told once a run, as soon as its progress tells. */
 	DFF_EVENT_TASK_PACE,
 	/** @worker, @worker_state, @leaves_in_ms. */
 	DFF_EVENT_WORKER_STATE,
@@ -183,9 +183,9 @@
 	bool ran;
 	int32_t percent;
 	/** The tasks of one step, which are alike. */
-	uint64_t cohort;
+	uint64_t peer_group;
 	/** What the whole task takes on the worker, ms. */
-	int64_t whole_ms;
+	int64_t duration_ms;
 };
 
 enum dff_command_type {
@@ -258,9 +258,9 @@
 	int64_t reclaims, preemptions, moves, start_failures, retries;
 	int64_t workers_up, workers_quarantined;
 	/** Spread of the workers' paces, as a deviation of logarithms of time. */
-	double pace_spread;
+	double duration_spread;
 	/** Tasks whose times are kept to tell. */
-	int64_t paces_kept;
+	int64_t duration_samples;
 	int64_t accelerators_total, accelerators_free;
 	/** Guaranteed shapes that no longer fit on the workers that are up. */
 	int64_t witnesses_missing;
--- a/include/fleet/config.h
+++ b/include/fleet/config.h
@@ -23,9 +23,9 @@
 	int32_t priority;
 	int32_t max_attempts;
 	/** Whether callers need no credential. */
-	bool open;
+	bool anonymous;
 	/** Whether only workers named by an adviser may run its tasks, which is not supported. */
-	bool needs_advice;
+	bool needs_recommendation;
 };
 
 struct dff_fleet_team {
@@ -40,7 +40,7 @@
 	int64_t version;
 	/** Services whose workers start whatever they are told to, with room for it or without.
 	 * Elements: struct dff_name. */
-	GArray *unguarded;
+	GArray *unenforced;
 	/** Elements: struct dff_fleet_class. */
 	GArray *classes;
 	/** Elements: struct dff_fleet_team. */
--- a/include/fleet/in_force.h
+++ b/include/fleet/in_force.h
@@ -23,7 +23,9 @@
 	int32_t bound_ms;
 	void (*config_changed) (void *ctx, const struct dff_fleet_config *config);
 	/** All data centres that are to be emptied now. */
-	void (*evacuated) (void *ctx, const struct dff_name *data_centres, size_t n_data_centres);
+	void (*evacuations_changed) (void *ctx,
+				     const struct dff_name *data_centres,
+				     size_t n_data_centres);
 	void *ctx;
 };
 
--- a/include/fleet/presence.h
+++ b/include/fleet/presence.h
@@ -18,7 +18,7 @@
 	const struct dff_clock *clock;
 	struct dff_metrics *metrics;
 	/** Name of this life of the process. */
-	struct dff_name life;
+	struct dff_name incarnation;
 	/** (nullable): the holder of this process. */
 	struct dff_holder *holder;
 };
@@ -34,7 +34,7 @@
 /** Answers those who ask on @http. */
 void dff_presence_serve (struct dff_presence *presence, struct evhttp *http);
 
-/** Asks the process at @address whether it is @instance: dff_holder_options.ask_presence, with the
+/** Asks the process at @address whether it is @instance: dff_holder_options.send_probe, with the
  * struct dff_presence as its context. */
 void dff_presence_ask (void *ctx,
 		       const struct dff_name *address,
--- a/include/fleet/relays.h
+++ b/include/fleet/relays.h
@@ -20,10 +20,10 @@
 	/** Calls that go straight to the worker. */
 	const struct dff_runner *direct;
 	/** Name of this life of the process. */
-	struct dff_name life;
+	struct dff_name incarnation;
 	struct dff_name address;
 	/** The connection to the process that decides has ended. */
-	void (*decider_lost) (void *ctx);
+	void (*holder_lost) (void *ctx);
 	void *ctx;
 };
 
@@ -37,10 +37,10 @@
 /** Returns: (transfer none): the workers, through relays where there are some. */
 const struct dff_runner *dff_fleet_relays_runner (struct dff_fleet_relays *relays);
 
-/** dff_holder_options.relay_follow, with the struct dff_fleet_relays as its context. */
+/** dff_holder_options.relay_connect, with the struct dff_fleet_relays as its context. */
 void dff_fleet_relays_follow (void *ctx, const struct dff_name *address, int32_t n_relays);
 
-/** dff_holder_options.relay_want, likewise. */
+/** dff_holder_options.relay_set_limit, likewise. */
 void dff_fleet_relays_want (void *ctx, int32_t n_relays);
 
 /** This process is about to stop: it carries no further calls. */
--- a/include/fleet/state_link.h
+++ b/include/fleet/state_link.h
@@ -19,9 +19,9 @@
 	const struct dff_clock *clock;
 	struct dff_metrics *metrics;
 	/** The process that decides has not answered, or does not decide any more. */
-	void (*decider_lost) (void *ctx);
+	void (*holder_lost) (void *ctx);
 	/** It names another one, which is asked from now on. */
-	void (*decider_moved) (void *ctx, const struct dff_name *address);
+	void (*holder_moved) (void *ctx, const struct dff_name *address);
 	void *ctx;
 };
 
--- a/include/front/front.h
+++ b/include/front/front.h
@@ -28,15 +28,15 @@
 	void *ctx;
 	/** (nullable): returns whether rows that are written now go through another process, which
 	 * the store may answer. */
-	bool (*writes_elsewhere) (void *ctx);
+	bool (*writes_forwarded) (void *ctx);
 	/** (nullable): asks the process that decides for a job's state on record. Returns: false
 	 * when there is none to ask, and @done is not called; else it is, once and never before
 	 * the call returns. */
-	bool (*ask_state) (void *ctx,
-			   const struct dff_name *job,
-			   dff_front_state_func done,
-			   void *user);
-	void *ask_ctx;
+	bool (*query_state) (void *ctx,
+			     const struct dff_name *job,
+			     dff_front_state_func done,
+			     void *user);
+	void *query_ctx;
 };
 
 struct dff_front *dff_front_new (const struct dff_front_options *options);
--- a/include/front/intake.h
+++ b/include/front/intake.h
@@ -35,11 +35,11 @@
 
 /** What became of a row that was handed on. */
 struct dff_intake_forwarded {
-	enum dff_intake_receiver receiver;
+	enum dff_intake_receiver delivery;
 	/** NOT_DONE where a process was misdirected to, or surely never reached. */
 	enum dff_rows_outcome outcome;
 	/** Who decides, as the receiver knows; empty: it does not. */
-	struct dff_name decider;
+	struct dff_name holder;
 };
 
 /** @forwarded: valid in the callback only. */
@@ -52,11 +52,11 @@
 	struct dff_metrics *metrics;
 	/** Rows go through the process that decides when the store's answers take so long, ms; 0:
 	 * always. */
-	int32_t together_from_ms;
+	int32_t forward_min_latency_ms;
 	/** (nullable): returns whether the store does not answer this process. */
 	bool (*store_is_silent) (void *ctx);
 	/** Returns: how long the store's answers take now, ms. */
-	int64_t (*store_took_ms) (void *ctx);
+	int64_t (*store_latency_ms) (void *ctx);
 	void *store_ctx;
 	/** Hands a row to the process at @address, which passes it to dff_intake_take(): DONE,
 	 * CONFLICT, NOT_DONE or UNKNOWN. @done is called once, never before the call returns. */
@@ -76,10 +76,10 @@
 	void *record_ctx;
 	/** (nullable): the process that gathers rows could not be reached, or does not decide any
 	 * more. */
-	void (*gatherer_lost) (void *ctx);
+	void (*holder_lost) (void *ctx);
 	/** (nullable): it names another one, which is asked from now on. */
-	void (*gatherer_moved) (void *ctx, const struct dff_name *address);
-	void *gatherer_ctx;
+	void (*holder_moved) (void *ctx, const struct dff_name *address);
+	void *holder_ctx;
 };
 
 struct dff_intake *dff_intake_new (const struct dff_intake_options *options);
--- a/include/graph/progress.h
+++ b/include/graph/progress.h
@@ -63,7 +63,7 @@
 	/** What counts against it for workers that ended while they ran it, in points. */
 	int32_t blame;
 	/** Of @blame, for those that ended as they started it. */
-	int32_t fresh_blame;
+	int32_t startup_blame;
 	/** Worker of the open run. */
 	struct dff_name worker;
 	/** (nullable): what the last run saved last. */
@@ -75,7 +75,7 @@
 	GArray *tasks;
 	int32_t n_done;
 	/** Whether its units were handed out; not on record. */
-	bool offered;
+	bool units_taken;
 };
 
 struct dff_progress {
--- a/include/holder/holder.h
+++ b/include/holder/holder.h
@@ -36,13 +36,13 @@
 /** What a process asks of the one that holds the cell, besides its name. */
 struct dff_holder_question {
 	/** To let go of the cell if it cannot record anything. */
-	bool yield;
+	bool release_if_unwritable;
 	/** To hand the cell over to the asker, which takes so long to take over, ms, if this one
 	 * takes much longer; 0: not asked for. */
-	int64_t takeover_ms;
+	int64_t asker_takeover_ms;
 	/** The asker has taken the cell with this epoch, and is asked for its name there; empty: it
 	 * has not. */
-	struct dff_name decider;
+	struct dff_name new_holder;
 	int64_t epoch;
 };
 
@@ -58,32 +58,32 @@
 	/** Reads a row of DFF_TABLE_UPSTREAMS. Returns: false when it is none. */
 	bool (*read_upstream) (const struct dff_row *row, struct dff_upstream *upstream);
 	/** Where other processes may ask this one for its name. */
-	struct dff_name presence_address;
+	struct dff_name probe_address;
 	/** Where processes connect that carry calls to workers for this one while it decides, and
 	 * the calls of which it is told here; all empty where there is no such thing. */
 	struct dff_name relay_address;
 	/** Another process decides, and takes so many relays at @address; 0 and an empty address:
 	 * none does, or this one. */
-	void (*relay_follow) (void *ctx, const struct dff_name *address, int32_t n_relays);
+	void (*relay_connect) (void *ctx, const struct dff_name *address, int32_t n_relays);
 	/** Tells where the process that decides is asked for its name: @self: it is this one; else
 	 * an empty @address: it is not known. */
-	void (*note_holder) (void *ctx, const struct dff_name *address, bool self);
-	void *note_ctx;
+	void (*holder_changed) (void *ctx, const struct dff_name *address, bool self);
+	void *holder_ctx;
 	/** Workers from which on calls to them go through relays. */
-	int32_t relays_from_workers;
+	int32_t relay_min_workers;
 	/** This process decides and is served best by so many relays; 0: it does not, or by none.
 	 */
-	void (*relay_want) (void *ctx, int32_t n_relays);
+	void (*relay_set_limit) (void *ctx, int32_t n_relays);
 	void *relay_ctx;
 	/** Asks the process at @address whether it is @instance, and what @question says; @done
 	 * is called once, never before the call returns. */
-	void (*ask_presence) (void *ctx,
-			      const struct dff_name *address,
-			      const struct dff_name *instance,
-			      const struct dff_holder_question *question,
-			      dff_holder_presence_func done,
-			      void *user);
-	void *presence_ctx;
+	void (*send_probe) (void *ctx,
+			    const struct dff_name *address,
+			    const struct dff_name *instance,
+			    const struct dff_holder_question *question,
+			    dff_holder_presence_func done,
+			    void *user);
+	void *probe_ctx;
 	/** Returns: when the latest call to the store was begun that has been served. */
 	int64_t (*store_served_ms) (void *ctx);
 	void *store_ctx;
@@ -103,11 +103,11 @@
 	/** Longest wait of a gang's members for each other at a worker, ms. */
 	int32_t gang_wait_ms;
 	/** Workers from which on only changes of their list are read. */
-	guint long_list;
+	guint feed_min_workers;
 	/** How long what has ended can be asked for, ms. */
 	int64_t retention_ms;
 	/** How long tasks wait for room near their data, ms. */
-	int64_t data_wait_ms;
+	int64_t locality_wait_ms;
 	/** How long a gang bound to a rack waits for one before it spreads, ms; 0: for ever. */
 	int64_t rack_wait_ms;
 };
--- a/include/peer/peer.h
+++ b/include/peer/peer.h
@@ -48,9 +48,9 @@
 	int64_t holder_epoch;
 	/** Drawn when it started, 1 to DFF_MEMBER_START_MAX: another process of the same name has
 	 * another one; 0: not known. */
-	uint32_t start;
+	uint32_t start_id;
 	bool ready;
-	int64_t heard_ms;
+	int64_t heartbeat_received_ms;
 };
 
 /** A share of one worker's request slots, usable until it expires. */
@@ -75,7 +75,7 @@
 	/** A peer wants to know when a job ends. */
 	void (*job_watch) (void *ctx, const struct dff_name *watcher, const struct dff_name *job);
 	/** A watcher's sighting, for the holder. */
-	void (*sighting) (void *ctx, const struct dff_worker_sighting *sighting);
+	void (*worker_report) (void *ctx, const struct dff_worker_sighting *sighting);
 	/** This process's grants were replaced as a whole. */
 	void (*grants_received) (void *ctx,
 				 int64_t epoch,
--- a/include/pool/pool.h
+++ b/include/pool/pool.h
@@ -55,7 +55,7 @@
 	int32_t request_slots;
 	/** Whether they are set aside, so that no job gets them; else requests get what jobs leave.
 	 */
-	bool sets_aside;
+	bool dedicated_request_slots;
 	/** Longest time a short request may take, ms. */
 	int32_t request_timeout_ms;
 };
--- a/include/record/recorder.h
+++ b/include/record/recorder.h
@@ -79,7 +79,7 @@
 	size_t n_writes;
 	/** Somebody waits for it: not sent when it has waited this long, and refused at once while
 	 * the breaker is open, both NOT_DONE; 0: waits as long as it takes, ms. */
-	int32_t give_up_ms;
+	int32_t queue_timeout_ms;
 };
 
 /**
--- a/include/relay/relay.h
+++ b/include/relay/relay.h
@@ -24,7 +24,7 @@
 	struct dff_name name;
 	/** (nullable): nothing was heard of the process that decides for a while; told again and
 	 * again. */
-	void (*silent) (void *ctx);
+	void (*holder_silent) (void *ctx);
 	void *ctx;
 };
 
--- a/include/rows/follower.h
+++ b/include/rows/follower.h
@@ -18,10 +18,10 @@
 	void (*row) (void *ctx, const struct dff_row *row);
 	/** (nullable): the table is going to be read whole, once more if the store has dropped its
 	 * history. */
-	void (*begin) (void *ctx);
+	void (*begin_snapshot) (void *ctx);
 	/** (nullable): the table was read whole; rows not reported since the reading began are
 	 * gone. */
-	void (*whole) (void *ctx);
+	void (*end_snapshot) (void *ctx);
 	void *ctx;
 };
 
@@ -32,8 +32,8 @@
 	/** How long the store may hold an answer back, ms: also how old the knowledge may be. */
 	int32_t wait_ms;
 	/** Time beyond @wait_ms after which a call is given up, ms. */
-	int32_t patience_ms;
-	/** Timeout of the first page while the table is read whole, ms; 0: @patience_ms. */
+	int32_t timeout_margin_ms;
+	/** Timeout of the first page while the table is read whole, ms; 0: @timeout_margin_ms. */
 	int32_t page_timeout_ms;
 	struct dff_follower_sink sink;
 };
--- a/include/rows/health.h
+++ b/include/rows/health.h
@@ -24,8 +24,8 @@
 	const char *probe_table;
 	const char *probe_key;
 	/** (nullable): a silent store answers again. */
-	void (*heard) (void *ctx);
-	void *heard_ctx;
+	void (*recovered) (void *ctx);
+	void *recovered_ctx;
 };
 
 /** Returns: (transfer full): a store in front of another; @options is copied. */
--- a/include/rows/reading.h
+++ b/include/rows/reading.h
@@ -25,13 +25,13 @@
 };
 
 /** What a reading reports to. Each is called from the loop; none may free the reading but
- * @whole. */
+ * @done. */
 struct dff_reading_sink {
 	void (*row) (void *ctx, const struct dff_row *row);
 	/** (nullable): a page was answered, or was not; the call began at @begun_ms. Before its
 	 * rows. */
 	void (*page) (void *ctx, const struct dff_rows_result *result, int64_t begun_ms);
-	void (*whole) (void *ctx, const struct dff_reading_end *end);
+	void (*done) (void *ctx, const struct dff_reading_end *end);
 	void *ctx;
 };
 
--- a/include/standin/memory_runner.h
+++ b/include/standin/memory_runner.h
@@ -20,7 +20,7 @@
 	int32_t accelerators;
 	/** Runs up to this number fail half-way. */
 	int32_t failing_runs;
-	bool saves;
+	bool checkpoints;
 	/** Whether its runs crash their workers, and how long after their starts, ms. */
 	bool crashes;
 	int32_t crashes_after_ms;
@@ -38,7 +38,7 @@
 	/** Failed runs of a task after which it must not be started again. */
 	int32_t max_attempts;
 	/** Workers start what they are told to, whether or not there is room for it. */
-	bool unguarded;
+	bool unenforced;
 	/** (nullable): told when a task has crashed its worker, whose life is over. */
 	void (*crashed) (void *ctx, const char *id);
 };
@@ -46,9 +46,9 @@
 /** Faults of one worker, changed at any time. */
 struct dff_memory_worker_faults {
 	/** Calls do not arrive. */
-	bool cut;
+	bool drops_calls;
 	/** Calls arrive, answers do not. */
-	bool mute;
+	bool drops_answers;
 	/** Lists are so late, ms. */
 	int32_t answer_ms;
 	/** Tasks stand still. */
@@ -58,13 +58,13 @@
 	/** All tasks fail at once. */
 	bool fails;
 	/** Its lists do not tell when it started. */
-	bool hides_birth;
+	bool hides_start;
 	/** So many of the next orders have no answer and are carried out later. */
 	int32_t late_orders;
 	int32_t late_ms;
 	/** Starts that arrive from then on and are not late ones must not be carried out; 0: they
 	 * may. */
-	int64_t closed_from_ms;
+	int64_t no_starts_from_ms;
 };
 
 struct dff_memory_runner *dff_memory_runner_new (const struct dff_memory_runner_options *options);
--- a/include/upstream/life.h
+++ b/include/upstream/life.h
@@ -18,7 +18,7 @@
 struct dff_life {
 	struct dff_name id;
 	/** When it started, ms since 1970, by the worker's time of day. */
-	int64_t born_ms;
+	int64_t started_ms;
 };
 
 enum dff_life_order {
--- a/include/upstream/runner.h
+++ b/include/upstream/runner.h
@@ -21,7 +21,7 @@
 
 /** What a worker says of itself. */
 struct dff_upstream {
-	struct dff_life life;
+	struct dff_life incarnation;
 	/** "IP:PORT". */
 	struct dff_name address;
 	struct dff_name service;
@@ -123,7 +123,7 @@
 	/** The worker's clock when it answered; 0: not said. */
 	int64_t clock_ms;
 	/** When the life that answered started, as in struct dff_life. */
-	int64_t born_ms;
+	int64_t started_ms;
 	/** Of a watch: everything that runs, and every end that is not acknowledged, in order. */
 	const struct dff_run_open *running;
 	size_t n_running;
--- a/include/upstream/watcher.h
+++ b/include/upstream/watcher.h
@@ -37,14 +37,14 @@
 	/** Until a renewal that failed is tried again, ms. */
 	int32_t retry_ms;
 	/** Until a change is told once more, ms. */
-	int32_t retell_ms;
+	int32_t report_repeat_ms;
 	/** Lease of tasks; at least three times @interval_ms. */
 	int32_t lease_ms;
 	/** Renewals that fail in a row until a worker is told to be unreachable. */
 	int32_t failures_unreachable;
 	/** Takes a sighting, borrowed for the call. A long list of reports comes in pieces, none of
 	 * which is whole. */
-	void (*sighted) (void *ctx, const struct dff_worker_sighting *sighting);
+	void (*report) (void *ctx, const struct dff_worker_sighting *sighting);
 	void *ctx;
 };
 
--- a/include/upstream/worker_client.h
+++ b/include/upstream/worker_client.h
@@ -84,7 +84,7 @@
 	/** Changes when the worker starts anew: its tasks, tombstones and sequence are gone. */
 	int64_t incarnation;
 	/** The worker's monotonic clock when it answered, ms; 0: unknown. */
-	int64_t worker_ms;
+	int64_t clock_ms;
 };
 
 typedef void (*dff_worker_func) (void *user, const struct dff_worker_result *result);
--- a/peer/membership.c
+++ b/peer/membership.c
@@ -23,7 +23,7 @@
 	membership->options = *options;
 	membership->table = dff_member_table_new (&options->self);
 	membership->random = g_rand_new_with_seed ((guint32)(options->seed ^ options->seed >> 32));
-	membership->table->self->known.start =
+	membership->table->self->known.start_id =
 		(uint32_t)g_rand_int_range (membership->random, 1, DFF_MEMBER_START_MAX + 1);
 	membership->last_tick_ms = dff_clock_now_ms (options->clock);
 	membership->last_heartbeat_ms = DFF_TIME_NEVER;
@@ -66,7 +66,7 @@
 			 struct dff_member_entry *entry,
 			 enum dff_life life)
 {
-	if (entry->known.life == life)
+	if (entry->known.liveness == life)
 		return;
 	if (life == DFF_LIFE_SUSPECT)
 		*membership->n_suspected += 1;
@@ -77,7 +77,7 @@
 		if (dff_membership_is_sampled (membership))
 			membership->announce = true;
 	}
-	entry->known.life = life;
+	entry->known.liveness = life;
 	entry->life_since_ms = now_of (membership);
 	membership->ring_changed = true;
 	dff_membership_relay (membership, entry);
@@ -92,7 +92,7 @@
 {
 	const struct dff_membership_options *options = &membership->options;
 	int64_t patience_ms = (int64_t)options->suspect_ms + options->dead_ms;
-	if (entry->known.life == DFF_LIFE_SUSPECT &&
+	if (entry->known.liveness == DFF_LIFE_SUSPECT &&
 	    now_ms - entry->life_since_ms > 2 * patience_ms)
 		dff_membership_set_life (membership, entry, DFF_LIFE_DEAD);
 	if (!entry->listed && now_ms - entry->heard_ms > UNOBSERVED_PATIENCE * patience_ms)
@@ -110,7 +110,7 @@
 		dff_membership_set_life (membership, entry, DFF_LIFE_DEAD);
 		return;
 	}
-	if (entry->known.life == DFF_LIFE_ALIVE)
+	if (entry->known.liveness == DFF_LIFE_ALIVE)
 		dff_membership_set_life (membership, entry, DFF_LIFE_SUSPECT);
 	else if (now_ms - entry->life_since_ms > options->dead_ms)
 		dff_membership_set_life (membership, entry, DFF_LIFE_DEAD);
@@ -122,7 +122,7 @@
 	const GPtrArray *entries = membership->table->entries;
 	for (guint i = 0; i < entries->len; i++) {
 		struct dff_member_entry *entry = entries->pdata[i];
-		if (entry == membership->table->self || entry->known.life == DFF_LIFE_DEAD)
+		if (entry == membership->table->self || entry->known.liveness == DFF_LIFE_DEAD)
 			continue;
 		if (entry->observed)
 			judge_observed (membership, entry, now_ms);
@@ -137,7 +137,7 @@
 	GPtrArray *entries = membership->table->entries;
 	for (guint i = entries->len; i > 0; i--) {
 		struct dff_member_entry *entry = entries->pdata[i - 1];
-		bool gone = !entry->listed && entry->known.life == DFF_LIFE_DEAD;
+		bool gone = !entry->listed && entry->known.liveness == DFF_LIFE_DEAD;
 		if (!gone || entry == membership->table->self || entry->relays_left > 0)
 			continue;
 		dff_membership_note_change (membership, entry);
--- a/peer/membership_merge.c
+++ b/peer/membership_merge.c
@@ -37,7 +37,7 @@
 	known->ready = report->ready;
 	known->pool_generation = report->pool_generation;
 	known->holder_epoch = report->holder_epoch;
-	known->start = report->start;
+	known->start_id = report->start_id;
 	if (relay)
 		dff_membership_relay (membership, entry);
 	if (differs)
@@ -68,7 +68,7 @@
 {
 	struct dff_member_report *self = &membership->table->self->known;
 	bool earlier_run = report_is_newer (report, self);
-	bool accused = report->life != DFF_LIFE_ALIVE;
+	bool accused = report->liveness != DFF_LIFE_ALIVE;
 	if (earlier_run || (accused && report->incarnation == self->incarnation))
 		raise_incarnation (membership, report);
 	/* Also one that accuses an incarnation that is over is answered: it has not heard of the
@@ -89,7 +89,7 @@
 	/* Only the member itself can end its death, by a higher incarnation: a sign of life that
 	 * was long on its way must not bring back one that is gone. */
 	bool same_incarnation = report->incarnation == entry->known.incarnation;
-	if (entry->known.life == DFF_LIFE_DEAD && same_incarnation)
+	if (entry->known.liveness == DFF_LIFE_DEAD && same_incarnation)
 		return;
 	entry->heard_ms = dff_clock_now_ms (membership->options.clock);
 	adopt_values (membership, entry, report);
@@ -132,7 +132,7 @@
 		dff_membership_correct (membership, entry, report);
 		return;
 	}
-	enum dff_life life = report->life;
+	enum dff_life life = report->liveness;
 	if (report_is_newer (known, report) && life == DFF_LIFE_SUSPECT)
 		return;
 	if (contradicts (membership, known, report))
@@ -141,7 +141,7 @@
 	bool outdated = report->incarnation > known->incarnation;
 	if (report_is_newer (report, known))
 		adopt_values (membership, entry, report);
-	if (outdated || life > known->life)
+	if (outdated || life > known->liveness)
 		dff_membership_set_life (membership, entry, life);
 }
 
@@ -155,7 +155,7 @@
 		return;
 	if (entry == membership->table->self)
 		merge_about_self (membership, sender, report);
-	else if (report->life != DFF_LIFE_ALIVE)
+	else if (report->liveness != DFF_LIFE_ALIVE)
 		merge_accusation (membership, entry, report);
 	else
 		merge_sign_of_life (membership, entry, report);
@@ -179,7 +179,7 @@
 	adopt_values (membership, entry, report);
 	dff_membership_set_life (membership, entry, DFF_LIFE_ALIVE);
 	/* It lives, but others still hold it for dead in this incarnation. */
-	if (before.life != DFF_LIFE_ALIVE && before.incarnation == report->incarnation)
+	if (before.liveness != DFF_LIFE_ALIVE && before.incarnation == report->incarnation)
 		dff_membership_correct (membership, entry, &before);
 }
 
@@ -191,7 +191,7 @@
 	if (entry == NULL || entry == membership->table->self)
 		return false;
 	merge_from_itself (membership, entry, heartbeat);
-	for (size_t i = 0; i < heartbeat->n_others; i++)
-		merge_report (membership, entry, &heartbeat->others[i]);
+	for (size_t i = 0; i < heartbeat->n_peers; i++)
+		merge_report (membership, entry, &heartbeat->peers[i]);
 	return true;
 }
--- a/peer/membership_query.c
+++ b/peer/membership_query.c
@@ -3,9 +3,9 @@
 static enum dff_member_state
 state_of (const struct dff_member_entry *entry)
 {
-	if (entry->known.life == DFF_LIFE_DEAD)
+	if (entry->known.liveness == DFF_LIFE_DEAD)
 		return DFF_MEMBER_DEAD;
-	if (entry->known.life == DFF_LIFE_SUSPECT)
+	if (entry->known.liveness == DFF_LIFE_SUSPECT)
 		return DFF_MEMBER_SUSPECT;
 	bool leaving = entry->known.leaving || entry->instance.leaving;
 	return leaving ? DFF_MEMBER_LEAVING : DFF_MEMBER_ALIVE;
@@ -22,12 +22,12 @@
 			.state = state_of (entry),
 			.pool_generation = entry->known.pool_generation,
 			.holder_epoch = entry->known.holder_epoch,
-			.start = entry->known.start,
+			.start_id = entry->known.start_id,
 			.ready = entry->known.ready,
-			.heard_ms = entry->heard_ms,
+			.heartbeat_received_ms = entry->heard_ms,
 		};
 		if (entry == membership->table->self)
-			member.heard_ms = dff_clock_now_ms (membership->options.clock);
+			member.heartbeat_received_ms = dff_clock_now_ms (membership->options.clock);
 		g_array_append_val (out, member);
 	}
 }
@@ -35,7 +35,7 @@
 uint32_t
 dff_membership_start (const struct dff_membership *membership)
 {
-	return membership->table->self->known.start;
+	return membership->table->self->known.start_id;
 }
 
 const struct dff_instance *
@@ -53,7 +53,7 @@
 	const GPtrArray *entries = membership->table->entries;
 	for (guint i = 0; i < entries->len; i++) {
 		const struct dff_member_entry *entry = entries->pdata[i];
-		if (entry->known.life == DFF_LIFE_DEAD || entry->known.holder_epoch <= *epoch)
+		if (entry->known.liveness == DFF_LIFE_DEAD || entry->known.holder_epoch <= *epoch)
 			continue;
 		if (!dff_name_equal (&entry->instance.region, &membership->options.self.region))
 			continue;
@@ -71,7 +71,7 @@
 	if (entry == NULL || entry->direct_ms == DFF_TIME_NEVER)
 		return heard;
 	heard.sent_ms = entry->sent_ms;
-	heard.start = entry->known.start;
+	heard.start = entry->known.start_id;
 	heard.age_ms = dff_clock_now_ms (membership->options.clock) - entry->direct_ms;
 	return heard;
 }
@@ -83,7 +83,7 @@
 	const GPtrArray *entries = membership->table->entries;
 	for (guint i = 0; i < entries->len; i++) {
 		const struct dff_member_entry *entry = entries->pdata[i];
-		if (entry->known.life != DFF_LIFE_DEAD)
+		if (entry->known.liveness != DFF_LIFE_DEAD)
 			newest = MAX (newest, entry->known.pool_generation);
 	}
 	return newest;
@@ -98,7 +98,7 @@
 	for (guint i = 0; i < entries->len; i++) {
 		const struct dff_member_entry *entry = entries->pdata[i];
 		bool has = entry->known.pool_generation >= generation &&
-			   entry->known.life != DFF_LIFE_DEAD;
+			   entry->known.liveness != DFF_LIFE_DEAD;
 		if (!has || entry == membership->table->self)
 			continue;
 		n_seen++;
--- a/peer/membership_send.c
+++ b/peer/membership_send.c
@@ -53,7 +53,7 @@
 		return;
 	entry->replied_ms = now_ms;
 	*membership->n_corrected += 1;
-	struct dff_heartbeat heartbeat = {.others = about_it, .n_others = 1};
+	struct dff_heartbeat heartbeat = {.peers = about_it, .n_peers = 1};
 	fill_heartbeat (membership, &heartbeat);
 	membership->options.send (membership->options.ctx, &entry->instance, &heartbeat);
 }
@@ -121,7 +121,7 @@
 		const struct dff_member_entry *entry = chosen->pdata[i];
 		others[i] = entry->known;
 	}
-	struct dff_heartbeat heartbeat = {.others = others, .n_others = chosen->len};
+	struct dff_heartbeat heartbeat = {.peers = others, .n_peers = chosen->len};
 	fill_heartbeat (membership, &heartbeat);
 	membership->options.send (membership->options.ctx, &target->instance, &heartbeat);
 }
@@ -163,7 +163,7 @@
 	for (guint tries = 0; tries < entries->len; tries++) {
 		membership->dead_cursor = (membership->dead_cursor + 1) % entries->len;
 		struct dff_member_entry *entry = entries->pdata[membership->dead_cursor];
-		if (entry->known.life != DFF_LIFE_DEAD)
+		if (entry->known.liveness != DFF_LIFE_DEAD)
 			continue;
 		add_target (membership, targets, &entry->instance.id);
 		return;
@@ -197,7 +197,7 @@
 static bool
 is_to_be_asked (const struct dff_membership *membership, const struct dff_member_entry *entry)
 {
-	if (entry->known.life != DFF_LIFE_SUSPECT)
+	if (entry->known.liveness != DFF_LIFE_SUSPECT)
 		return false;
 	const struct dff_membership_options *options = &membership->options;
 	int64_t judgement_ms = (int64_t)options->suspect_ms + options->dead_ms;
--- a/peer/message.h
+++ b/peer/message.h
@@ -35,21 +35,21 @@
 	uint64_t incarnation;
 	/** Heartbeats that the member has sent in this incarnation or an earlier one. */
 	uint64_t sequence;
-	enum dff_life life;
+	enum dff_life liveness;
 	bool leaving;
 	bool ready;
 	int64_t pool_generation;
 	int64_t holder_epoch;
 	/** Drawn by the member when it started; 0: not known. */
-	uint32_t start;
+	uint32_t start_id;
 };
 
 struct dff_heartbeat {
 	struct dff_member_report self;
 	/** The sender's monotonic clock. */
 	int64_t sent_ms;
-	const struct dff_member_report *others;
-	size_t n_others;
+	const struct dff_member_report *peers;
+	size_t n_peers;
 };
 
 struct dff_pool_file {
@@ -70,9 +70,9 @@
 	uint64_t sequence;
 	int32_t valid_ms;
 	/** The receiver's own clock, as in the last heartbeat that the holder has from it. */
-	int64_t heard_sent_ms;
+	int64_t heartbeat_sent_ms;
 	/** Time from that heartbeat's arrival to this set's sending. */
-	int64_t heard_age_ms;
+	int64_t heartbeat_age_ms;
 	const struct dff_grant *grants;
 	size_t n_grants;
 	/** No grants: the set that the receiver has goes on if it has @digest. */
@@ -102,7 +102,7 @@
 		/** Job of a hint or watch. */
 		struct dff_name job;
 		struct dff_job_end job_ended;
-		struct dff_worker_sighting sighting;
+		struct dff_worker_sighting worker_report;
 		struct dff_grant_set grants;
 	};
 	/** Decoded messages: owns what the members above point to. */
--- a/peer/message_decode.c
+++ b/peer/message_decode.c
@@ -34,12 +34,12 @@
 		return false;
 	report->incarnation = wire->incarnation;
 	report->sequence = wire->sequence;
-	report->life = (enum dff_life)wire->life;
+	report->liveness = (enum dff_life)wire->life;
 	report->leaving = wire->leaving;
 	report->ready = wire->ready;
 	report->pool_generation = wire->pool_generation;
 	report->holder_epoch = wire->holder_epoch;
-	report->start = wire->start;
+	report->start_id = wire->start;
 	return true;
 }
 
@@ -60,8 +60,8 @@
 			return false;
 	}
 	heartbeat->sent_ms = wire->sent_ms;
-	heartbeat->others = others;
-	heartbeat->n_others = wire->n_others;
+	heartbeat->peers = others;
+	heartbeat->n_peers = wire->n_others;
 	return true;
 }
 
@@ -129,7 +129,7 @@
 static bool
 decode_sighting (const Dff__Peer__Sighting *wire, struct dff_message *message)
 {
-	struct dff_worker_sighting *sighting = &message->sighting;
+	struct dff_worker_sighting *sighting = &message->worker_report;
 	if (wire->n_reports > DFF_MESSAGE_ELEMENTS_MAX || wire->silent_ms < 0)
 		return false;
 	if (!name_from_wire (&wire->worker, &sighting->worker))
@@ -143,7 +143,7 @@
 	sighting->reachable = wire->reachable;
 	sighting->leaving = wire->leaving;
 	sighting->silent_ms = wire->silent_ms;
-	sighting->whole = wire->whole;
+	sighting->complete = wire->whole;
 	sighting->reports = reports;
 	sighting->n_reports = wire->n_reports;
 	return true;
@@ -183,8 +183,8 @@
 	set->epoch = wire->epoch;
 	set->sequence = wire->sequence;
 	set->valid_ms = wire->valid_ms;
-	set->heard_sent_ms = wire->heard_sent_ms;
-	set->heard_age_ms = wire->heard_age_ms;
+	set->heartbeat_sent_ms = wire->heard_sent_ms;
+	set->heartbeat_age_ms = wire->heard_age_ms;
 	set->grants = grants;
 	set->n_grants = wire->n_grants;
 	return true;
--- a/peer/message_encode.c
+++ b/peer/message_encode.c
@@ -27,12 +27,12 @@
 	wire->id = bytes_of (&report->id);
 	wire->incarnation = report->incarnation;
 	wire->sequence = report->sequence;
-	wire->life = (Dff__Peer__Life)report->life;
+	wire->life = (Dff__Peer__Life)report->liveness;
 	wire->leaving = report->leaving;
 	wire->ready = report->ready;
 	wire->pool_generation = report->pool_generation;
 	wire->holder_epoch = report->holder_epoch;
-	wire->start = report->start;
+	wire->start = report->start_id;
 }
 
 static GByteArray *
@@ -45,10 +45,10 @@
 	member_to_wire (&heartbeat->self, &self);
 	wire.self = &self;
 	wire.sent_ms = heartbeat->sent_ms;
-	wire.n_others = MIN (heartbeat->n_others, (size_t)DFF_HEARTBEAT_OTHERS_MAX);
+	wire.n_others = MIN (heartbeat->n_peers, (size_t)DFF_HEARTBEAT_OTHERS_MAX);
 	wire.others = pointers;
 	for (size_t i = 0; i < wire.n_others; i++) {
-		member_to_wire (&heartbeat->others[i], &others[i]);
+		member_to_wire (&heartbeat->peers[i], &others[i]);
 		pointers[i] = &others[i];
 	}
 	envelope.body_case = DFF__PEER__ENVELOPE__BODY_HEARTBEAT;
@@ -135,7 +135,7 @@
 	wire.reachable = sighting->reachable;
 	wire.leaving = sighting->leaving;
 	wire.silent_ms = sighting->silent_ms;
-	wire.whole = sighting->whole && n == sighting->n_reports;
+	wire.whole = sighting->complete && n == sighting->n_reports;
 	wire.n_reports = n;
 	wire.reports = pointers;
 	envelope.body_case = DFF__PEER__ENVELOPE__BODY_SIGHTING;
@@ -159,8 +159,8 @@
 	wire.epoch = set->epoch;
 	wire.sequence = set->sequence;
 	wire.valid_ms = set->valid_ms;
-	wire.heard_sent_ms = set->heard_sent_ms;
-	wire.heard_age_ms = set->heard_age_ms;
+	wire.heard_sent_ms = set->heartbeat_sent_ms;
+	wire.heard_age_ms = set->heartbeat_age_ms;
 	wire.n_grants = n;
 	wire.grants = pointers;
 	if (set->is_renewal) {
@@ -191,7 +191,7 @@
 	case DFF_MESSAGE_JOB_ENDED:
 		return encode_job_ended (envelope, &message->job_ended);
 	case DFF_MESSAGE_SIGHTING:
-		return encode_sighting (envelope, &message->sighting);
+		return encode_sighting (envelope, &message->worker_report);
 	case DFF_MESSAGE_GRANTS:
 		return encode_grants (envelope, &message->grants);
 	}
--- a/peer/peer.c
+++ b/peer/peer.c
@@ -141,9 +141,10 @@
 remaining_ms (const struct dff_peer *peer, const struct dff_grant_set *set)
 {
 	int64_t now_ms = dff_peer_now_ms (peer);
-	if (set->heard_sent_ms <= 0 || set->heard_sent_ms > now_ms || set->heard_age_ms > now_ms)
+	if (set->heartbeat_sent_ms <= 0 || set->heartbeat_sent_ms > now_ms ||
+	    set->heartbeat_age_ms > now_ms)
 		return 0;
-	int64_t elapsed_ms = now_ms - (set->heard_sent_ms + set->heard_age_ms);
+	int64_t elapsed_ms = now_ms - (set->heartbeat_sent_ms + set->heartbeat_age_ms);
 	return MIN (set->valid_ms - elapsed_ms, set->valid_ms);
 }
 
@@ -214,7 +215,7 @@
 				      message->job_ended.outcome);
 		break;
 	case DFF_MESSAGE_SIGHTING:
-		callbacks->sighting (callbacks->ctx, &message->sighting);
+		callbacks->worker_report (callbacks->ctx, &message->worker_report);
 		break;
 	case DFF_MESSAGE_GRANTS:
 		take_grants (peer, &message->grants, remaining_ms (peer, &message->grants));
@@ -326,11 +327,11 @@
 static void
 tell_leaving (struct dff_peer *peer, const struct dff_worker_sighting *sighting)
 {
-	struct dff_message message = {.kind = DFF_MESSAGE_SIGHTING, .sighting = *sighting};
+	struct dff_message message = {.kind = DFF_MESSAGE_SIGHTING, .worker_report = *sighting};
 	message.sender = peer->options.self.id;
-	message.sighting.reports = NULL;
-	message.sighting.n_reports = 0;
-	message.sighting.whole = false;
+	message.worker_report.reports = NULL;
+	message.worker_report.n_reports = 0;
+	message.worker_report.complete = false;
 	const GArray *members = dff_peer_members (peer);
 	for (guint i = 0; i < members->len; i++) {
 		const struct dff_member *member = &g_array_index (members, struct dff_member, i);
@@ -346,7 +347,7 @@
 void
 dff_peer_send_sighting (struct dff_peer *peer, const struct dff_worker_sighting *sighting)
 {
-	struct dff_message message = {.kind = DFF_MESSAGE_SIGHTING, .sighting = *sighting};
+	struct dff_message message = {.kind = DFF_MESSAGE_SIGHTING, .worker_report = *sighting};
 	dff_notices_send (peer, &message);
 	if (sighting->leaving)
 		tell_leaving (peer, sighting);
@@ -394,8 +395,8 @@
 	/* Never heard: the receiver could not tell how old the grants are. */
 	if (instance == NULL || heard.sent_ms == 0)
 		return;
-	set->heard_sent_ms = heard.sent_ms;
-	set->heard_age_ms = heard.age_ms;
+	set->heartbeat_sent_ms = heard.sent_ms;
+	set->heartbeat_age_ms = heard.age_ms;
 	set->digest = dff_grant_digest (set->grants, set->n_grants);
 	set->is_renewal = !dff_grants_sent_count (&peer->grants_sent, member, epoch, heard.start,
 						  &set->digest);
--- a/pool/entries.c
+++ b/pool/entries.c
@@ -195,7 +195,7 @@
 		dff_pool_reader_array (reader, value, "teams", false, read_name_element,
 				       service.teams);
 		dff_pool_reader_int (reader, value, &slots, &service.request_slots);
-		service.sets_aside = json_object_get (value, slots.key) != NULL;
+		service.dedicated_request_slots = json_object_get (value, slots.key) != NULL;
 		dff_pool_reader_int (reader, value, &timeout, &service.request_timeout_ms);
 	}
 	g_array_append_val (pool->services, service);
--- a/pool/pool.c
+++ b/pool/pool.c
@@ -170,7 +170,7 @@
 	for (guint i = 0; i < pool->services->len; i++) {
 		const struct dff_service *service =
 			&g_array_index (pool->services, struct dff_service, i);
-		if (service->sets_aside || !only_set_aside)
+		if (service->dedicated_request_slots || !only_set_aside)
 			slots += service->request_slots;
 	}
 	return (int32_t)MIN (slots, rack->per_worker.slots / 2);
--- a/record/group.c
+++ b/record/group.c
@@ -29,8 +29,8 @@
 	unit->txn = dff_table_txn_copy (&txn);
 	unit->queued_ms = now_ms;
 	unit->n_bytes = count_bytes (unit->txn);
-	unit->has_give_up = write->give_up_ms > 0;
-	unit->give_up_at_ms = unit->has_give_up ? now_ms + write->give_up_ms : INT64_MAX;
+	unit->has_give_up = write->queue_timeout_ms > 0;
+	unit->give_up_at_ms = unit->has_give_up ? now_ms + write->queue_timeout_ms : INT64_MAX;
 	unit->done = done;
 	unit->user = user;
 	return unit;
--- a/relay/message.c
+++ b/relay/message.c
@@ -177,7 +177,7 @@
 	answer->id = id;
 	answer->outcome = result->outcome;
 	answer->clock_ms = result->clock_ms;
-	answer->born_ms = result->born_ms;
+	answer->born_ms = result->started_ms;
 	if (result->n_running > 0)
 		add_running (batch, answer, result);
 	if (result->n_ended > 0)
@@ -287,7 +287,7 @@
 	struct dff_runner_result result = {
 		.outcome = known ? (enum dff_runner_outcome)answer->outcome : DFF_RUNNER_UNKNOWN,
 		.clock_ms = answer->clock_ms,
-		.born_ms = answer->born_ms,
+		.started_ms = answer->born_ms,
 		.running = running,
 		.n_running = answer->n_running,
 		.ended = ended,
--- a/relay/relay.c
+++ b/relay/relay.c
@@ -63,8 +63,8 @@
 	if (!relay->connected)
 		return;
 	send_batch (relay);
-	if (now_ms (relay) - relay->heard_ms >= SILENT_MS && relay->options.silent != NULL)
-		relay->options.silent (relay->options.ctx);
+	if (now_ms (relay) - relay->heard_ms >= SILENT_MS && relay->options.holder_silent != NULL)
+		relay->options.holder_silent (relay->options.ctx);
 }
 
 static void
--- a/rows/follower.c
+++ b/rows/follower.c
@@ -114,8 +114,8 @@
 	struct dff_follower *follower = ctx;
 	follower->revision = end->revision;
 	follower->ready = true;
-	if (follower->options.sink.whole != NULL)
-		follower->options.sink.whole (follower->options.sink.ctx);
+	if (follower->options.sink.end_snapshot != NULL)
+		follower->options.sink.end_snapshot (follower->options.sink.ctx);
 	follow (follower);
 }
 
@@ -149,15 +149,15 @@
 {
 	const struct dff_follower_options *options = &follower->options;
 	if (follower->revision == 0) {
-		if (options->sink.begin != NULL)
-			options->sink.begin (options->sink.ctx);
+		if (options->sink.begin_snapshot != NULL)
+			options->sink.begin_snapshot (options->sink.ctx);
 		dff_reading_start (follower->reading);
 		return;
 	}
 	struct dff_rows_feed feed = {.table = options->table,
 				     .after = follower->revision,
 				     .wait_ms = options->wait_ms,
-				     .timeout_ms = options->wait_ms + options->patience_ms};
+				     .timeout_ms = options->wait_ms + options->timeout_margin_ms};
 	options->rows->feed (options->rows->ctx, &feed, handle_changes, call_begin (follower));
 }
 
@@ -200,10 +200,10 @@
 		.rows = options->rows,
 		.table = options->table,
 		.timeout_ms = options->page_timeout_ms > 0 ? options->page_timeout_ms
-							   : options->patience_ms,
+							   : options->timeout_margin_ms,
 		.sink = {.row = handle_row,
 			 .page = handle_page,
-			 .whole = handle_whole,
+			 .done = handle_whole,
 			 .ctx = follower},
 	};
 	follower->reading = dff_reading_new (&reading);
--- a/rows/health.c
+++ b/rows/health.c
@@ -58,8 +58,8 @@
 		schedule_probe (health);
 	else
 		dff_timer_stop (health->probe);
-	if (!silent && health->options.heard != NULL)
-		health->options.heard (health->options.heard_ctx);
+	if (!silent && health->options.recovered != NULL)
+		health->options.recovered (health->options.recovered_ctx);
 	dff_log (DFF_LOG_RECORD, silent ? DFF_LOG_WARNING : DFF_LOG_INFO,
 		 "%s calls=%u unanswered_ms=%" PRId64,
 		 silent ? "Store does not answer." : "Store answers again.",
--- a/rows/reading.c
+++ b/rows/reading.c
@@ -68,7 +68,7 @@
 			 reading->options.table, end->n_rows, end->n_pages, end->n_failed,
 			 end->took_ms, end->revision);
 	}
-	reading->options.sink.whole (reading->options.sink.ctx, end);
+	reading->options.sink.done (reading->options.sink.ctx, end);
 }
 
 static void
--- a/standin/memory_runner.c
+++ b/standin/memory_runner.c
@@ -107,7 +107,7 @@
 list_run (struct lists *lists, const struct run *run)
 {
 	const char *task = keep_text (lists, g_strndup (run->task.data, run->task.len));
-	bool saved = run->what.saves && run->done_ms > 0;
+	bool saved = run->what.checkpoints && run->done_ms > 0;
 	const char *checkpoint = keep_text (
 		lists, saved ? g_strdup_printf ("%" G_GINT64_FORMAT, run->done_ms) : g_strdup (""));
 	struct dff_run_open open = {
@@ -150,7 +150,7 @@
 	lists->result = (struct dff_runner_result){
 		.outcome = call->outcome,
 		.clock_ms = memory_worker_clock_ms (worker),
-		.born_ms = worker->faults.hides_birth ? DFF_BORN_UNTOLD : worker->born_ms,
+		.started_ms = worker->faults.hides_start ? DFF_BORN_UNTOLD : worker->born_ms,
 		.running = (const struct dff_run_open *)(void *)lists->running->data,
 		.n_running = lists->running->len,
 		.ended = (const struct dff_run_ended *)(void *)lists->ended->data,
@@ -169,7 +169,7 @@
 	struct call *call = user;
 	const struct worker *worker = call->worker;
 	int64_t now_ms = memory_runner_now_ms (call->client->runner);
-	if (worker->dead || worker->faults.cut || worker->faults.mute) {
+	if (worker->dead || worker->faults.drops_calls || worker->faults.drops_answers) {
 		dff_virtual_loop_after (call->client->runner->options.loop,
 					MAX (call->timeout_ms - now_ms, 0), end_unanswered, call);
 		return;
@@ -220,7 +220,7 @@
 	const struct dff_name *address =
 		call->kind == DFF_CALL_WATCH ? &call->watch.address : &call->order.address;
 	call->worker = find_by_address (runner, address);
-	if (call->worker == NULL || call->worker->dead || call->worker->faults.cut ||
+	if (call->worker == NULL || call->worker->dead || call->worker->faults.drops_calls ||
 	    g_hash_table_contains (call->client->unreached, call->worker->id)) {
 		dff_virtual_loop_after (runner->options.loop, MAX (call->timeout_ms - now_ms, 0),
 					end_unanswered, call);
--- a/standin/memory_runner_work.c
+++ b/standin/memory_runner_work.c
@@ -69,7 +69,7 @@
 			  .run = run->run,
 			  .end = how,
 			  .at_ms = memory_runner_now_ms (worker->runner)};
-	if (run->what.saves && run->done_ms > 0)
+	if (run->what.checkpoints && run->done_ms > 0)
 		g_snprintf (end.checkpoint, sizeof (end.checkpoint), "%" G_GINT64_FORMAT,
 			    run->done_ms);
 	g_array_append_val (worker->ends, end);
@@ -360,7 +360,7 @@
 	struct dff_memory_task what =
 		worker->runner->options.describe (worker->runner->options.ctx, &order->task);
 	if (accelerators_used (worker) + what.accelerators > worker->accelerators) {
-		if (!worker->runner->options.unguarded)
+		if (!worker->runner->options.unenforced)
 			return DFF_RUNNER_NO_ROOM;
 		check_room (worker, &order->task, what.accelerators);
 	}
@@ -379,7 +379,7 @@
 void
 memory_worker_check_open (const struct worker *worker, const struct dff_run_order *order)
 {
-	int64_t from_ms = worker->faults.closed_from_ms;
+	int64_t from_ms = worker->faults.no_starts_from_ms;
 	if (from_ms > 0 && memory_runner_now_ms (worker->runner) >= from_ms)
 		violate (worker->runner, "%s run %d starts on %s, where none is to since %" PRId64,
 			 order->task.data, order->run, worker->id, from_ms);
--- a/standin/memory_workers.c
+++ b/standin/memory_workers.c
@@ -267,7 +267,7 @@
 	struct memory_call *call = user;
 	if (!end_work (call))
 		return;
-	call->at->heard_ms = MAX (call->at->heard_ms, result->worker_ms);
+	call->at->heard_ms = MAX (call->at->heard_ms, result->clock_ms);
 	call->done (call->user, result);
 }
 
--- a/standin/worker.c
+++ b/standin/worker.c
@@ -135,7 +135,7 @@
 		.n_reports = n_reports,
 		.sequence = dff_worker_tasks_sequence (worker->tasks),
 		.incarnation = dff_worker_tasks_incarnation (worker->tasks),
-		.worker_ms = dff_clock_now_ms (worker->options.clock),
+		.clock_ms = dff_clock_now_ms (worker->options.clock),
 	};
 	done (user, &result);
 }
--- a/tests/bench/test-load.c
+++ b/tests/bench/test-load.c
@@ -84,7 +84,7 @@
 static void
 without_patience (struct dff_core_options *options)
 {
-	options->headroom_patience_times = 0.0;
+	options->headroom_wait_ratio = 0.0;
 }
 
 /* Pattern: the same; gangs queue for racks, and bulk work behind them is put off until its
@@ -104,7 +104,7 @@
 static void
 without_evict_bound (struct dff_core_options *options)
 {
-	options->evict_work_times = 0.0;
+	options->evict_work_ratio = 0.0;
 }
 
 /* Pattern: the same; small urgent jobs meet wide gangs that have run for seconds. Without a bound
--- a/tests/capacity/test-capacity.c
+++ b/tests/capacity/test-capacity.c
@@ -107,10 +107,10 @@
 	struct dff_message message = {
 		.sender = dff_name_from ("entry-1"),
 		.kind = DFF_MESSAGE_SIGHTING,
-		.sighting = {.worker = dff_name_from ("r100-w1"),
-			     .reachable = true,
-			     .reports = &report,
-			     .n_reports = 1},
+		.worker_report = {.worker = dff_name_from ("r100-w1"),
+				  .reachable = true,
+				  .reports = &report,
+				  .n_reports = 1},
 	};
 	return encoded_bytes (&message);
 }
@@ -139,8 +139,8 @@
 		.grants = {.epoch = 12,
 			   .sequence = 12345,
 			   .valid_ms = 10000,
-			   .heard_sent_ms = 123456789,
-			   .heard_age_ms = 1000,
+			   .heartbeat_sent_ms = 123456789,
+			   .heartbeat_age_ms = 1000,
 			   .is_renewal = true},
 	};
 	return encoded_bytes (&message);
@@ -159,7 +159,7 @@
 renewal_answer_body (void)
 {
 	struct dff_worker_result result = {
-		.sequence = 12345, .incarnation = 1234567890123, .worker_ms = 123456789};
+		.sequence = 12345, .incarnation = 1234567890123, .clock_ms = 123456789};
 	g_autoptr (GString) body = g_string_new (NULL);
 	dff_worker_wire_append_answer (body, &result);
 	return (int64_t)body->len;
--- a/tests/cell/cell_promises.h
+++ b/tests/cell/cell_promises.h
@@ -67,7 +67,7 @@
 			.silent_ms = now_ms - harness->renewed_ms[i],
 			.reports = (const struct dff_task_report *)(void *)reports->data,
 			.n_reports = reports->len,
-			.whole = reachable,
+			.complete = reachable,
 		};
 		for (int j = 0; j < HARNESS_PROCESSES; j++) {
 			const struct harness_process *process = &harness->processes[j];
--- a/tests/cell/test-retention.c
+++ b/tests/cell/test-retention.c
@@ -447,7 +447,7 @@
 	put_attempt (&harness, "1", "ended", RETENTION_MS);
 	harness_run_holder (&harness, 30000);
 	struct dff_cell *cell = harness.processes[harness_holder (&harness)].cell;
-	while (cell->attempts.expired->len == 0)
+	while (cell->attempt_retention.expired->len == 0)
 		harness_step (&harness);
 	put_attempt (&harness, "1", "open", 0);
 	harness_run (&harness, SEEN_MS + 2 * SWEEP_MS);
--- a/tests/core/core_site.h
+++ b/tests/core/core_site.h
@@ -116,8 +116,8 @@
 {
 	struct dff_core_options options;
 	dff_core_options_init (&options);
-	options.patient = true;
-	options.calm_wait_ms = 1000;
+	options.retry_without_limit = true;
+	options.low_load_wait_ms = 1000;
 	return options;
 }
 
--- a/tests/core/test-bad-workers.c
+++ b/tests/core/test-bad-workers.c
@@ -309,7 +309,7 @@
 	(void)state;
 	struct run run;
 	struct dff_core_options options = default_options ();
-	options.at_once_share = 0.1;
+	options.early_failure_share = 0.1;
 	begin_with (&run, 1, options);
 	run.bad_worker = "w0";
 	let_jobs_come (&run, MINUTE_MS / 2);
@@ -332,7 +332,7 @@
 	(void)state;
 	struct run run;
 	struct dff_core_options options = default_options ();
-	options.at_once_share = 0.1;
+	options.early_failure_share = 0.1;
 	begin_with (&run, 1, options);
 	submit (&run, SLOW_PREFIX "0", 3);
 	settle (&run);
--- a/tests/core/test-blamed-jobs.c
+++ b/tests/core/test-blamed-jobs.c
@@ -24,9 +24,9 @@
 {
 	struct dff_core_options options;
 	dff_core_options_init (&options);
-	options.patient = true;
+	options.retry_without_limit = true;
 	options.blame_limit = blame_limit;
-	options.blame_apart = BLAME_APART;
+	options.isolation_blame = BLAME_APART;
 	*fixture = (struct fixture){
 		.core = dff_core_new (&options),
 		.commands = g_array_new (FALSE, TRUE, sizeof (struct dff_command)),
--- a/tests/core/test-evict-bound.c
+++ b/tests/core/test-evict-bound.c
@@ -73,8 +73,8 @@
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct dff_core_options options = patient_options ();
-		options.evict_work_times = EVICT_WORK_TIMES;
-		options.evict_any_after_ms = ANY_AFTER_MS;
+		options.evict_work_ratio = EVICT_WORK_TIMES;
+		options.evict_unlimited_after_ms = ANY_AFTER_MS;
 		struct site site;
 		site_open (&site, &options);
 		g_array_index (site.pool.teams, struct dff_team, 0).assured_accelerators =
--- a/tests/core/test-headroom.c
+++ b/tests/core/test-headroom.c
@@ -7,7 +7,7 @@
 headroom_options (void)
 {
 	struct dff_core_options options = patient_options ();
-	options.calm_wait_ms = 0;
+	options.low_load_wait_ms = 0;
 	options.headroom_decay_ms = 10000;
 	return options;
 }
@@ -92,7 +92,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct dff_core_options options = headroom_options ();
 		options.headroom_decay_ms = 1000000;
-		options.calm_wait_ms = cases[i].calm_wait_ms;
+		options.low_load_wait_ms = cases[i].calm_wait_ms;
 		struct site site;
 		site_open (&site, &options);
 		site_need_once (&site, 4);
@@ -127,7 +127,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct dff_core_options options = headroom_options ();
 		options.headroom_decay_ms = 1000000;
-		options.headroom_patience_times = cases[i].patience_times;
+		options.headroom_wait_ratio = cases[i].patience_times;
 		struct site site;
 		site_open (&site, &options);
 		assert_int_equal (begin_tasks (&site, 2, 1, 8), 2);
--- a/tests/core/test-pace.c
+++ b/tests/core/test-pace.c
@@ -43,7 +43,7 @@
 {
 	struct dff_core_options options;
 	dff_core_options_init (&options);
-	options.patient = true;
+	options.retry_without_limit = true;
 	pool->core = dff_core_new (&options);
 	pool->commands = g_array_new (FALSE, TRUE, sizeof (struct dff_command));
 	pool->now_ms = 1000;
@@ -69,8 +69,8 @@
 {
 	struct dff_event event = {.type = DFF_EVENT_TASK_PACE,
 				  .worker = dff_name_printf ("w%d", worker),
-				  .cohort = step,
-				  .whole_ms = (int64_t)whole_ms};
+				  .peer_group = step,
+				  .duration_ms = (int64_t)whole_ms};
 	dff_core_handle_event (pool->core, &event, pool->now_ms);
 }
 
@@ -212,11 +212,11 @@
 	}
 	struct dff_core_stats stats;
 	dff_core_get_stats (pool.core, &stats);
-	assert_in_range (stats.paces_kept, 1, 10000);
+	assert_in_range (stats.duration_samples, 1, 10000);
 	pass (&pool, 1000000);
 	pass (&pool, 1000);
 	dff_core_get_stats (pool.core, &stats);
-	assert_int_equal (stats.paces_kept, 0);
+	assert_int_equal (stats.duration_samples, 0);
 	close_pool (&pool);
 }
 
--- a/tests/core/test-reclaim.c
+++ b/tests/core/test-reclaim.c
@@ -52,7 +52,7 @@
 	fixture_pool_add_team (&run->pool, "c", 0, 0);
 	/* Some slots are kept for short requests: a worker may have fewer than accelerators. */
 	const struct dff_service service = {.request_slots = (int32_t)(seed % 5),
-					    .sets_aside = true};
+					    .dedicated_request_slots = true};
 	g_array_append_val (run->pool.services, service);
 	dff_core_set_pool (run->core, &run->pool, 0);
 	for (int i = 0; i < run->n_racks * run->n_workers; i++) {
--- a/tests/core/test-wants.c
+++ b/tests/core/test-wants.c
@@ -51,7 +51,7 @@
 {
 	(void)state;
 	struct dff_core_options options = patient_options ();
-	options.data_wait_ms = 5000;
+	options.locality_wait_ms = 5000;
 	struct site site;
 	site_open (&site, &options);
 	struct dff_job_spec spec = fixture_spec ("near", 2, 8);
@@ -87,7 +87,7 @@
 						       DFF_WORKER_DOWN};
 	for (size_t i = 0; i < G_N_ELEMENTS (states); i++) {
 		struct dff_core_options options = patient_options ();
-		options.data_wait_ms = 5000;
+		options.locality_wait_ms = 5000;
 		struct site site;
 		site_open (&site, &options);
 		set_states (&site, "w2", "w3", states[i]);
--- a/tests/fleet/test-in-force.c
+++ b/tests/fleet/test-in-force.c
@@ -66,7 +66,7 @@
 		.metrics = fixture->metrics,
 		.bound_ms = bound_ms,
 		.config_changed = handle_config,
-		.evacuated = handle_evacuated,
+		.evacuations_changed = handle_evacuated,
 		.ctx = fixture,
 	};
 	fixture->in_force = dff_in_force_new (&options);
--- a/tests/front/test-intake.c
+++ b/tests/front/test-intake.c
@@ -66,9 +66,9 @@
 static void
 end_hop (struct hop *hop, enum dff_rows_outcome outcome, enum dff_intake_receiver receiver)
 {
-	struct dff_intake_forwarded forwarded = {.receiver = receiver, .outcome = outcome};
+	struct dff_intake_forwarded forwarded = {.delivery = receiver, .outcome = outcome};
 	if (receiver == DFF_INTAKE_MISDIRECTED)
-		forwarded.decider = hop->fixture->next_gatherer;
+		forwarded.holder = hop->fixture->next_gatherer;
 	hop->done (hop->user, &forwarded);
 	g_free (hop->key);
 	g_free (hop->value);
@@ -168,13 +168,13 @@
 			.timers = dff_virtual_loop_timers (fixture->loop),
 			.rows = dff_memory_rows_client_interface (process->client),
 			.metrics = fixture->metrics,
-			.together_from_ms = 100,
-			.store_took_ms = store_took_ms,
+			.forward_min_latency_ms = 100,
+			.store_latency_ms = store_took_ms,
 			.store_ctx = process,
 			.forward = forward,
 			.forward_ctx = process,
-			.gatherer_lost = note_lost,
-			.gatherer_ctx = fixture,
+			.holder_lost = note_lost,
+			.holder_ctx = fixture,
 			.record = with_records ? record_row : NULL,
 			.record_ctx = process};
 		process->intake = dff_intake_new (&options);
--- a/tests/graph/test-graph.c
+++ b/tests/graph/test-graph.c
@@ -282,7 +282,7 @@
 		assert_true (dff_progress_note_lost (progress, &unit, 1));
 		assert_false (dff_progress_note_lost (progress, &unit, 1));
 		dff_progress_task (progress, 0, 0, 1)->blame = cases[i].blame;
-		dff_progress_task (progress, 0, 0, 1)->fresh_blame = cases[i].blame / 2;
+		dff_progress_task (progress, 0, 0, 1)->startup_blame = cases[i].blame / 2;
 		if (cases[i].checkpoint != NULL)
 			dff_progress_save (progress, plan, &unit,
 					   dff_str_from (cases[i].checkpoint));
@@ -293,7 +293,7 @@
 		assert_int_equal (task->state, DFF_TASK_LOST);
 		assert_true (dff_task_state_is_open (task->state));
 		assert_int_equal (task->blame, cases[i].blame);
-		assert_int_equal (task->fresh_blame, cases[i].blame / 2);
+		assert_int_equal (task->startup_blame, cases[i].blame / 2);
 		assert_int_equal (g_strcmp0 (task->checkpoint, cases[i].checkpoint), 0);
 		assert_int_equal (dff_progress_blame (same, plan, &unit), cases[i].blame);
 		assert_false (dff_progress_note_lost (same, &unit, 1));
--- a/tests/holder/site.c
+++ b/tests/holder/site.c
@@ -53,7 +53,7 @@
 		break;
 	case '4': /* long and saves */
 		what.duration_ms = 6000;
-		what.saves = true;
+		what.checkpoints = true;
 		break;
 	case '5': /* long gang of 2 */
 		what.duration_ms = 3000;
@@ -181,8 +181,8 @@
 		.rows = dff_memory_rows_client_interface (process->rows),
 		.probe_table = DFF_TABLE_CELL,
 		.probe_key = DFF_KEY_HOLDER,
-		.heard = handle_store_heard,
-		.heard_ctx = process,
+		.recovered = handle_store_heard,
+		.recovered_ctx = process,
 	};
 	process->health = dff_rows_health_new (&options);
 }
@@ -237,10 +237,10 @@
 		.rows = dff_rows_health_interface (process->health),
 		.table = DFF_TABLE_CONFIG,
 		.wait_ms = 500,
-		.patience_ms = 1000,
+		.timeout_margin_ms = 1000,
 		.sink = {.row = handle_request_row,
-			 .begin = handle_requests_begin,
-			 .whole = handle_requests_whole,
+			 .begin_snapshot = handle_requests_begin,
+			 .end_snapshot = handle_requests_whole,
 			 .ctx = process},
 	};
 	process->requests = dff_follower_new (&follower);
@@ -266,19 +266,19 @@
 	if (site->relays) {
 		options.runner = site_relays_start (process);
 		options.relay_address = dff_name_printf ("p%d", index);
-		options.relays_from_workers = 1;
-		options.relay_follow = site_relays_follow;
-		options.relay_want = site_relays_want;
+		options.relay_min_workers = 1;
+		options.relay_connect = site_relays_follow;
+		options.relay_set_limit = site_relays_want;
 		options.relay_ctx = process;
 	}
 	options.metrics = process->metrics;
 	options.instance = process->instance;
-	options.presence_address = dff_name_printf ("p%d", index);
-	options.ask_presence = ask_presence;
+	options.probe_address = dff_name_printf ("p%d", index);
+	options.send_probe = ask_presence;
 	options.takeover_ms = site->takeover_ms[index];
 	/* Changes are read wherever there are some. */
-	options.long_list = 1;
-	options.presence_ctx = process;
+	options.feed_min_workers = 1;
+	options.probe_ctx = process;
 	options.store_served_ms = store_served_ms;
 	options.store_ctx = process;
 	options.read_upstream = site_workers_read_upstream;
@@ -359,7 +359,7 @@
 						    .stop_grace_ms = 400,
 						    .gang_wait_ms = 3000,
 						    .max_attempts = SITE_MAX_ATTEMPTS,
-						    .unguarded = site->unguarded,
+						    .unenforced = site->unguarded,
 						    .crashed = site_workers_handle_crash,
 						    .ctx = site};
 	site->runner = dff_memory_runner_new (&options);
--- a/tests/holder/site_links.c
+++ b/tests/holder/site_links.c
@@ -39,7 +39,7 @@
 	hop->target = &asker->site->processes[asker->decider.data[1] - '0'];
 	hop->job = *job;
 	hop->user = user;
-	hop->forwarded = (struct dff_intake_forwarded){.receiver = DFF_INTAKE_UNREACHED,
+	hop->forwarded = (struct dff_intake_forwarded){.delivery = DFF_INTAKE_UNREACHED,
 						       .outcome = DFF_ROWS_UNKNOWN};
 	g_ptr_array_add (asker->site->hops, hop);
 	return hop;
@@ -72,7 +72,7 @@
 {
 	struct hop *hop = user;
 	hop->forwarded.outcome = result->outcome;
-	hop->forwarded.receiver = DFF_INTAKE_TAKEN;
+	hop->forwarded.delivery = DFF_INTAKE_TAKEN;
 	dff_virtual_loop_after (loop_of (hop), WAY_MS, deliver, hop);
 }
 
@@ -99,9 +99,9 @@
 	}
 	if (!dff_intake_is_gatherer (hop->target->intake)) {
 		hop->forwarded = (struct dff_intake_forwarded){
-			.receiver = DFF_INTAKE_MISDIRECTED,
+			.delivery = DFF_INTAKE_MISDIRECTED,
 			.outcome = DFF_ROWS_NOT_DONE,
-			.decider = *dff_intake_gatherer (hop->target->intake)};
+			.holder = *dff_intake_gatherer (hop->target->intake)};
 		dff_virtual_loop_after (loop_of (hop), WAY_MS, deliver, hop);
 		return;
 	}
@@ -201,8 +201,8 @@
 void
 site_links_options (struct site_process *process, struct dff_holder_options *options)
 {
-	options->note_holder = note_holder;
-	options->note_ctx = process;
+	options->holder_changed = note_holder;
+	options->holder_ctx = process;
 }
 
 void
@@ -212,17 +212,17 @@
 		.timers = dff_virtual_loop_timers (process->site->loop),
 		.rows = dff_rows_health_interface (process->health),
 		.metrics = process->metrics,
-		.together_from_ms = 0,
+		.forward_min_latency_ms = 0,
 		.store_is_silent = store_is_silent,
-		.store_took_ms = store_took_ms,
+		.store_latency_ms = store_took_ms,
 		.store_ctx = process,
 		.forward = forward_row,
 		.forward_ctx = process,
 		.record = record_row,
 		.record_ctx = process,
-		.gatherer_lost = note_lost,
-		.gatherer_moved = note_moved,
-		.gatherer_ctx = process,
+		.holder_lost = note_lost,
+		.holder_moved = note_moved,
+		.holder_ctx = process,
 	};
 	process->intake = dff_intake_new (&options);
 	process->decider = (struct dff_name){0};
@@ -232,9 +232,9 @@
 site_links_front (struct site_process *process, struct dff_front_options *options)
 {
 	options->rows = dff_intake_interface (process->intake);
-	options->writes_elsewhere = writes_elsewhere;
-	options->ask_state = ask_state;
-	options->ask_ctx = process;
+	options->writes_forwarded = writes_elsewhere;
+	options->query_state = ask_state;
+	options->query_ctx = process;
 }
 
 void
--- a/tests/holder/site_workers.c
+++ b/tests/holder/site_workers.c
@@ -32,8 +32,8 @@
 	upstream->capacity = (struct dff_resources){
 		.slots = 64, .cores = 32, .memory_gb = 64, .accelerators = accelerators};
 	upstream->leaving = leaving;
-	upstream->life.born_ms = born_ms;
-	return dff_name_parse (row->key, &upstream->life.id);
+	upstream->incarnation.started_ms = born_ms;
+	return dff_name_parse (row->key, &upstream->incarnation.id);
 }
 
 static void
@@ -122,7 +122,7 @@
 close_worker (struct site *site, int index)
 {
 	int64_t evacuated_ms = site->evacuated_ms[index / SITE_PER_RACK];
-	site->workers[index]->closed_from_ms =
+	site->workers[index]->no_starts_from_ms =
 		evacuated_ms > 0 ? evacuated_ms + SITE_EVACUATION_MS : 0;
 }
 
--- a/tests/holder/test-holder-crashes.c
+++ b/tests/holder/test-holder-crashes.c
@@ -182,9 +182,9 @@
 	int worker = wait_for_run (site, task, -1);
 	switch (end) {
 	case DFF_END_IS_CUT_OFF:
-		site->workers[worker]->cut = true;
+		site->workers[worker]->drops_calls = true;
 		site_run (site, LEASE_PASSED_MS);
-		site->workers[worker]->cut = false;
+		site->workers[worker]->drops_calls = false;
 		return;
 	case DFF_END_LEAVES:
 		site_announce_leaving (site, worker, 500);
--- a/tests/holder/test-holder-ends.c
+++ b/tests/holder/test-holder-ends.c
@@ -53,11 +53,11 @@
 	run_until_failed (&site, "9");
 	site_run (&site, 1000);
 	struct dff_memory_worker_faults *kept = faults_of (&site, "9", KEPT_TASK);
-	kept->mute = true;
+	kept->drops_answers = true;
 	run_until_failed (&site, "9");
 	site_run (&site, NOTED_MS);
 	replace_holder (&site);
-	kept->mute = false;
+	kept->drops_answers = false;
 	assert_int_not_equal (site_until (&site, "9", "failed", 10000), -1);
 	site_run (&site, 3000);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "9"), 2 * SITE_MAX_ATTEMPTS);
@@ -76,13 +76,13 @@
 	site_submit (&site, 0, site_plan ("8", 2, true, SITE_ACCELERATORS));
 	site_run (&site, 300);
 	struct dff_memory_worker_faults *kept = faults_of (&site, "8", KEPT_TASK);
-	kept->mute = true;
+	kept->drops_answers = true;
 	dff_memory_rows_client_faults (site.processes[site_holder (&site)].rows)->lost_permille =
 		1000;
 	run_until_failed (&site, "8");
 	site_run (&site, NOTED_MS);
 	replace_holder (&site);
-	kept->mute = false;
+	kept->drops_answers = false;
 	assert_int_not_equal (site_until (&site, "8", "completed", 10000), -1);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "8"), 2 * 2);
 	site_close (&site);
--- a/tests/holder/test-holder-evacuation.c
+++ b/tests/holder/test-holder-evacuation.c
@@ -126,7 +126,7 @@
 		site_open_with_evacuations (&site);
 		int holder = site_holder (&site);
 		for (int j = 0; j < SITE_PER_RACK; j++)
-			site.workers[j]->cut = cases[i].cut;
+			site.workers[j]->drops_calls = cases[i].cut;
 		struct dff_plan *plan = site_plan ("7", SITE_WORKERS, false, 1);
 		dff_plan_step (plan, 0)->per_worker = 1;
 		assert_int_equal (site_submit (&site, holder, plan), DFF_FRONT_OK);
@@ -136,7 +136,7 @@
 			site_kill_process (&site, holder);
 		site_run (&site, SITE_EVACUATION_MS);
 		for (int j = 0; j < SITE_PER_RACK; j++)
-			site.workers[j]->cut = false;
+			site.workers[j]->drops_calls = false;
 		site_run (&site, 4000);
 		site_evacuate (&site, FIRST, false);
 		if (cases[i].killed)
--- a/tests/holder/test-holder-lives.c
+++ b/tests/holder/test-holder-lives.c
@@ -51,7 +51,7 @@
 	struct dff_memory_worker_faults *faults = site->workers[RESTARTED];
 	if (at->leaves)
 		site_announce_leaving (site, RESTARTED, 1500);
-	faults->cut = at->cut_before_ms > 0;
+	faults->drops_calls = at->cut_before_ms > 0;
 	site_run (site, at->cut_before_ms);
 	if (at->taken_over_before)
 		take_over (site);
@@ -64,12 +64,12 @@
 	}
 	faults = site->workers[RESTARTED];
 	*faults = before;
-	faults->cut = at->cut_after_ms > 0;
-	faults->hides_birth = at->hides_birth;
+	faults->drops_calls = at->cut_after_ms > 0;
+	faults->hides_start = at->hides_birth;
 	if (at->taken_over_after)
 		take_over (site);
 	site_run (site, at->cut_after_ms);
-	faults->cut = false;
+	faults->drops_calls = false;
 	site_run (site, MAX (at->held_back_ms - at->cut_after_ms, 0));
 	site_hold_entries_back (site, RESTARTED, false);
 	site_list_worker (site, RESTARTED, true, false);
--- a/tests/holder/test-holder-seeds.c
+++ b/tests/holder/test-holder-seeds.c
@@ -223,13 +223,13 @@
 {
 	int index = pick (play, SITE_WORKERS);
 	struct dff_memory_worker_faults *faults = play->site.workers[index];
-	*faults = (struct dff_memory_worker_faults){.closed_from_ms = faults->closed_from_ms};
+	*faults = (struct dff_memory_worker_faults){.no_starts_from_ms = faults->no_starts_from_ms};
 	switch (pick (play, 8)) {
 	case 0:
-		faults->cut = true;
+		faults->drops_calls = true;
 		return;
 	case 1:
-		faults->mute = true;
+		faults->drops_answers = true;
 		return;
 	case 2:
 		faults->hung = true;
@@ -356,7 +356,7 @@
 	else if (what < 60)
 		break_holder (play);
 	else if (what < 75)
-		worker->mute = !worker->mute;
+		worker->drops_answers = !worker->drops_answers;
 	else if (what < 80)
 		worker->answer_ms = pick (play, 400);
 	else if (what < 85)
--- a/tests/holder/test-holder-workers.c
+++ b/tests/holder/test-holder-workers.c
@@ -110,11 +110,11 @@
 		struct site site;
 		site_open (&site);
 		run_one_a_worker (&site);
-		site.workers[SITE_WORKERS - 1]->cut = !cases[i].mute;
-		site.workers[SITE_WORKERS - 1]->mute = cases[i].mute;
+		site.workers[SITE_WORKERS - 1]->drops_calls = !cases[i].mute;
+		site.workers[SITE_WORKERS - 1]->drops_answers = cases[i].mute;
 		site_run (&site, cases[i].cut_ms);
-		site.workers[SITE_WORKERS - 1]->cut = false;
-		site.workers[SITE_WORKERS - 1]->mute = false;
+		site.workers[SITE_WORKERS - 1]->drops_calls = false;
+		site.workers[SITE_WORKERS - 1]->drops_answers = false;
 		assert_int_not_equal (site_until (&site, "1", "completed", 20000), -1);
 		assert_int_equal (dff_memory_runner_n_starts (site.runner, "1"), cases[i].n_starts);
 		site_close (&site);
@@ -168,7 +168,7 @@
 		struct site site;
 		site_open (&site);
 		run_one_a_worker (&site);
-		site.workers[SITE_WORKERS - 1]->cut = true;
+		site.workers[SITE_WORKERS - 1]->drops_calls = true;
 		int64_t begun_ms = dff_virtual_loop_now_ms (site.loop);
 		for (int j = 0; j < cases[i].n_kills; j++) {
 			int holder = site_holder (&site);
@@ -214,14 +214,14 @@
 	site_run (&site, 2500);
 	int lost = dff_memory_runner_where (site.runner, "5.0.0.0")[1] - '0';
 	for (int i = 0; i < SITE_WORKERS; i++)
-		site.workers[i]->mute = true;
+		site.workers[i]->drops_answers = true;
 	site_run (&site, 1000);
 	assert_null (dff_memory_runner_where (site.runner, "5.0.0.0"));
 	site_reborn_worker (&site, lost);
 	/* By now the other life has answered, and the other member is to be stopped. */
 	site_run (&site, 1500);
 	for (int i = 0; i < SITE_WORKERS; i++)
-		site.workers[i]->mute = false;
+		site.workers[i]->drops_answers = false;
 	assert_in_range (site_until (&site, "5", "completed", 5000), 0, 2000);
 	site_run (&site, 3000);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "5"), 2);
--- a/tests/peer/fake_transport.c
+++ b/tests/peer/fake_transport.c
@@ -103,7 +103,7 @@
 sighting (void *ctx, const struct dff_worker_sighting *sighting)
 {
 	((struct fake_node *)ctx)->sightings++;
-	((struct fake_node *)ctx)->whole_sightings += sighting->whole;
+	((struct fake_node *)ctx)->whole_sightings += sighting->complete;
 	((struct fake_node *)ctx)->leaving_sightings += sighting->leaving;
 	((struct fake_node *)ctx)->task_reports += (int64_t)sighting->n_reports;
 }
@@ -195,7 +195,7 @@
 	options.callbacks.job_hint = job_hint;
 	options.callbacks.job_ended = job_ended;
 	options.callbacks.job_watch = job_watch;
-	options.callbacks.sighting = sighting;
+	options.callbacks.worker_report = sighting;
 	options.callbacks.grants_received = grants_received;
 	options.callbacks.members_changed = members_changed;
 	options.callbacks.ctx = node;
--- a/tests/peer/test-grant-renewal.c
+++ b/tests/peer/test-grant-renewal.c
@@ -119,7 +119,7 @@
 	message.grants.epoch = epoch;
 	message.grants.sequence = 1000;
 	message.grants.valid_ms = VALID_MS;
-	message.grants.heard_sent_ms = network->clock.now_ms;
+	message.grants.heartbeat_sent_ms = network->clock.now_ms;
 	message.grants.is_renewal = true;
 	message.grants.digest = dff_grant_digest (of, n);
 	g_autoptr (GByteArray) bytes = dff_message_encode (&message);
--- a/tests/peer/test-message.c
+++ b/tests/peer/test-message.c
@@ -32,8 +32,8 @@
 	case DFF_MESSAGE_HEARTBEAT:
 		message->heartbeat.self = (struct dff_member_report){message->sender, 3, 8};
 		message->heartbeat.sent_ms = 1000;
-		message->heartbeat.others = others;
-		message->heartbeat.n_others = G_N_ELEMENTS (others);
+		message->heartbeat.peers = others;
+		message->heartbeat.n_peers = G_N_ELEMENTS (others);
 		break;
 	case DFF_MESSAGE_POOL_REQUEST:
 		message->pool_request = 4;
@@ -50,7 +50,8 @@
 		message->job_ended = (struct dff_job_end){name, DFF_OUTCOME_UNKNOWN};
 		break;
 	case DFF_MESSAGE_SIGHTING:
-		message->sighting = (struct dff_worker_sighting){name, true, true, 5, reports, 3};
+		message->worker_report =
+			(struct dff_worker_sighting){name, true, true, 5, reports, 3};
 		break;
 	case DFF_MESSAGE_GRANTS:
 		message->grants = (struct dff_grant_set){9, 1, 5000, 999000, 3, grants, 3};
@@ -139,7 +140,7 @@
 static void
 bad_age (struct dff_message *message)
 {
-	message->grants.heard_age_ms = -1;
+	message->grants.heartbeat_age_ms = -1;
 }
 
 static void
@@ -151,7 +152,7 @@
 static void
 bad_silence (struct dff_message *message)
 {
-	message->sighting.silent_ms = -1;
+	message->worker_report.silent_ms = -1;
 }
 
 static void
--- a/tests/peer/test-peer.c
+++ b/tests/peer/test-peer.c
@@ -119,7 +119,7 @@
 	make_holder (&network->nodes[0], 1);
 	fake_network_run (network, 200);
 	struct dff_worker_sighting sighting = {
-		.worker = dff_name_from ("worker-1"), .reachable = true, .whole = true};
+		.worker = dff_name_from ("worker-1"), .reachable = true, .complete = true};
 	dff_peer_send_sighting (network->nodes[1].peer, &sighting);
 	fake_network_run (network, 200);
 	assert_int_equal (network->nodes[0].whole_sightings, 1);
--- a/tests/peer/test-reports.c
+++ b/tests/peer/test-reports.c
@@ -53,15 +53,15 @@
 		.id = network->nodes[2].instance.id,
 		.incarnation = (uint64_t)report->incarnation,
 		.sequence = sequence + (uint64_t)report->later,
-		.life = report->life,
+		.liveness = report->life,
 	};
 	struct dff_message message = {.kind = DFF_MESSAGE_HEARTBEAT};
 	message.sender = network->nodes[1].instance.id;
 	message.heartbeat.self.id = message.sender;
 	message.heartbeat.self.incarnation = 1;
 	message.heartbeat.self.sequence = MUCH_LATER;
-	message.heartbeat.others = &about;
-	message.heartbeat.n_others = 1;
+	message.heartbeat.peers = &about;
+	message.heartbeat.n_peers = 1;
 	g_autoptr (GByteArray) bytes = dff_message_encode (&message);
 	dff_peer_receive (network->nodes[0].peer, bytes->data, bytes->len);
 }
--- a/tests/platform/test-decode.c
+++ b/tests/platform/test-decode.c
@@ -34,9 +34,11 @@
 	(void)state;
 	DFF_AUTO (dff_fleet_config) config = dff_platform_read_config (dff_str_from (config_text));
 	assert_int_equal (config->version, 7);
-	assert_int_equal (config->unguarded->len, 2);
-	assert_string_equal (g_array_index (config->unguarded, struct dff_name, 0).data, "huvo11b");
-	assert_string_equal (g_array_index (config->unguarded, struct dff_name, 1).data, "huvo11c");
+	assert_int_equal (config->unenforced->len, 2);
+	assert_string_equal (g_array_index (config->unenforced, struct dff_name, 0).data,
+			     "huvo11b");
+	assert_string_equal (g_array_index (config->unenforced, struct dff_name, 1).data,
+			     "huvo11c");
 	static const struct {
 		const char *host;
 		const char *path;
@@ -56,8 +58,8 @@
 	}
 	const struct dff_fleet_class *open = dff_fleet_config_find_class (
 		config, dff_str_from ("nony24.example"), dff_str_from ("/pule252/deep/"));
-	assert_true (open->open);
-	assert_true (open->needs_advice);
+	assert_true (open->anonymous);
+	assert_true (open->needs_recommendation);
 	assert_int_equal (open->max_attempts, 4);
 	const struct dff_fleet_team *team =
 		dff_fleet_config_find_team (config, dff_str_from ("3hh2"));
@@ -94,7 +96,7 @@
 				      .value = dff_str_from (text)};
 		struct dff_upstream upstream;
 		assert_true (dff_platform_read_upstream (&row, &upstream));
-		assert_string_equal (upstream.life.id.data, "i-7f3a91c2");
+		assert_string_equal (upstream.incarnation.id.data, "i-7f3a91c2");
 		assert_string_equal (upstream.address.data, "10.128.0.9:8080");
 		assert_string_equal (upstream.rack.data, "r1-3");
 		assert_string_equal (upstream.labels[0].data, "a");
@@ -104,7 +106,7 @@
 		assert_int_equal (upstream.capacity.accelerators, 8);
 		assert_int_equal (upstream.leaving, cases[i].leaving);
 		assert_int_equal (upstream.remaining_ms, cases[i].remaining_ms);
-		assert_int_equal (upstream.life.born_ms, cases[i].born_ms);
+		assert_int_equal (upstream.incarnation.started_ms, cases[i].born_ms);
 	}
 }
 
--- a/tests/platform/test-http.c
+++ b/tests/platform/test-http.c
@@ -215,7 +215,7 @@
 	struct runner_answer *answer = user;
 	answer->outcome = result->outcome;
 	answer->clock_ms = result->clock_ms;
-	answer->born_ms = result->born_ms;
+	answer->born_ms = result->started_ms;
 	g_string_truncate (answer->lists, 0);
 	for (size_t i = 0; i < result->n_running; i++) {
 		g_string_append_printf (
--- a/tests/record/recorder_fixture.c
+++ b/tests/record/recorder_fixture.c
@@ -93,7 +93,7 @@
 		.n_conditions = condition_key == NULL ? 0 : 1,
 		.writes = &row,
 		.n_writes = 1,
-		.give_up_ms = give_up_ms,
+		.queue_timeout_ms = give_up_ms,
 	};
 	writer->ticket = dff_recorder_write (fixture->recorder, &write, written, writer);
 	assert_int_equal (writer->calls, 0);
--- a/tests/record/test-recorder-http.c
+++ b/tests/record/test-recorder-http.c
@@ -136,7 +136,7 @@
 			.n_conditions = 1,
 			.writes = &row,
 			.n_writes = 1,
-			.give_up_ms = i % 2 == 0 ? 0 : 100,
+			.queue_timeout_ms = i % 2 == 0 ? 0 : 100,
 		};
 		dff_recorder_write (fixture->recorder, &write, written, &fixture->writers[i]);
 	}
--- a/tests/record/test-recorder-seeds.c
+++ b/tests/record/test-recorder-seeds.c
@@ -177,7 +177,7 @@
 		.n_conditions = writer->kind == DFF_WRITE_CHAIN ? 0 : 1,
 		.writes = &row,
 		.n_writes = 1,
-		.give_up_ms = chance (run, 30) ? g_rand_int_range (run->rand, 1, 1000) : 0,
+		.queue_timeout_ms = chance (run, 30) ? g_rand_int_range (run->rand, 1, 1000) : 0,
 	};
 	writer->ticket = dff_recorder_write (run->recorder, &write, written, writer);
 }
--- a/tests/relay/test-relay.c
+++ b/tests/relay/test-relay.c
@@ -62,7 +62,8 @@
 {
 	(void)ctx;
 	(void)task;
-	return (struct dff_memory_task){.duration_ms = 2000, .accelerators = 1, .saves = true};
+	return (struct dff_memory_task){
+		.duration_ms = 2000, .accelerators = 1, .checkpoints = true};
 }
 
 static int64_t
@@ -108,7 +109,7 @@
 		.metrics = fixture->metrics,
 		.runner = dff_memory_runner_client_interface (process->client),
 		.name = dff_name_printf ("relay-%d", index),
-		.silent = note_silent,
+		.holder_silent = note_silent,
 		.ctx = fixture};
 	process->relay = dff_relay_new (&options);
 	process->link = dff_memory_link_new (fixture->loop, fixture->dispatch, process->relay);
@@ -176,7 +177,7 @@
 	outcome->n_running = result->n_running;
 	outcome->n_ended = result->n_ended;
 	outcome->clock_ms = result->clock_ms;
-	outcome->born_ms = result->born_ms;
+	outcome->born_ms = result->started_ms;
 	if (result->n_ended > 0)
 		outcome->end = result->ended[0].end;
 	if (result->n_running > 0)
--- a/tests/rows/test-reading.c
+++ b/tests/rows/test-reading.c
@@ -69,7 +69,7 @@
 		.timeout_ms = 400,
 		.sink = {.row = handle_row,
 			 .page = handle_page,
-			 .whole = handle_whole,
+			 .done = handle_whole,
 			 .ctx = fixture},
 	};
 	fixture->reading = dff_reading_new (&options);
@@ -193,7 +193,7 @@
 		.rows = dff_memory_rows_client_interface (fixture.client),
 		.table = TABLE,
 		.timeout_ms = 400,
-		.sink = {.row = handle_row, .whole = handle_whole, .ctx = &fixture},
+		.sink = {.row = handle_row, .done = handle_whole, .ctx = &fixture},
 	};
 	fixture.reading = dff_reading_new (&options);
 	fixture_close (&fixture);
--- a/tests/upstream/test-watcher.c
+++ b/tests/upstream/test-watcher.c
@@ -65,10 +65,10 @@
 	seen->reachable_sightings += sighting->reachable;
 	seen->reachable = sighting->reachable;
 	seen->leaving = sighting->leaving;
-	seen->whole = sighting->whole;
+	seen->whole = sighting->complete;
 	seen->silent_ms = sighting->silent_ms;
 	seen->at_ms = fixture->clock.now_ms;
-	if (sighting->whole)
+	if (sighting->complete)
 		seen->task = DFF_TASK_UNSEEN;
 	for (size_t i = 0; i < sighting->n_reports; i++)
 		seen->task = sighting->reports[i].state;
@@ -84,9 +84,9 @@
 	options.metrics = fixture->metrics;
 	options.seed = seed;
 	options.interval_ms = INTERVAL_MS;
-	options.retell_ms = RETELL_MS;
+	options.report_repeat_ms = RETELL_MS;
 	options.lease_ms = LEASE_MS;
-	options.sighted = sighted;
+	options.report = sighted;
 	options.ctx = fixture;
 	return dff_watcher_new (&options);
 }
--- a/upstream/http_worker.c
+++ b/upstream/http_worker.c
@@ -115,7 +115,7 @@
 	struct dff_worker_result result = {0};
 	result.outcome = command_outcome (call.worker, response, &result);
 	if (result.outcome == DFF_WORKER_OK)
-		note_time (call.worker, &call.address, result.worker_ms);
+		note_time (call.worker, &call.address, result.clock_ms);
 	call.done (call.user, &result);
 }
 
--- a/upstream/watcher.c
+++ b/upstream/watcher.c
@@ -66,7 +66,7 @@
 	memset (options, 0, sizeof (*options));
 	options->interval_ms = INTERVAL_MS;
 	options->retry_ms = RETRY_MS;
-	options->retell_ms = RETELL_MS;
+	options->report_repeat_ms = RETELL_MS;
 	options->lease_ms = LEASE_MS;
 	options->failures_unreachable = FAILURES_UNREACHABLE;
 }
@@ -127,7 +127,7 @@
 	worker->told_silent_ms = sighting->silent_ms;
 	sighting->worker = worker->name;
 	(*watcher->sightings)++;
-	watcher->options.sighted (watcher->options.ctx, sighting);
+	watcher->options.report (watcher->options.ctx, sighting);
 }
 
 /** Asks for all tasks, now. */
@@ -156,7 +156,8 @@
 		worker->retell_sequence = MIN (worker->retell_sequence, after_sequence);
 		return;
 	}
-	worker->retell_at_ms = now_ms (watcher) + jittered (watcher, watcher->options.retell_ms);
+	worker->retell_at_ms =
+		now_ms (watcher) + jittered (watcher, watcher->options.report_repeat_ms);
 	worker->retell_sequence = after_sequence;
 }
 
@@ -168,7 +169,7 @@
 		.reachable = true,
 		.leaving = result->leaving,
 		.reports = result->reports,
-		.whole = worker->asked_sequence == 0 && n_left <= MAX_REPORTS,
+		.complete = worker->asked_sequence == 0 && n_left <= MAX_REPORTS,
 	};
 	do {
 		piece.n_reports = MIN (n_left, MAX_REPORTS);
--- a/upstream/worker_wire.c
+++ b/upstream/worker_wire.c
@@ -253,7 +253,7 @@
 				"{\"leaving\":%s,\"sequence\":%" PRId64 ",\"incarnation\":%" PRId64
 				",\"now_ms\":%" PRId64,
 				bool_word (result->leaving), result->sequence, result->incarnation,
-				result->worker_ms);
+				result->clock_ms);
 	if (result->n_reports > 0)
 		g_string_append (out, ",\"reports\":[");
 	for (size_t i = 0; i < result->n_reports; i++) {
@@ -317,7 +317,7 @@
 	return root != NULL && get_bool (root, "leaving", &result->leaving) &&
 	       get_int64 (root, "sequence", 0, INT64_MAX, &result->sequence) &&
 	       get_int64 (root, "incarnation", 0, INT64_MAX, &result->incarnation) &&
-	       get_int64 (root, "now_ms", 0, INT64_MAX, &result->worker_ms) &&
+	       get_int64 (root, "now_ms", 0, INT64_MAX, &result->clock_ms) &&
 	       get_reports (json_object_get (root, "reports"), reports);
 }
 
