--- a/backing/memory.c
+++ b/backing/memory.c
@@ -58,7 +58,7 @@
 }
 
 static bool
-is_silent (const struct dff_memory_caller *caller)
+is_silent (const struct dff_memory_handle *caller)
 {
 	return caller != NULL && now_ms (caller->memory) < caller->faults.silent_until_ms;
 }
@@ -198,7 +198,7 @@
 static void
 begin (struct dff_memory_call *call)
 {
-	struct dff_memory_caller *caller = call->caller;
+	struct dff_memory_handle *caller = call->caller;
 	struct dff_memory *memory = caller->memory;
 	int64_t now = now_ms (memory);
 	if (now < caller->faults.outage_until_ms ||
@@ -222,7 +222,7 @@
 }
 
 static void
-release_held (struct dff_memory *memory, struct dff_memory_caller *caller)
+release_held (struct dff_memory *memory, struct dff_memory_handle *caller)
 {
 	if (is_silent (caller))
 		return;
@@ -259,7 +259,7 @@
 		due_ms = event->due_ms;
 	}
 	for (guint i = 0; i < memory->callers->len; i++) {
-		const struct dff_memory_caller *caller = memory->callers->pdata[i];
+		const struct dff_memory_handle *caller = memory->callers->pdata[i];
 		if (!g_queue_is_empty ((GQueue *)&caller->held))
 			due_ms = MIN (due_ms, caller->faults.silent_until_ms);
 	}
@@ -341,7 +341,7 @@
 static void
 instances_announce (void *ctx, const struct dff_instance *instance, int32_t ttl_ms)
 {
-	struct dff_memory_caller *caller = ctx;
+	struct dff_memory_handle *caller = ctx;
 	int64_t now = now_ms (caller->memory);
 	if (now < caller->faults.outage_until_ms || is_silent (caller))
 		return;
@@ -379,10 +379,10 @@
 	g_free (memory);
 }
 
-struct dff_memory_caller *
+struct dff_memory_handle *
 dff_memory_open (struct dff_memory *memory)
 {
-	struct dff_memory_caller *caller = g_new0 (struct dff_memory_caller, 1);
+	struct dff_memory_handle *caller = g_new0 (struct dff_memory_handle, 1);
 	caller->memory = memory;
 	caller->table.get = table_get;
 	caller->table.scan = table_scan;
@@ -409,7 +409,7 @@
 }
 
 void
-dff_memory_close (struct dff_memory_caller *caller)
+dff_memory_close (struct dff_memory_handle *caller)
 {
 	struct dff_memory *memory = caller->memory;
 	struct event *event;
--- a/backing/memory_call.c
+++ b/backing/memory_call.c
@@ -9,7 +9,7 @@
 }
 
 struct dff_memory_call *
-dff_memory_call_new (struct dff_memory_caller *caller, enum dff_memory_call_kind kind, void *user)
+dff_memory_call_new (struct dff_memory_handle *caller, enum dff_memory_call_kind kind, void *user)
 {
 	struct dff_memory_call *call = g_new0 (struct dff_memory_call, 1);
 	call->kind = kind;
--- a/bench/baseline.c
+++ b/bench/baseline.c
@@ -77,7 +77,7 @@
 	 const char *reason)
 {
 	job->state = DFF_BASELINE_ENDING;
-	struct dff_command *command = emit (baseline, DFF_COMMAND_RECORD_END, job);
+	struct dff_command *command = emit (baseline, DFF_COMMAND_RECORD_OUTCOME, job);
 	command->outcome = outcome;
 	command->reason = reason;
 }
--- a/bench/cluster.c
+++ b/bench/cluster.c
@@ -48,7 +48,7 @@
 			.up = true,
 			.capacity = rack->per_worker,
 		};
-		worker.capacity.slots -= dff_pool_slots_set_aside (pool, rack);
+		worker.capacity.slots -= dff_pool_dedicated_slots (pool, rack);
 		g_hash_table_insert (cluster->index, dff_name_dup (&worker.name),
 				     GINT_TO_POINTER (cluster->workers->len));
 		g_array_append_val (cluster->workers, worker);
--- a/bench/load/load.c
+++ b/bench/load/load.c
@@ -329,7 +329,7 @@
 		send (play, unit, DFF_EVENT_TASK_STOPPED, command->member,
 		      strcmp (command->reason, "member_ended") == 0 ? BREAK_MS : STOP_MS);
 		return;
-	case DFF_COMMAND_RECORD_END:
+	case DFF_COMMAND_RECORD_OUTCOME:
 		end_unit (play, unit, command);
 		return;
 	case DFF_COMMAND_RELEASE_TASK:
--- a/bench/rings.c
+++ b/bench/rings.c
@@ -285,7 +285,7 @@
 			workers[i].data_centre = dff_name_printf ("dc-%d", i * 3 / 50);
 			workers[i].slots = 8;
 		}
-		g_autoptr (GPtrArray) shares = dff_grants_share (workers, 50, shared, 9);
+		g_autoptr (GPtrArray) shares = dff_grants_assign (workers, 50, shared, 9);
 		for (guint i = 0; i < 9; i++)
 			add_share (shares->pdata[i], &members[i], workers, &one);
 		sum.same += one.same / 400;
--- a/bench/routing.c
+++ b/bench/routing.c
@@ -53,7 +53,7 @@
 choose_of_two (struct view *view)
 {
 	struct dff_slot slot;
-	if (dff_slots_take (view->slots, 0, &slot) != DFF_SLOT_TAKEN)
+	if (dff_slots_acquire (view->slots, 0, &slot) != DFF_SLOT_ACQUIRED)
 		abort ();
 	return (int32_t)strtol (slot.worker.data + 1, NULL, 10);
 }
--- a/bench/runner.c
+++ b/bench/runner.c
@@ -46,7 +46,7 @@
 	runner->active = g_hash_table_new (NULL, NULL);
 	runner->answers.heap = g_array_new (FALSE, FALSE, sizeof (struct dff_answer));
 	runner->claims = dff_claims_new (pool);
-	dff_fragmentation_init (&runner->fragmentation, dff_pool_adjacent_unit (pool),
+	dff_fragmentation_init (&runner->fragmentation, dff_pool_largest_rack_shape (pool),
 				pool->racks->len, until_ms);
 	for (guint i = 0; i < pool->racks->len; i++) {
 		const struct dff_rack *rack = &g_array_index (pool->racks, struct dff_rack, i);
--- a/bench/runner_tasks.c
+++ b/bench/runner_tasks.c
@@ -183,7 +183,7 @@
 		count_lost_work (runner, dff_runner_job_at (runner, index), now_ms);
 		attempt_close (runner, index);
 		return;
-	case DFF_COMMAND_RECORD_END:
+	case DFF_COMMAND_RECORD_OUTCOME:
 		command_end (runner, index, command, now_ms);
 		return;
 	default:
--- a/bench/slopes/core_load.c
+++ b/bench/slopes/core_load.c
@@ -180,7 +180,7 @@
 	case DFF_COMMAND_STOP_TASK:
 		*event = DFF_EVENT_TASK_STOPPED;
 		return true;
-	case DFF_COMMAND_RECORD_END:
+	case DFF_COMMAND_RECORD_OUTCOME:
 		*event = DFF_EVENT_OUTCOME_RECORDED;
 		return true;
 	default:
@@ -225,7 +225,7 @@
 		struct dff_job_spec spec = core_load_job (load, GANG, i % ACCELERATED_EVERY == 0);
 		core_load_submit (load, &spec);
 		core_load_settle (load);
-		if (dff_core_job_phase (load->core, &spec.id) == DFF_JOB_RUNNING)
+		if (dff_core_job_phase (load->core, &spec.id) == DFF_JOB_PHASE_RUNNING)
 			n_running += GANG;
 	}
 	return n_running;
--- a/bench/slopes/recovery.c
+++ b/bench/slopes/recovery.c
@@ -18,7 +18,7 @@
 struct takeover {
 	struct dff_clock_virtual clock;
 	struct dff_memory *memory;
-	struct dff_memory_caller *caller;
+	struct dff_memory_handle *caller;
 	struct dff_memory_workers *workers;
 	struct dff_metrics *metrics;
 	struct dff_tracer *tracer;
@@ -107,7 +107,7 @@
 	cell.instance = dff_name_from ("entry-1");
 	cell.region = dff_name_from (REGION);
 	cell.table = &takeover->caller->table;
-	cell.workers = dff_memory_workers_client (takeover->workers);
+	cell.workers = dff_memory_workers_interface (takeover->workers);
 	cell.clock = &takeover->clock.clock;
 	cell.metrics = takeover->metrics;
 	cell.tracer = takeover->tracer;
--- a/bench/slopes/site.c
+++ b/bench/slopes/site.c
@@ -35,7 +35,7 @@
 	struct event_base *base;
 	struct dff_platform_server *platform;
 	struct relay *relay;
-	struct dff_memory_caller *store;
+	struct dff_memory_handle *store;
 	struct dff_metrics *metrics;
 	struct dff_http_client *http;
 	/** Elements: struct site_worker. */
--- a/bench/slopes/watching.c
+++ b/bench/slopes/watching.c
@@ -27,7 +27,7 @@
 	struct event_base *base;
 	struct dff_metrics *metrics;
 	struct dff_memory *memory;
-	struct dff_memory_caller *store;
+	struct dff_memory_handle *store;
 	struct dff_standin_worker *worker;
 	struct dff_worker_server *server;
 	struct relay *relay;
@@ -38,7 +38,7 @@
 };
 
 static void
-ignore_sighting (void *ctx, const struct dff_worker_sighting *sighting)
+ignore_sighting (void *ctx, const struct dff_worker_report *sighting)
 {
 	(void)ctx;
 	(void)sighting;
@@ -93,7 +93,7 @@
 	watch->workers = dff_http_worker_new (&workers);
 	struct dff_watcher_options options;
 	dff_watcher_options_init (&options);
-	options.workers = dff_http_worker_client (watch->workers);
+	options.workers = dff_http_worker_interface (watch->workers);
 	options.clock = dff_clock_system ();
 	options.metrics = watch->metrics;
 	options.seed = 1;
@@ -224,7 +224,7 @@
 	slopes_add (slopes, &answer, n, (double)body->len);
 	struct dff_message message = {
 		.sender = dff_name_from ("entry-1"),
-		.kind = DFF_MESSAGE_SIGHTING,
+		.kind = DFF_MESSAGE_WORKER_REPORT,
 		.worker_report = {.worker = dff_name_from ("r100-w1"),
 				  .reachable = true,
 				  .reports = data,
--- a/bench/store-writes.c
+++ b/bench/store-writes.c
@@ -28,7 +28,7 @@
 struct bench {
 	struct dff_clock_virtual clock;
 	struct dff_memory *memory;
-	struct dff_memory_caller *caller;
+	struct dff_memory_handle *caller;
 	struct dff_metrics *metrics;
 	struct dff_recorder *recorder;
 	struct job jobs[N_JOBS];
@@ -84,7 +84,7 @@
 {
 	(void)revision;
 	struct job *job = user;
-	if (outcome != DFF_RECORD_DONE) {
+	if (outcome != DFF_RECORD_COMMITTED) {
 		fprintf (stderr, "A job was not recorded.\n");
 		exit (EXIT_FAILURE);
 	}
--- a/cell/calls.c
+++ b/cell/calls.c
@@ -151,7 +151,7 @@
 	case DFF_CELL_WANT_STOP:
 		/* A refused stop may mean that a newer holder is known there. */
 		if (outcome == DFF_WORKER_REFUSED)
-			dff_lease_verify (cell->lease);
+			dff_lease_request_renewal (cell->lease);
 		repeat (cell, job, member, call->task.member);
 		break;
 	}
--- a/cell/cell.c
+++ b/cell/cell.c
@@ -331,7 +331,7 @@
 }
 
 void
-dff_cell_hint (struct dff_cell *cell, const struct dff_name *job)
+dff_cell_handle_job_hint (struct dff_cell *cell, const struct dff_name *job)
 {
 	(void)job;
 	cell->feed.hinted = true;
--- a/cell/cell_private.h
+++ b/cell/cell_private.h
@@ -52,7 +52,7 @@
 	int64_t started_ms;
 	/** The core knows how it ended. */
 	bool over;
-	/** Take-over: what its worker said; DFF_TASK_UNSEEN also for no answer. */
+	/** Take-over: what its worker said; DFF_TASK_UNKNOWN also for no answer. */
 	enum dff_task_state found;
 };
 
@@ -269,7 +269,7 @@
 	struct dff_cell_feed feed;
 	struct dff_cell_recovery recovery;
 	struct dff_cell_retention retention;
-	struct dff_cell_attempts attempt_retention;
+	struct dff_cell_attempt_retention attempt_retention;
 	/** Rows that were found or became ended and are still there, by outcome. */
 	int64_t ended[DFF_OUTCOME_UNKNOWN + 1];
 	struct dff_cell_metrics metrics;
--- a/cell/executor.c
+++ b/cell/executor.c
@@ -116,7 +116,7 @@
 		dff_cell_span_next (cell, job, "retry", "queue");
 		dff_cell_record (cell, job, write_new (command, DFF_CELL_WRITE_RETRY));
 		break;
-	case DFF_COMMAND_RECORD_END:
+	case DFF_COMMAND_RECORD_OUTCOME:
 		dff_cell_span_next (cell, job, dff_outcome_name (command->outcome), "record");
 		dff_cell_record (cell, job, write_new (command, DFF_CELL_WRITE_END));
 		break;
--- a/cell/lease.c
+++ b/cell/lease.c
@@ -190,7 +190,7 @@
 }
 
 void
-dff_lease_depose (struct dff_lease *lease)
+dff_lease_mark_fenced (struct dff_lease *lease)
 {
 	if (lease->phase != DFF_LEASE_HELD)
 		return;
@@ -201,7 +201,7 @@
 }
 
 void
-dff_lease_verify (struct dff_lease *lease)
+dff_lease_request_renewal (struct dff_lease *lease)
 {
 	if (lease->phase == DFF_LEASE_HELD)
 		lease->next_ms = MIN (lease->next_ms, now_ms (lease) + RETRY_MIN_MS);
@@ -311,7 +311,7 @@
 	if (lease->commit.purpose == DFF_LEASE_RELEASE)
 		lease->phase = DFF_LEASE_RELEASED;
 	else if (lease->commit.purpose == DFF_LEASE_RENEW)
-		dff_lease_depose (lease);
+		dff_lease_mark_fenced (lease);
 	else if (lease->phase == DFF_LEASE_WATCHING)
 		watch_again (lease);
 }
@@ -443,7 +443,7 @@
 lapse_if_due (struct dff_lease *lease)
 {
 	if (lease->phase == DFF_LEASE_HELD && !dff_lease_is_held (lease))
-		dff_lease_depose (lease);
+		dff_lease_mark_fenced (lease);
 	int64_t end_ms = lease->held_from_ms + lease->options.lease_ms;
 	if (lease->phase == DFF_LEASE_RELEASING && now_ms (lease) >= end_ms)
 		lease->phase = DFF_LEASE_RELEASED;
--- a/cell/lease.h
+++ b/cell/lease.h
@@ -57,10 +57,10 @@
 struct dff_str dff_lease_epoch_key (const struct dff_lease *lease);
 
 /** A condition on the epoch row failed: another process holds the cell. */
-void dff_lease_depose (struct dff_lease *lease);
+void dff_lease_mark_fenced (struct dff_lease *lease);
 
 /** Asks for an early renewal, to learn soon whether the lease still holds. */
-void dff_lease_verify (struct dff_lease *lease);
+void dff_lease_request_renewal (struct dff_lease *lease);
 
 /** Writes the lease row empty, so that the next candidate need not wait. The lease counts as not
  * held from now on and is not taken again. */
--- a/cell/records.c
+++ b/cell/records.c
@@ -233,7 +233,7 @@
 		return;
 	}
 	if (!epoch_is_ours (cell, result)) {
-		dff_lease_depose (cell->lease);
+		dff_lease_mark_fenced (cell->lease);
 		return;
 	}
 	g_autoptr (GString) key = dff_job_row_key (&job->row->spec.id);
@@ -273,13 +273,13 @@
 		return;
 	const struct dff_cell_write *write = g_queue_peek_head (&job->writes);
 	switch (outcome) {
-	case DFF_RECORD_DONE:
+	case DFF_RECORD_COMMITTED:
 		write_done (cell, job, revision);
 		break;
 	case DFF_RECORD_CONFLICT:
 		reread (cell, job);
 		break;
-	case DFF_RECORD_NOT_DONE:
+	case DFF_RECORD_NOT_COMMITTED:
 		if (write->type == DFF_CELL_WRITE_START)
 			refuse_start (cell, job);
 		else
--- a/cell/recovery.c
+++ b/cell/recovery.c
@@ -179,7 +179,7 @@
 	if (whole || !open)
 		dff_cell_span_next (cell, job, "ok", whole ? "run" : "queue");
 	job->cancel_told = row->cancel_requested;
-	const struct dff_recovered recovered = {
+	const struct dff_recovered_attempt recovered = {
 		.attempt = row->attempt,
 		.open = open,
 		.cancelled = row->cancel_requested,
--- a/cell/reports.c
+++ b/cell/reports.c
@@ -100,7 +100,7 @@
 		return;
 	member->released = member->released || report->ran;
 	switch (report->state) {
-	case DFF_TASK_UNSEEN:
+	case DFF_TASK_UNKNOWN:
 		break;
 	case DFF_TASK_HELD:
 	case DFF_TASK_RUNNING:
--- a/cell/retention.c
+++ b/cell/retention.c
@@ -237,7 +237,7 @@
 	struct dff_cell_call call;
 	if (end_call (user, &call))
 		set_verdict (call.cell,
-			     outcome == DFF_RECORD_DONE ? DFF_VERDICT_GONE : DFF_VERDICT_KEPT);
+			     outcome == DFF_RECORD_COMMITTED ? DFF_VERDICT_GONE : DFF_VERDICT_KEPT);
 }
 
 /* Deletes @key, and "idem/HASH" with it unless @hash is NULL, if @condition holds, and @key is
@@ -344,7 +344,7 @@
 {
 	(void)revision;
 	struct dff_cell_call call;
-	if (!end_call (user, &call) || outcome != DFF_RECORD_DONE)
+	if (!end_call (user, &call) || outcome != DFF_RECORD_COMMITTED)
 		return;
 	struct dff_cell *cell = call.cell;
 	*cell->metrics.expired += 1;
@@ -411,7 +411,7 @@
 	struct dff_cell_retention *retention = &cell->retention;
 	take_note (cell);
 	if (retention->n_waiting > 0 || dff_cell_now_ms (cell) < retention->due_ms ||
-	    seen_revision (cell) == 0 || dff_recorder_is_open (cell->options.recorder))
+	    seen_revision (cell) == 0 || dff_recorder_is_breaker_open (cell->options.recorder))
 		return;
 	if (retention->judging)
 		judge_jobs (cell);
--- a/cell/retention.h
+++ b/cell/retention.h
@@ -37,7 +37,7 @@
 };
 
 /** The sweep that deletes records of requests. */
-struct dff_cell_attempts {
+struct dff_cell_attempt_retention {
 	/** Rows of the last page that may go, and the next one of them. */
 	GArray *expired;
 	guint next;
--- a/cell/retention_attempts.c
+++ b/cell/retention_attempts.c
@@ -37,7 +37,7 @@
 void
 dff_cell_attempts_clear (struct dff_cell *cell)
 {
-	struct dff_cell_attempts *attempts = &cell->attempt_retention;
+	struct dff_cell_attempt_retention *attempts = &cell->attempt_retention;
 	g_array_set_size (attempts->expired, 0);
 	attempts->next = 0;
 	attempts->cursor = 0;
@@ -83,7 +83,7 @@
 static void
 take_row (struct dff_cell *cell, const struct dff_table_row *row)
 {
-	struct dff_cell_attempts *attempts = &cell->attempt_retention;
+	struct dff_cell_attempt_retention *attempts = &cell->attempt_retention;
 	const size_t skipped = strlen (PREFIX);
 	struct expired expired = {.revision = row->revision};
 	attempts->cursor = row->revision;
@@ -103,7 +103,7 @@
 	struct dff_cell_call call;
 	if (!dff_cell_call_end (user, &call))
 		return;
-	struct dff_cell_attempts *attempts = &call.cell->attempt_retention;
+	struct dff_cell_attempt_retention *attempts = &call.cell->attempt_retention;
 	attempts->n_waiting -= 1;
 	if (result->outcome != DFF_TABLE_OK)
 		return;
@@ -115,7 +115,7 @@
 static void
 read_page (struct dff_cell *cell)
 {
-	struct dff_cell_attempts *attempts = &cell->attempt_retention;
+	struct dff_cell_attempt_retention *attempts = &cell->attempt_retention;
 	const struct dff_table *table = cell->options.table;
 	g_array_set_size (attempts->expired, 0);
 	attempts->next = 0;
@@ -132,7 +132,7 @@
 	if (!dff_cell_call_end (user, &call))
 		return;
 	call.cell->attempt_retention.n_waiting -= 1;
-	if (outcome == DFF_RECORD_DONE)
+	if (outcome == DFF_RECORD_COMMITTED)
 		*call.cell->metrics.attempts_expired += 1;
 }
 
@@ -160,7 +160,7 @@
 static void
 delete_some (struct dff_cell *cell)
 {
-	struct dff_cell_attempts *attempts = &cell->attempt_retention;
+	struct dff_cell_attempt_retention *attempts = &cell->attempt_retention;
 	guint end = MIN (attempts->next + DELETE_UNITS, attempts->expired->len);
 	while (attempts->next < end)
 		delete_one (cell,
@@ -170,10 +170,10 @@
 void
 dff_cell_attempts_tick (struct dff_cell *cell)
 {
-	struct dff_cell_attempts *attempts = &cell->attempt_retention;
+	struct dff_cell_attempt_retention *attempts = &cell->attempt_retention;
 	int64_t now_ms = dff_cell_now_ms (cell);
 	if (attempts->n_waiting > 0 || now_ms < attempts->due_ms ||
-	    dff_recorder_is_open (cell->options.recorder))
+	    dff_recorder_is_breaker_open (cell->options.recorder))
 		return;
 	attempts->due_ms = now_ms + STEP_INTERVAL_MS;
 	if (attempts->next < attempts->expired->len) {
--- a/cell/workers.c
+++ b/cell/workers.c
@@ -243,7 +243,7 @@
 }
 
 static bool
-misses_a_task (const struct dff_cell *cell, const struct dff_worker_sighting *sighting)
+misses_a_task (const struct dff_cell *cell, const struct dff_worker_report *sighting)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -269,7 +269,7 @@
 }
 
 void
-dff_cell_sighting (struct dff_cell *cell, const struct dff_worker_sighting *sighting)
+dff_cell_handle_worker_report (struct dff_cell *cell, const struct dff_worker_report *sighting)
 {
 	struct dff_cell_worker *worker = dff_cell_worker_find (cell, &sighting->worker);
 	if (worker == NULL || !dff_cell_is_holder (cell))
--- a/client/apply.c
+++ b/client/apply.c
@@ -38,7 +38,7 @@
 }
 
 static int
-put_pool (struct dff_caller *caller, struct dff_str file, int64_t base, int64_t *generation)
+put_pool (struct dff_api_client *caller, struct dff_str file, int64_t base, int64_t *generation)
 {
 	g_autofree char *if_match = g_strdup_printf ("\"%" G_GINT64_FORMAT "\"", base);
 	/* The same file on the same base is the same application, so that it may be sent again when
@@ -62,12 +62,12 @@
 
 /* Asks every server once. Returns: the last answer that was no success; NULL: none. */
 static struct dff_call_response *
-ask_all (struct dff_caller *caller, struct dff_pool_progress *progress)
+ask_all (struct dff_api_client *caller, struct dff_pool_progress *progress)
 {
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_GET, .path = "/v1/status", .no_retry = true};
 	struct dff_call_response *failure = NULL;
-	for (guint i = 0; i < dff_caller_n_servers (caller); i++) {
+	for (guint i = 0; i < dff_api_client_n_servers (caller); i++) {
 		request.only_server = i + 1;
 		struct dff_call_response *response = dff_call (caller, &request);
 		if (dff_call_response_is_success (response)) {
@@ -87,7 +87,7 @@
 }
 
 static int
-wait_in_force (struct dff_caller *caller, int64_t generation)
+wait_in_force (struct dff_api_client *caller, int64_t generation)
 {
 	do {
 		DFF_AUTO (dff_pool_progress) progress = dff_pool_progress_new (generation);
@@ -101,8 +101,8 @@
 			printf ("in force on %u processes\n", n_live);
 			return DFF_EXIT_OK;
 		}
-		dff_caller_pause (caller, POLL_MS);
-	} while (dff_caller_remaining_ms (caller) > 0);
+		dff_api_client_sleep (caller, POLL_MS);
+	} while (dff_api_client_remaining_ms (caller) > 0);
 	fputs ("dragonflyfold: not in force on every live process in time\n", stderr);
 	return DFF_EXIT_PENDING;
 }
@@ -113,7 +113,7 @@
 	g_autoptr (GString) file = dff_file_read (path);
 	if (file == NULL)
 		return DFF_EXIT_FAILED;
-	DFF_AUTO (dff_caller) caller = dff_caller_new (connection);
+	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
 	int64_t generation = 0;
 	int exit_code =
 		put_pool (caller, (struct dff_str){file->str, file->len}, base, &generation);
@@ -131,14 +131,14 @@
 	bool wait = false;
 	int option;
 	int exit_code = DFF_EXIT_OK;
-	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT "b:w", options, NULL)) !=
-	       -1) {
+	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT_OPTIONS "b:w", options,
+				      NULL)) != -1) {
 		if (option == 'w')
 			wait = true;
 		else if (option == 'b' && !parse_generation (optarg, &base))
 			return DFF_EXIT_USAGE;
 		else if (option != 'b' &&
-			 !dff_connection_option (connection, option, usage, &exit_code))
+			 !dff_connection_handle_option (connection, option, usage, &exit_code))
 			return exit_code;
 	}
 	if (optind + 1 != argc || base < 0)
--- a/client/batch.c
+++ b/client/batch.c
@@ -82,7 +82,7 @@
 
 /* Returns: -1 while jobs have not ended, else the exit code. */
 static int
-poll_batch (struct dff_caller *caller, const char *path)
+poll_batch (struct dff_api_client *caller, const char *path)
 {
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_GET, .path = path, .idempotent = true};
@@ -104,15 +104,15 @@
 }
 
 int
-dff_batch_wait (struct dff_caller *caller, const struct dff_name *batch)
+dff_batch_wait (struct dff_api_client *caller, const struct dff_name *batch)
 {
 	g_autofree char *path = g_strconcat ("/v1/batches/", batch->data, NULL);
 	do {
 		int exit_code = poll_batch (caller, path);
 		if (exit_code >= 0)
 			return exit_code;
-		dff_caller_pause (caller, POLL_MS);
-	} while (dff_caller_remaining_ms (caller) > 0);
+		dff_api_client_sleep (caller, POLL_MS);
+	} while (dff_api_client_remaining_ms (caller) > 0);
 	fprintf (stderr, "dragonflyfold: batch %s has not ended in time\n", batch->data);
 	return DFF_EXIT_PENDING;
 }
@@ -149,7 +149,7 @@
 }
 
 static int
-collect_one (struct dff_caller *caller,
+collect_one (struct dff_api_client *caller,
 	     const struct dff_name *job,
 	     const char *directory,
 	     GString *lines)
@@ -176,7 +176,7 @@
 }
 
 int
-dff_batch_collect (struct dff_caller *caller, const json_t *jobs, const char *directory)
+dff_batch_collect (struct dff_api_client *caller, const json_t *jobs, const char *directory)
 {
 	if (directory != NULL && g_mkdir_with_parents (directory, 0777) != 0) {
 		fprintf (stderr, "dragonflyfold: %s: %s\n", directory, g_strerror (errno));
--- a/client/call.c
+++ b/client/call.c
@@ -17,7 +17,7 @@
 #define MAX_BACKOFF_MS 2000
 #define MAX_HEADERS 7
 
-struct dff_caller {
+struct dff_api_client {
 	struct event_base *base;
 	struct dff_metrics *metrics;
 	struct dff_http_client *http;
@@ -41,10 +41,10 @@
 	return dff_clock_now_ms (dff_clock_system ());
 }
 
-struct dff_caller *
-dff_caller_new_on (const struct dff_connection *connection, struct event_base *base)
+struct dff_api_client *
+dff_api_client_new_on (const struct dff_connection *connection, struct event_base *base)
 {
-	struct dff_caller *caller = g_new0 (struct dff_caller, 1);
+	struct dff_api_client *caller = g_new0 (struct dff_api_client, 1);
 	caller->base = base;
 	caller->metrics = dff_metrics_new ();
 	struct dff_http_client_options options;
@@ -65,14 +65,14 @@
 	return caller;
 }
 
-struct dff_caller *
-dff_caller_new (const struct dff_connection *connection)
+struct dff_api_client *
+dff_api_client_new (const struct dff_connection *connection)
 {
-	return dff_caller_new_on (connection, event_base_new ());
+	return dff_api_client_new_on (connection, event_base_new ());
 }
 
 void
-dff_caller_free (struct dff_caller *caller)
+dff_api_client_free (struct dff_api_client *caller)
 {
 	if (caller == NULL)
 		return;
@@ -86,13 +86,13 @@
 }
 
 int64_t
-dff_caller_remaining_ms (const struct dff_caller *caller)
+dff_api_client_remaining_ms (const struct dff_api_client *caller)
 {
 	return MAX (caller->deadline_ms - now_ms (), 0);
 }
 
 guint
-dff_caller_n_servers (const struct dff_caller *caller)
+dff_api_client_n_servers (const struct dff_api_client *caller)
 {
 	return caller->servers->len;
 }
@@ -106,9 +106,9 @@
 }
 
 void
-dff_caller_pause (struct dff_caller *caller, int64_t ms)
+dff_api_client_sleep (struct dff_api_client *caller, int64_t ms)
 {
-	int64_t pause_ms = MIN (ms, dff_caller_remaining_ms (caller));
+	int64_t pause_ms = MIN (ms, dff_api_client_remaining_ms (caller));
 	if (pause_ms <= 0)
 		return;
 	struct timeval time = {pause_ms / 1000, (pause_ms % 1000) * 1000};
@@ -175,7 +175,7 @@
 }
 
 static enum dff_http_outcome
-exchange_with (struct dff_caller *caller,
+exchange_with (struct dff_api_client *caller,
 	       const struct dff_name *server,
 	       const struct dff_call_request *request,
 	       bool first,
@@ -197,7 +197,7 @@
 		.headers = headers,
 		.n_headers = n,
 		.body = request->body,
-		.timeout_ms = (int32_t)MAX (MIN (limit, dff_caller_remaining_ms (caller)), 1),
+		.timeout_ms = (int32_t)MAX (MIN (limit, dff_api_client_remaining_ms (caller)), 1),
 	};
 	struct exchange exchange = {.base = caller->base, .response = response};
 	dff_http_client_send (caller->http, &http, on_answer, &exchange);
@@ -240,7 +240,7 @@
 }
 
 struct dff_call_response *
-dff_call (struct dff_caller *caller, const struct dff_call_request *request)
+dff_call (struct dff_api_client *caller, const struct dff_call_request *request)
 {
 	struct dff_call_response *response = dff_call_response_new ();
 	guint n_candidates = request->only_server > 0 ? 1 : caller->servers->len;
@@ -263,9 +263,9 @@
 		if (attempt % n_candidates != 0)
 			continue;
 		int64_t pause_ms = MAX (jittered (backoff_ms), come_back_ms);
-		if (pause_ms >= dff_caller_remaining_ms (caller))
+		if (pause_ms >= dff_api_client_remaining_ms (caller))
 			return response;
-		dff_caller_pause (caller, pause_ms);
+		dff_api_client_sleep (caller, pause_ms);
 		backoff_ms = MIN (backoff_ms * 2, MAX_BACKOFF_MS);
 		come_back_ms = 0;
 	}
@@ -347,7 +347,7 @@
 }
 
 bool
-dff_call_response_is_whole (const struct dff_call_response *response)
+dff_call_response_matches_digest (const struct dff_call_response *response)
 {
 	const char *prefix = "sha-256=";
 	if (response->digest->len == 0)
--- a/client/cancel.c
+++ b/client/cancel.c
@@ -19,7 +19,7 @@
 static int
 cancel (const struct dff_connection *connection, const char *path)
 {
-	DFF_AUTO (dff_caller) caller = dff_caller_new (connection);
+	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_DELETE, .path = path, .idempotent = true};
 	DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
@@ -47,13 +47,13 @@
 	int n_subjects = 0;
 	int option;
 	int exit_code = DFF_EXIT_OK;
-	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT "B:T:", options, NULL)) !=
-	       -1) {
+	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT_OPTIONS "B:T:", options,
+				      NULL)) != -1) {
 		if (option == 'B' || option == 'T') {
 			prefix = option == 'B' ? "/v1/batches/" : "/v1/jobs?team=";
 			subject = optarg;
 			n_subjects++;
-		} else if (!dff_connection_option (connection, option, usage, &exit_code)) {
+		} else if (!dff_connection_handle_option (connection, option, usage, &exit_code)) {
 			return exit_code;
 		}
 	}
--- a/client/connection.c
+++ b/client/connection.c
@@ -107,10 +107,10 @@
 }
 
 bool
-dff_connection_option (struct dff_connection *connection,
-		       int option,
-		       const char *usage,
-		       int *exit_code)
+dff_connection_handle_option (struct dff_connection *connection,
+			      int option,
+			      const char *usage,
+			      int *exit_code)
 {
 	*exit_code = DFF_EXIT_USAGE;
 	switch (option) {
--- a/client/diff.c
+++ b/client/diff.c
@@ -30,7 +30,7 @@
 static int
 compare (const struct dff_connection *connection, const GString *file)
 {
-	DFF_AUTO (dff_caller) caller = dff_caller_new (connection);
+	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_GET, .path = "/v1/pool", .idempotent = true};
 	DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
@@ -53,8 +53,9 @@
 	DFF_AUTO (dff_connection) connection = dff_connection_new ();
 	int option;
 	int exit_code = DFF_EXIT_OK;
-	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT, options, NULL)) != -1) {
-		if (!dff_connection_option (connection, option, usage, &exit_code))
+	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT_OPTIONS, options, NULL)) !=
+	       -1) {
+		if (!dff_connection_handle_option (connection, option, usage, &exit_code))
 			return exit_code;
 	}
 	if (optind + 1 != argc)
--- a/client/drain.c
+++ b/client/drain.c
@@ -18,8 +18,9 @@
 	DFF_AUTO (dff_connection) connection = dff_connection_new ();
 	int option;
 	int exit_code = DFF_EXIT_OK;
-	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT, options, NULL)) != -1) {
-		if (!dff_connection_option (connection, option, usage, &exit_code))
+	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT_OPTIONS, options, NULL)) !=
+	       -1) {
+		if (!dff_connection_handle_option (connection, option, usage, &exit_code))
 			return exit_code;
 	}
 	if (optind != argc)
@@ -29,7 +30,7 @@
 	/* With several servers an answer that was lost would drain a second process. */
 	if (connection->servers->len != 1)
 		return dff_usage_fail ("drain", "expected exactly one --server");
-	DFF_AUTO (dff_caller) caller = dff_caller_new (connection);
+	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_POST, .path = "/v1/drain", .idempotent = true};
 	DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
--- a/client/result.c
+++ b/client/result.c
@@ -23,7 +23,7 @@
 };
 
 static struct dff_call_response *
-fetch_once (struct dff_caller *caller, const struct dff_name *job, int64_t wait_ms)
+fetch_once (struct dff_api_client *caller, const struct dff_name *job, int64_t wait_ms)
 {
 	g_autofree char *path = g_strdup_printf ("/v1/jobs/%s/result?wait_ms=%" G_GINT64_FORMAT,
 						 job->data, wait_ms);
@@ -37,20 +37,20 @@
 }
 
 struct dff_call_response *
-dff_result_fetch (struct dff_caller *caller, const struct dff_name *job, bool wait)
+dff_result_fetch (struct dff_api_client *caller, const struct dff_name *job, bool wait)
 {
 	for (;;) {
-		int64_t remaining_ms = dff_caller_remaining_ms (caller);
+		int64_t remaining_ms = dff_api_client_remaining_ms (caller);
 		int64_t wait_ms = wait ? MIN (LONG_POLL_MS, remaining_ms / 2) : 0;
 		struct dff_call_response *response = fetch_once (caller, job, wait_ms);
-		if (response->status == 200 && !dff_call_response_is_whole (response)) {
+		if (response->status == 200 && !dff_call_response_matches_digest (response)) {
 			response->status = 0;
 			response->digest_mismatch = true;
 		}
 		if (response->status != 202 || !wait || remaining_ms <= PAUSE_MS)
 			return response;
 		dff_call_response_free (response);
-		dff_caller_pause (caller, PAUSE_MS);
+		dff_api_client_sleep (caller, PAUSE_MS);
 	}
 }
 
@@ -78,13 +78,13 @@
 	bool wait = false;
 	int option;
 	int exit_code = DFF_EXIT_OK;
-	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT "o:w", options, NULL)) !=
-	       -1) {
+	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT_OPTIONS "o:w", options,
+				      NULL)) != -1) {
 		if (option == 'w')
 			wait = true;
 		else if (option == 'o')
 			output = optarg;
-		else if (!dff_connection_option (connection, option, usage, &exit_code))
+		else if (!dff_connection_handle_option (connection, option, usage, &exit_code))
 			return exit_code;
 	}
 	struct dff_name job;
@@ -92,7 +92,7 @@
 		return dff_usage_fail ("result", "expected one ID");
 	if (!dff_connection_complete (connection))
 		return DFF_EXIT_USAGE;
-	DFF_AUTO (dff_caller) caller = dff_caller_new (connection);
+	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
 	DFF_AUTO (dff_call_response) response = dff_result_fetch (caller, &job, wait);
 	if (response->status != 200)
 		return dff_result_report (response, &job);
--- a/client/status.c
+++ b/client/status.c
@@ -68,12 +68,12 @@
 
 /* Asks each server for its status until one holds the cell; the last answer else. */
 static struct dff_call_response *
-call_status (struct dff_caller *caller, bool of_holder, json_t **status)
+call_status (struct dff_api_client *caller, bool of_holder, json_t **status)
 {
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_GET, .path = "/v1/status", .idempotent = true};
 	struct dff_call_response *response = NULL;
-	for (guint i = 0; i < dff_caller_n_servers (caller); i++) {
+	for (guint i = 0; i < dff_api_client_n_servers (caller); i++) {
 		json_decref (*status);
 		dff_call_response_free (response);
 		request.only_server = of_holder ? i + 1 : 0;
@@ -86,7 +86,7 @@
 }
 
 static int
-show_status (struct dff_caller *caller, const struct topic *topic, bool as_json)
+show_status (struct dff_api_client *caller, const struct topic *topic, bool as_json)
 {
 	json_t *status = NULL;
 	bool in_cell = topic != NULL && topic->in_cell;
@@ -108,7 +108,7 @@
 }
 
 static int
-show_one (struct dff_caller *caller, const struct topic *topic, const char *id, bool as_json)
+show_one (struct dff_api_client *caller, const struct topic *topic, const char *id, bool as_json)
 {
 	struct dff_name name;
 	if (!dff_name_parse (dff_str_from (id), &name)) {
@@ -136,7 +136,7 @@
 	bool is_known = name == NULL || topic != NULL;
 	if (!is_known || (id != NULL && !takes_id) || (id == NULL && needs_id))
 		return dff_usage_fail ("status", expected);
-	DFF_AUTO (dff_caller) caller = dff_caller_new (connection);
+	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
 	return id != NULL ? show_one (caller, topic, id, as_json)
 			  : show_status (caller, topic, as_json);
 }
@@ -148,10 +148,11 @@
 	bool as_json = false;
 	int option;
 	int exit_code = DFF_EXIT_OK;
-	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT "j", options, NULL)) != -1) {
+	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT_OPTIONS "j", options,
+				      NULL)) != -1) {
 		if (option == 'j')
 			as_json = true;
-		else if (!dff_connection_option (connection, option, usage, &exit_code))
+		else if (!dff_connection_handle_option (connection, option, usage, &exit_code))
 			return exit_code;
 	}
 	if (argc - optind > 2)
--- a/client/submit.c
+++ b/client/submit.c
@@ -62,7 +62,9 @@
 }
 
 static int
-finish_job (struct dff_caller *caller, const struct submission *submission, const json_t *answer)
+finish_job (struct dff_api_client *caller,
+	    const struct submission *submission,
+	    const json_t *answer)
 {
 	struct dff_name job;
 	if (!name_of_member (answer, "id", &job))
@@ -81,7 +83,9 @@
 }
 
 static int
-finish_batch (struct dff_caller *caller, const struct submission *submission, const json_t *answer)
+finish_batch (struct dff_api_client *caller,
+	      const struct submission *submission,
+	      const json_t *answer)
 {
 	struct dff_name batch;
 	if (!name_of_member (answer, "batch", &batch))
@@ -100,7 +104,7 @@
 }
 
 static int
-post (struct dff_caller *caller,
+post (struct dff_api_client *caller,
       const struct submission *submission,
       struct dff_str body,
       const char *batch_count)
@@ -138,7 +142,7 @@
 		return DFF_EXIT_FAILED;
 	struct dff_str body = {file->str, file->len};
 	g_autofree char *count = g_strdup_printf ("%zu", dff_batch_count_lines (body));
-	DFF_AUTO (dff_caller) caller = dff_caller_new (connection);
+	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
 	return post (caller, submission, body, count);
 }
 
@@ -171,7 +175,7 @@
 		return DFF_EXIT_REFUSED;
 	g_autofree char *text = json_dumps (job, JSON_COMPACT);
 	json_decref (job);
-	DFF_AUTO (dff_caller) caller = dff_caller_new (connection);
+	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
 	return post (caller, submission, dff_str_from (text), NULL);
 }
 
@@ -203,7 +207,7 @@
 		submission->wait = true;
 		return true;
 	default:
-		return dff_connection_option (connection, option, usage, exit_code);
+		return dff_connection_handle_option (connection, option, usage, exit_code);
 	}
 }
 
@@ -216,7 +220,7 @@
 	DFF_AUTO (dff_connection) connection = dff_connection_new ();
 	int option;
 	int exit_code = DFF_EXIT_OK;
-	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT "f:B:k:o:w", options,
+	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT_OPTIONS "f:B:k:o:w", options,
 				      NULL)) != -1) {
 		if (!take_option (submission, connection, option, &exit_code))
 			return exit_code;
--- a/common/address.c
+++ b/common/address.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 bool
-dff_address_parse (const struct dff_name *address, struct sockaddr_in *parsed)
+dff_address_to_sockaddr (const struct dff_name *address, struct sockaddr_in *parsed)
 {
 	guint64 port;
 	char ip[INET_ADDRSTRLEN] = "";
@@ -34,11 +34,11 @@
 }
 
 bool
-dff_address_read (struct dff_str text, struct dff_name *address)
+dff_address_from_text (struct dff_str text, struct dff_name *address)
 {
 	struct sockaddr_in parsed;
 	*address = (struct dff_name){0};
-	if (dff_name_parse (text, address) && dff_address_parse (address, &parsed) &&
+	if (dff_name_parse (text, address) && dff_address_to_sockaddr (address, &parsed) &&
 	    parsed.sin_port != 0)
 		return true;
 	*address = (struct dff_name){0};
--- a/common/http_listen.c
+++ b/common/http_listen.c
@@ -9,7 +9,7 @@
 {
 	char ip[INET_ADDRSTRLEN];
 	struct sockaddr_in parsed;
-	if (!dff_address_parse (address, &parsed) ||
+	if (!dff_address_to_sockaddr (address, &parsed) ||
 	    inet_ntop (AF_INET, &parsed.sin_addr, ip, sizeof (ip)) == NULL)
 		return NULL;
 	struct evhttp_bound_socket *socket =
--- a/common/log.c
+++ b/common/log.c
@@ -27,7 +27,7 @@
 	int64_t dropped;
 } output;
 
-static const char *const part_names[DFF_LOG_N_PARTS] = {
+static const char *const part_names[DFF_LOG_N_CATEGORIES] = {
 	[DFF_LOG_CORE] = "core",         [DFF_LOG_CELL] = "cell",
 	[DFF_LOG_ENTRY] = "entry",       [DFF_LOG_PEER] = "peer",
 	[DFF_LOG_PLATFORM] = "platform", [DFF_LOG_POOL] = "pool",
@@ -49,7 +49,7 @@
 	[DFF_LOG_ERROR] = "error",
 };
 
-static log4c_category_t *categories[DFF_LOG_N_PARTS];
+static log4c_category_t *categories[DFF_LOG_N_CATEGORIES];
 
 static const char *
 priority_name (int priority)
@@ -140,7 +140,7 @@
 	log4c_appender_t *appender = log4c_appender_get (name);
 	log4c_appender_set_type (appender, type);
 	log4c_category_set_appender (log4c_category_get (ROOT_CATEGORY), appender);
-	for (size_t i = 0; i < DFF_LOG_N_PARTS; i++) {
+	for (size_t i = 0; i < DFF_LOG_N_CATEGORIES; i++) {
 		char name[64];
 		g_snprintf (name, sizeof (name), ROOT_CATEGORY ".%s", part_names[i]);
 		categories[i] = log4c_category_get (name);
@@ -184,7 +184,7 @@
 }
 
 void
-dff_log (enum dff_log_part part, enum dff_log_level level, const char *format, ...)
+dff_log (enum dff_log_category part, enum dff_log_level level, const char *format, ...)
 {
 	const log4c_category_t *category = categories[part];
 	if (category == NULL || !log4c_category_is_priority_enabled (category, priorities[level]))
--- a/common/setting.c
+++ b/common/setting.c
@@ -319,7 +319,7 @@
 }
 
 bool
-dff_setting_reader_names (const struct dff_setting_reader *reader, const char *key)
+dff_setting_reader_has_key (const struct dff_setting_reader *reader, const char *key)
 {
 	return json_object_get (reader->root, key) != NULL;
 }
@@ -353,7 +353,7 @@
 {
 	for (size_t i = 0; i < reader->table->n_settings; i++) {
 		const struct dff_setting *setting = &reader->table->settings[i];
-		if (!setting->required || dff_setting_reader_names (reader, setting->key))
+		if (!setting->required || dff_setting_reader_has_key (reader, setting->key))
 			continue;
 		g_autoptr (GString) expected = g_string_new (NULL);
 		append_expected (setting, expected);
--- a/core/core.c
+++ b/core/core.c
@@ -160,7 +160,7 @@
 	core->total = (struct dff_resources){0};
 	for (guint i = 0; i < pool->racks->len; i++) {
 		const struct dff_rack *rack = &g_array_index (pool->racks, struct dff_rack, i);
-		add_rack (core, rack, dff_pool_slots_set_aside (pool, rack));
+		add_rack (core, rack, dff_pool_dedicated_slots (pool, rack));
 	}
 	dff_core_headroom_rank (core);
 }
@@ -241,7 +241,7 @@
 		dff_core_team_at (core, (int32_t)i)->declared = false;
 	for (guint i = 0; i < pool->teams->len; i++)
 		set_team (core, &g_array_index (pool->teams, struct dff_team, i));
-	core->adjacent_unit = dff_pool_adjacent_unit (pool);
+	core->adjacent_unit = dff_pool_largest_rack_shape (pool);
 	core->policy = dff_core_policy_from (&pool->weights);
 	if (core->options.ageing_ms > 0.0) {
 		core->policy.ageing_ms = core->options.ageing_ms;
@@ -391,10 +391,10 @@
 	case DFF_EVENT_WORKER_STATE:
 		handle_worker_event (core, event);
 		return;
-	case DFF_EVENT_WORKER_RENEWED:
+	case DFF_EVENT_WORKER_RESTARTED:
 		dff_core_worker_renew (core, &event->worker);
 		return;
-	case DFF_EVENT_TASK_PACE:
+	case DFF_EVENT_TASK_DURATION:
 		dff_core_note_pace (core, event);
 		return;
 	case DFF_EVENT_WORKER_STALLED:
--- a/core/core_private.h
+++ b/core/core_private.h
@@ -188,7 +188,7 @@
 
 void dff_core_job_recover (struct dff_core *core,
 			   const struct dff_job_spec *spec,
-			   const struct dff_recovered *recovered);
+			   const struct dff_recovered_attempt *recovered);
 
 /* queue.c */
 
--- a/core/outcome.c
+++ b/core/outcome.c
@@ -10,7 +10,7 @@
 {
 	dff_core_set_state (core, job, DFF_CORE_ENDING, INT64_MAX);
 	dff_core_uncover (core, job);
-	struct dff_command *command = dff_core_emit (core, DFF_COMMAND_RECORD_END, job);
+	struct dff_command *command = dff_core_emit (core, DFF_COMMAND_RECORD_OUTCOME, job);
 	command->outcome = outcome;
 	command->reason = reason;
 }
--- a/core/recover.c
+++ b/core/recover.c
@@ -27,7 +27,7 @@
 }
 
 static bool
-recovered_is_whole (const struct dff_core_job *job, const struct dff_recovered *recovered)
+recovered_is_whole (const struct dff_core_job *job, const struct dff_recovered_attempt *recovered)
 {
 	return recovered->placements != NULL && recovered->running != NULL &&
 	       recovered->placements->len == (guint)job->gang &&
@@ -37,7 +37,7 @@
 static void
 resume_attempt (struct dff_core *core,
 		struct dff_core_job *job,
-		const struct dff_recovered *recovered)
+		const struct dff_recovered_attempt *recovered)
 {
 	job->members = g_new0 (struct dff_core_member, (gsize)job->gang);
 	job->placements = g_array_new (FALSE, TRUE, sizeof (struct dff_placement));
@@ -70,7 +70,7 @@
 void
 dff_core_job_recover (struct dff_core *core,
 		      const struct dff_job_spec *spec,
-		      const struct dff_recovered *recovered)
+		      const struct dff_recovered_attempt *recovered)
 {
 	struct dff_core_job *job = dff_core_job_add (core, spec);
 	job->attempt = recovered->attempt;
--- a/core/stats.c
+++ b/core/stats.c
@@ -22,22 +22,22 @@
 {
 	const struct dff_core_job *job = dff_core_find_job (core, id);
 	if (job == NULL)
-		return DFF_JOB_UNKNOWN;
+		return DFF_JOB_PHASE_UNKNOWN;
 	switch (job->state) {
 	case DFF_CORE_QUEUED:
 	case DFF_CORE_DELAYED:
 	case DFF_CORE_RESERVED:
-		return DFF_JOB_QUEUED;
+		return DFF_JOB_PHASE_QUEUED;
 	case DFF_CORE_RECORDING:
 	case DFF_CORE_STARTING:
-		return DFF_JOB_STARTING;
+		return DFF_JOB_PHASE_STARTING;
 	case DFF_CORE_RUNNING:
-		return DFF_JOB_RUNNING;
+		return DFF_JOB_PHASE_RUNNING;
 	case DFF_CORE_CHECKPOINTING:
 	case DFF_CORE_STOPPING:
-		return DFF_JOB_STOPPING;
+		return DFF_JOB_PHASE_STOPPING;
 	case DFF_CORE_ENDING:
 	default:
-		return DFF_JOB_ENDED;
+		return DFF_JOB_PHASE_ENDED;
 	}
 }
--- a/core/tables.c
+++ b/core/tables.c
@@ -213,7 +213,7 @@
 }
 
 bool
-dff_core_worker_has_room (const struct dff_core *core, const struct dff_name *name)
+dff_core_worker_within_capacity (const struct dff_core *core, const struct dff_name *name)
 {
 	int32_t index = dff_core_find_worker (core, name);
 	if (index == DFF_CORE_NONE)
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -41,7 +41,7 @@
 	struct dff_daemon *daemon = ctx;
 	int64_t now_ms = dff_clock_now_ms (daemon->clock);
 	dff_instance_watch_tick (daemon->instance_watch);
-	dff_pool_follower_tick (daemon->follower);
+	dff_pool_watch_tick (daemon->follower);
 	dff_peer_tick (daemon->peer);
 	tick_shares (daemon, now_ms);
 	dff_watcher_tick (daemon->watcher);
--- a/daemon/daemon_private.h
+++ b/daemon/daemon_private.h
@@ -44,7 +44,7 @@
 	struct dff_cell *cell;
 	struct dff_watcher *watcher;
 	struct dff_entry *entry;
-	struct dff_pool_follower *follower;
+	struct dff_pool_watch *follower;
 	struct dff_instance_watch *instance_watch;
 
 	/** Instances as last read. Elements: struct dff_instance. */
@@ -100,7 +100,7 @@
 void dff_daemon_handle_message (void *ctx, const uint8_t *data, size_t len);
 
 /** This process's watcher saw something. */
-void dff_daemon_handle_own_sighting (void *ctx, const struct dff_worker_sighting *sighting);
+void dff_daemon_handle_own_sighting (void *ctx, const struct dff_worker_report *sighting);
 
 /** Splits the request slots of the region's workers over the live processes, when holder. */
 void dff_daemon_share_grants (struct dff_daemon *daemon);
@@ -127,9 +127,9 @@
 				 const struct dff_name *job);
 
 /** Tells everybody who waits for @job. */
-void dff_daemon_tell_job_ended (struct dff_daemon *daemon,
-				const struct dff_name *job,
-				enum dff_outcome outcome);
+void dff_daemon_notify_job_ended (struct dff_daemon *daemon,
+				  const struct dff_name *job,
+				  enum dff_outcome outcome);
 
 /** Watches whether neither store nor peers answer, and tells the entry. */
 void dff_daemon_check_isolation (struct dff_daemon *daemon, int64_t now_ms);
--- a/daemon/drain.c
+++ b/daemon/drain.c
@@ -25,14 +25,14 @@
 }
 
 void
-dff_daemon_stop_now (struct dff_daemon *daemon)
+dff_daemon_abort (struct dff_daemon *daemon)
 {
 	daemon->cut_off = true;
 	event_base_loopexit (daemon->base, NULL);
 }
 
 bool
-dff_daemon_was_cut_off (const struct dff_daemon *daemon)
+dff_daemon_was_aborted (const struct dff_daemon *daemon)
 {
 	return daemon->cut_off;
 }
@@ -67,10 +67,10 @@
 			 times.elapsed_ms);
 		event_base_loopexit (daemon->base, NULL);
 		break;
-	case DFF_DRAIN_CUT_OFF:
+	case DFF_DRAIN_ABORT:
 		dff_log (DFF_LOG_SERVE, DFF_LOG_WARNING,
 			 "Drain given up, work is cut off. after_ms=%" PRId64, times.elapsed_ms);
-		dff_daemon_stop_now (daemon);
+		dff_daemon_abort (daemon);
 		break;
 	}
 }
--- a/daemon/drain_step.c
+++ b/daemon/drain_step.c
@@ -14,6 +14,6 @@
 	if (idle)
 		return DFF_DRAIN_END;
 	if (times->timeout_ms > 0 && times->elapsed_ms > times->timeout_ms)
-		return DFF_DRAIN_CUT_OFF;
+		return DFF_DRAIN_ABORT;
 	return DFF_DRAIN_WAIT;
 }
--- a/daemon/drain_step.h
+++ b/daemon/drain_step.h
@@ -11,7 +11,7 @@
 	/** Nothing is in flight: the process may end. */
 	DFF_DRAIN_END,
 	/** The time limit is over: what is in flight is cut off. */
-	DFF_DRAIN_CUT_OFF,
+	DFF_DRAIN_ABORT,
 };
 
 struct dff_drain_times {
--- a/daemon/events.c
+++ b/daemon/events.c
@@ -23,21 +23,21 @@
 				  struct dff_str text)
 {
 	struct dff_daemon *daemon = ctx;
-	dff_pool_follower_offer (daemon->follower, generation, revision, text);
+	dff_pool_watch_offer (daemon->follower, generation, revision, text);
 }
 
 static void
 handle_job_hint (void *ctx, const struct dff_name *job)
 {
 	struct dff_daemon *daemon = ctx;
-	dff_cell_hint (daemon->cell, job);
+	dff_cell_handle_job_hint (daemon->cell, job);
 }
 
 static void
 handle_job_ended (void *ctx, const struct dff_name *job, enum dff_outcome outcome)
 {
 	struct dff_daemon *daemon = ctx;
-	dff_entry_job_ended (daemon->entry, job, outcome);
+	dff_entry_handle_job_ended (daemon->entry, job, outcome);
 }
 
 static void
@@ -67,7 +67,7 @@
 	if (holder == NULL || holder->holder_epoch <= daemon->told_epoch)
 		return;
 	daemon->told_epoch = holder->holder_epoch;
-	dff_watcher_tell_all (daemon->watcher);
+	dff_watcher_report_all (daemon->watcher);
 }
 
 static void
@@ -82,7 +82,7 @@
 static void
 note_leaving (struct dff_daemon *daemon, const struct dff_name *worker)
 {
-	dff_entry_worker_leaving (daemon->entry, worker);
+	dff_entry_handle_worker_leaving (daemon->entry, worker);
 	if (g_hash_table_contains (daemon->leaving_workers, worker))
 		return;
 	g_hash_table_add (daemon->leaving_workers, dff_name_dup (worker));
@@ -91,23 +91,23 @@
 
 /* A watcher's sighting, this process's own or a peer's. */
 static void
-handle_sighting (void *ctx, const struct dff_worker_sighting *sighting)
+handle_sighting (void *ctx, const struct dff_worker_report *sighting)
 {
 	struct dff_daemon *daemon = ctx;
 	if (sighting->leaving)
 		note_leaving (daemon, &sighting->worker);
 	else if (g_hash_table_remove (daemon->leaving_workers, &sighting->worker))
 		daemon->next_grants_ms = 0;
-	dff_cell_sighting (daemon->cell, sighting);
+	dff_cell_handle_worker_report (daemon->cell, sighting);
 }
 
 void
-dff_daemon_handle_own_sighting (void *ctx, const struct dff_worker_sighting *sighting)
+dff_daemon_handle_own_sighting (void *ctx, const struct dff_worker_report *sighting)
 {
 	struct dff_daemon *daemon = ctx;
 	if (sighting->leaving)
 		note_leaving (daemon, &sighting->worker);
-	dff_peer_send_sighting (daemon->peer, sighting);
+	dff_peer_send_worker_report (daemon->peer, sighting);
 }
 
 static void
@@ -115,7 +115,7 @@
 {
 	struct dff_daemon *daemon = ctx;
 	if (outcome != DFF_OUTCOME_NONE)
-		dff_daemon_tell_job_ended (daemon, job, outcome);
+		dff_daemon_notify_job_ended (daemon, job, outcome);
 }
 
 static void
@@ -126,7 +126,7 @@
 	dff_peer_set_state (daemon->peer, ready, daemon->draining, is_holder ? epoch : 0);
 	daemon->next_grants_ms = 0;
 	if (daemon->watcher != NULL)
-		dff_watcher_tell_all (daemon->watcher);
+		dff_watcher_report_all (daemon->watcher);
 }
 
 void
--- a/daemon/job_watchers.c
+++ b/daemon/job_watchers.c
@@ -49,17 +49,17 @@
 		return;
 	for (guint i = 0; i < watchers->len; i++) {
 		const struct dff_name *watcher = &g_array_index (watchers, struct dff_name, i);
-		dff_peer_send_ended (daemon->peer, watcher, job, outcome);
+		dff_peer_send_job_ended (daemon->peer, watcher, job, outcome);
 	}
 	g_hash_table_remove (jobs, job);
 }
 
 void
-dff_daemon_tell_job_ended (struct dff_daemon *daemon,
-			   const struct dff_name *job,
-			   enum dff_outcome outcome)
+dff_daemon_notify_job_ended (struct dff_daemon *daemon,
+			     const struct dff_name *job,
+			     enum dff_outcome outcome)
 {
-	dff_entry_job_ended (daemon->entry, job, outcome);
+	dff_entry_handle_job_ended (daemon->entry, job, outcome);
 	tell_watchers (daemon, daemon->job_watchers, job, outcome);
 	tell_watchers (daemon, daemon->older_job_watchers, job, outcome);
 }
--- a/daemon/parts.c
+++ b/daemon/parts.c
@@ -88,7 +88,7 @@
 	daemon->workers = dff_http_worker_new (&workers);
 	struct dff_watcher_options watcher;
 	dff_watcher_options_init (&watcher);
-	watcher.workers = dff_http_worker_client (daemon->workers);
+	watcher.workers = dff_http_worker_interface (daemon->workers);
 	watcher.clock = daemon->clock;
 	watcher.metrics = daemon->metrics;
 	watcher.seed = random_seed ();
@@ -139,7 +139,7 @@
 	cell.instance = settings->instance;
 	cell.region = settings->region;
 	cell.table = dff_http_table_interface (daemon->table);
-	cell.workers = dff_http_worker_client (daemon->workers);
+	cell.workers = dff_http_worker_interface (daemon->workers);
 	cell.clock = daemon->clock;
 	cell.metrics = daemon->metrics;
 	cell.tracer = daemon->tracer;
@@ -166,7 +166,7 @@
 		.table = dff_http_table_interface (daemon->table),
 		.objects = dff_http_object_store_interface (daemon->objects),
 		.recorder = daemon->recorder,
-		.workers = dff_http_worker_client (daemon->workers),
+		.workers = dff_http_worker_interface (daemon->workers),
 		.peer = daemon->peer,
 		.cell = daemon->cell,
 		.seed = random_seed (),
@@ -180,7 +180,7 @@
 static void
 start_following (struct dff_daemon *daemon)
 {
-	struct dff_pool_follower_options follower = {
+	struct dff_pool_watch_options follower = {
 		.table = dff_http_table_interface (daemon->table),
 		.clock = daemon->clock,
 		.metrics = daemon->metrics,
@@ -188,7 +188,7 @@
 		.in_force = dff_daemon_handle_pool_in_force,
 		.ctx = daemon,
 	};
-	daemon->follower = dff_pool_follower_new (&follower);
+	daemon->follower = dff_pool_watch_new (&follower);
 	struct dff_instance_watch_options watch = {
 		.list = dff_http_instance_list_interface (daemon->list),
 		.clock = daemon->clock,
@@ -271,7 +271,7 @@
 	if (daemon->entry != NULL)
 		dff_entry_free (daemon->entry);
 	if (daemon->follower != NULL)
-		dff_pool_follower_free (daemon->follower);
+		dff_pool_watch_free (daemon->follower);
 	if (daemon->instance_watch != NULL)
 		dff_instance_watch_free (daemon->instance_watch);
 	if (daemon->cell != NULL)
--- a/daemon/pool_follower.c
+++ b/daemon/pool_follower.c
@@ -9,8 +9,8 @@
  * never calls back, so that polling cannot stop for good. */
 #define POLL_LOST_AFTER_MS 10000
 
-struct dff_pool_follower {
-	struct dff_pool_follower_options options;
+struct dff_pool_watch {
+	struct dff_pool_watch_options options;
 	struct dff_pool *pool;
 	GString *text;
 	int64_t generation;
@@ -29,13 +29,13 @@
 
 /* One poll in progress; outlives its follower when the table answers late. */
 struct poll {
-	struct dff_pool_follower *follower;
+	struct dff_pool_watch *follower;
 };
 
-struct dff_pool_follower *
-dff_pool_follower_new (const struct dff_pool_follower_options *options)
+struct dff_pool_watch *
+dff_pool_watch_new (const struct dff_pool_watch_options *options)
 {
-	struct dff_pool_follower *follower = g_new0 (struct dff_pool_follower, 1);
+	struct dff_pool_watch *follower = g_new0 (struct dff_pool_watch, 1);
 	follower->options = *options;
 	follower->text = g_string_new (NULL);
 	follower->applied = dff_metrics_counter (options->metrics, "dff_pool_applied_total",
@@ -49,7 +49,7 @@
 }
 
 void
-dff_pool_follower_free (struct dff_pool_follower *follower)
+dff_pool_watch_free (struct dff_pool_watch *follower)
 {
 	if (follower->poll != NULL)
 		follower->poll->follower = NULL;
@@ -60,7 +60,7 @@
 }
 
 static void
-put_in_force (struct dff_pool_follower *follower,
+put_in_force (struct dff_pool_watch *follower,
 	      struct dff_pool *pool,
 	      int64_t generation,
 	      struct dff_str text)
@@ -82,10 +82,10 @@
 }
 
 bool
-dff_pool_follower_offer (struct dff_pool_follower *follower,
-			 int64_t generation,
-			 int64_t revision,
-			 struct dff_str text)
+dff_pool_watch_offer (struct dff_pool_watch *follower,
+		      int64_t generation,
+		      int64_t revision,
+		      struct dff_str text)
 {
 	/* Files arrive late and out of order. Symptom of taking an older one: a token that was
 	 * revoked works again. The generation only ever grows. */
@@ -108,7 +108,7 @@
 }
 
 static void
-take_row (struct dff_pool_follower *follower, const struct dff_table_row *row)
+take_row (struct dff_pool_watch *follower, const struct dff_table_row *row)
 {
 	int64_t generation = 0;
 	g_autoptr (GError) error = NULL;
@@ -121,7 +121,7 @@
 		return;
 	}
 	struct dff_str file = {text->str, text->len};
-	dff_pool_follower_offer (follower, generation, row->revision, file);
+	dff_pool_watch_offer (follower, generation, row->revision, file);
 	g_string_free (text, TRUE);
 }
 
@@ -129,7 +129,7 @@
 handle_poll_answer (void *user, const struct dff_table_result *result)
 {
 	struct poll *poll = user;
-	struct dff_pool_follower *follower = poll->follower;
+	struct dff_pool_watch *follower = poll->follower;
 	g_free (poll);
 	if (follower == NULL)
 		return;
@@ -145,7 +145,7 @@
 }
 
 static void
-start_poll (struct dff_pool_follower *follower, int64_t now_ms)
+start_poll (struct dff_pool_watch *follower, int64_t now_ms)
 {
 	if (follower->poll != NULL)
 		follower->poll->follower = NULL;
@@ -163,7 +163,7 @@
 }
 
 void
-dff_pool_follower_tick (struct dff_pool_follower *follower)
+dff_pool_watch_tick (struct dff_pool_watch *follower)
 {
 	int64_t now_ms = dff_clock_now_ms (follower->options.clock);
 	bool lost = follower->polling && now_ms - follower->polled_ms >= POLL_LOST_AFTER_MS;
@@ -173,13 +173,13 @@
 }
 
 int64_t
-dff_pool_follower_generation (const struct dff_pool_follower *follower)
+dff_pool_watch_generation (const struct dff_pool_watch *follower)
 {
 	return follower->generation;
 }
 
 int64_t
-dff_pool_follower_answered_ms (const struct dff_pool_follower *follower)
+dff_pool_watch_last_answer_ms (const struct dff_pool_watch *follower)
 {
 	return follower->answered_ms;
 }
--- a/daemon/serve.c
+++ b/daemon/serve.c
@@ -37,7 +37,7 @@
 	if (dff_daemon_is_draining (serve->daemon)) {
 		dff_log (DFF_LOG_SERVE, DFF_LOG_WARNING,
 			 "Second signal, stopping at once. signal=%d", signal_number);
-		dff_daemon_stop_now (serve->daemon);
+		dff_daemon_abort (serve->daemon);
 		return;
 	}
 	dff_log (DFF_LOG_SERVE, DFF_LOG_INFO, "Stopping gracefully. signal=%d", signal_number);
@@ -88,7 +88,7 @@
 		.stop = handle_stop, .reload = handle_reload, .ctx = serve};
 	dff_signal_loop_run (base, &handlers);
 	dff_log (DFF_LOG_SERVE, DFF_LOG_INFO, "Stopped.");
-	return dff_daemon_was_cut_off (serve->daemon) ? DFF_EXIT_FAILED : DFF_EXIT_OK;
+	return dff_daemon_was_aborted (serve->daemon) ? DFF_EXIT_FAILED : DFF_EXIT_OK;
 }
 
 static int
--- a/daemon/settings.c
+++ b/daemon/settings.c
@@ -50,7 +50,7 @@
 		margin = integer_of (settings, relation->margin);
 	if (smaller + margin < larger)
 		return;
-	bool named = dff_setting_reader_names (reader, relation->smaller);
+	bool named = dff_setting_reader_has_key (reader, relation->smaller);
 	dff_setting_reader_report_at (reader, named ? relation->smaller : relation->larger,
 				      "%s: expected less than %s%s%s (%" G_GINT64_FORMAT "), %s",
 				      relation->smaller, relation->larger, margin > 0 ? " - " : "",
--- a/daemon/shares.c
+++ b/daemon/shares.c
@@ -23,7 +23,8 @@
 live_members (const struct dff_daemon *daemon)
 {
 	GArray *names = g_array_new (FALSE, FALSE, sizeof (struct dff_name));
-	dff_watch_share_members (dff_peer_members (daemon->peer), &daemon->settings->region, names);
+	dff_watch_collect_members (dff_peer_members (daemon->peer), &daemon->settings->region,
+				   names);
 	return names;
 }
 
@@ -43,9 +44,9 @@
 		g_array_append_val (names, instance->id);
 	}
 	g_autoptr (GArray) mine = g_array_new (FALSE, FALSE, sizeof (guint));
-	dff_watch_share (&daemon->settings->instance,
-			 (const struct dff_name *)(void *)members->data, members->len,
-			 (const struct dff_name *)(void *)names->data, names->len, mine);
+	dff_watch_assign (&daemon->settings->instance,
+			  (const struct dff_name *)(void *)members->data, members->len,
+			  (const struct dff_name *)(void *)names->data, names->len, mine);
 	g_autoptr (GArray) share = g_array_new (FALSE, FALSE, sizeof (struct dff_watched_worker));
 	for (guint i = 0; i < mine->len; i++) {
 		guint index = g_array_index (mine, guint, i);
@@ -125,7 +126,7 @@
 share_out (const struct dff_daemon *daemon, const GArray *members)
 {
 	g_autoptr (GArray) workers = grant_workers (daemon);
-	return dff_grants_share (
+	return dff_grants_assign (
 		(const struct dff_grant_worker *)(void *)workers->data, workers->len,
 		(const struct dff_grant_member *)(void *)members->data, members->len);
 }
--- a/daemon/watch_isolation.c
+++ b/daemon/watch_isolation.c
@@ -23,7 +23,7 @@
 {
 	const struct dff_isolation isolation = {
 		.started_ms = daemon->started_ms,
-		.store_ms = dff_pool_follower_answered_ms (daemon->follower),
+		.store_ms = dff_pool_watch_last_answer_ms (daemon->follower),
 		.has_peers = dff_peer_members (daemon->peer)->len > 1,
 		.peer_ms = last_peer_ms (daemon),
 		.timeout_ms = daemon->settings->isolated_after_ms,
--- a/entry/admission.c
+++ b/entry/admission.c
@@ -14,7 +14,7 @@
 #define BUSY_RETRY_S 5
 
 static bool
-refuse (struct dff_job_fault *fault, int status, const char *code, char *detail)
+refuse (struct dff_job_rejection *fault, int status, const char *code, char *detail)
 {
 	fault->status = status;
 	fault->code = code;
@@ -58,7 +58,7 @@
 bool
 dff_admission_check (struct dff_entry *entry,
 		     const struct dff_job_row *row,
-		     struct dff_job_fault *fault)
+		     struct dff_job_rejection *fault)
 {
 	const struct dff_job_spec *spec = &row->spec;
 	if (!dff_job_row_fits (row)) {
@@ -111,7 +111,7 @@
 }
 
 void
-dff_reply_job_fault (struct dff_call *call, struct dff_job_fault *fault)
+dff_reply_job_fault (struct dff_call *call, struct dff_job_rejection *fault)
 {
 	/* What depends on the pool in force may have been accepted under an earlier one. */
 	struct dff_problem problem = {
@@ -122,7 +122,7 @@
 	};
 	(*call->entry->counters.refused_input)++;
 	dff_reply_problem (call, &problem);
-	dff_job_fault_clear (fault);
+	dff_job_rejection_clear (fault);
 }
 
 static bool
--- a/entry/assembly.c
+++ b/entry/assembly.c
@@ -169,11 +169,11 @@
 	if (assembly->taken[index])
 		return DFF_CHUNK_DUPLICATE;
 	if ((int64_t)data.len != chunk->length || !digest_matches (data, chunk->digest))
-		return DFF_CHUNK_DAMAGED;
+		return DFF_CHUNK_CORRUPT;
 	memcpy (assembly->bytes + chunk->offset, data.data, data.len);
 	assembly->taken[index] = true;
 	assembly->n_taken++;
-	return DFF_CHUNK_TAKEN;
+	return DFF_CHUNK_ACCEPTED;
 }
 
 bool
--- a/entry/assembly.h
+++ b/entry/assembly.h
@@ -45,11 +45,11 @@
 const struct dff_chunk *dff_assembly_chunk (const struct dff_assembly *assembly, size_t index);
 
 enum dff_chunk_outcome {
-	DFF_CHUNK_TAKEN,
+	DFF_CHUNK_ACCEPTED,
 	/** Taken before; ignored. */
 	DFF_CHUNK_DUPLICATE,
 	/** Other length or digest than the manifest says; ignored, to be read again. */
-	DFF_CHUNK_DAMAGED,
+	DFF_CHUNK_CORRUPT,
 };
 
 /** Takes the bytes of a chunk in. */
--- a/entry/attempt.c
+++ b/entry/attempt.c
@@ -280,7 +280,7 @@
 {
 	struct dff_request *request = user;
 	request->recording = false;
-	if (outcome == DFF_RECORD_DONE)
+	if (outcome == DFF_RECORD_COMMITTED)
 		row_written (request, revision);
 	else
 		row_not_written (request, outcome);
--- a/entry/batch_submit.c
+++ b/entry/batch_submit.c
@@ -150,7 +150,7 @@
 	(*entry->counters.jobs_accepted)++;
 	batch->reserved[index] = false;
 	if (batch->n_recorded <= HINTS_MAX)
-		dff_peer_send_hint (entry->options.peer, &job->spec.id);
+		dff_peer_send_job_hint (entry->options.peer, &job->spec.id);
 }
 
 static void
@@ -261,7 +261,7 @@
 }
 
 static bool
-refuse_line (struct dff_call *call, guint line, struct dff_job_fault *fault)
+refuse_line (struct dff_call *call, guint line, struct dff_job_rejection *fault)
 {
 	char *detail = g_strdup_printf ("line %u: %s", line, fault->detail);
 	g_free (fault->detail);
@@ -275,7 +275,7 @@
 read_line (struct dff_call *call, struct dff_str line, GPtrArray *jobs)
 {
 	struct dff_entry *entry = call->entry;
-	struct dff_job_fault fault = {.status = 0};
+	struct dff_job_rejection fault = {.status = 0};
 	struct dff_job_row *row = dff_job_parse (line, &call->principal.name,
 						 &entry->options.settings->region, &fault);
 	if (row == NULL)
--- a/entry/cancel_wave.c
+++ b/entry/cancel_wave.c
@@ -96,7 +96,7 @@
 	if (outcome == DFF_ENTRY_RECORD_DONE) {
 		wave->n_cancelled++;
 		if (wave->n_hints++ < HINTS_MAX && !entry->closed)
-			dff_peer_send_hint (entry->options.peer, &write->job);
+			dff_peer_send_job_hint (entry->options.peer, &write->job);
 	} else if (outcome == DFF_ENTRY_RECORD_CONFLICT) {
 		wave->conflicted = true;
 	} else {
--- a/entry/delivery.c
+++ b/entry/delivery.c
@@ -170,7 +170,7 @@
 static bool
 take_chunk (struct delivery *delivery, size_t index, struct dff_str data)
 {
-	if (dff_assembly_add (delivery->assembly, index, data) == DFF_CHUNK_DAMAGED)
+	if (dff_assembly_add (delivery->assembly, index, data) == DFF_CHUNK_CORRUPT)
 		return false;
 	read_chunks (delivery);
 	return true;
--- a/entry/dispatch.c
+++ b/entry/dispatch.c
@@ -105,7 +105,7 @@
 		dff_request_give_up (request, "upstream_unavailable", come_back_s (request));
 		return;
 	}
-	if (!dff_retry_budget_take (&requests->budget)) {
+	if (!dff_retry_budget_withdraw (&requests->budget)) {
 		(*requests->counters.retries_denied)++;
 		dff_request_give_up (request, "upstream_unavailable", come_back_s (request));
 		return;
@@ -121,7 +121,7 @@
 	int64_t now = dff_entry_now_ms (sending->entry);
 	dff_slots_release (slots, &sending->worker);
 	if (result->leaving)
-		dff_slots_worker_leaving (slots, &sending->worker, now);
+		dff_slots_handle_worker_leaving (slots, &sending->worker, now);
 	if (result->outcome == DFF_WORKER_OK)
 		count_service_time (sending);
 	else if (result->outcome == DFF_WORKER_REFUSED)
@@ -208,11 +208,11 @@
 	if (requests->entry->closed || request->n_sent >= SENT_MAX)
 		return;
 	dff_slots_avoid (slots, &request->worker, now_ms (request) + AVOID_UNREACHABLE_MS);
-	if (!dff_retry_budget_take (&requests->budget)) {
+	if (!dff_retry_budget_withdraw (&requests->budget)) {
 		(*requests->counters.retries_denied)++;
 		return;
 	}
-	if (dff_slots_take (slots, now_ms (request), &slot) != DFF_SLOT_TAKEN)
+	if (dff_slots_acquire (slots, now_ms (request), &slot) != DFF_SLOT_ACQUIRED)
 		return;
 	(*requests->counters.hedges)++;
 	send_to (request, &slot);
@@ -295,8 +295,8 @@
 		wait_for_slot (request);
 		return;
 	}
-	switch (dff_slots_take (requests->slots, now_ms (request), &slot)) {
-	case DFF_SLOT_TAKEN:
+	switch (dff_slots_acquire (requests->slots, now_ms (request), &slot)) {
+	case DFF_SLOT_ACQUIRED:
 		send_to (request, &slot);
 		return;
 	case DFF_SLOT_BUSY:
@@ -319,7 +319,7 @@
 			continue;
 		}
 		enum dff_slot_outcome outcome =
-			dff_slots_take (requests->slots, now_ms (request), &slot);
+			dff_slots_acquire (requests->slots, now_ms (request), &slot);
 		if (outcome == DFF_SLOT_BUSY)
 			return;
 		if (outcome == DFF_SLOT_NO_GRANT) {
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -301,7 +301,7 @@
 }
 
 void
-dff_entry_worker_leaving (struct dff_entry *entry, const struct dff_name *worker)
+dff_entry_handle_worker_leaving (struct dff_entry *entry, const struct dff_name *worker)
 {
 	dff_requests_worker_leaving (entry->requests, worker);
 }
@@ -318,7 +318,9 @@
 }
 
 void
-dff_entry_job_ended (struct dff_entry *entry, const struct dff_name *job, enum dff_outcome outcome)
+dff_entry_handle_job_ended (struct dff_entry *entry,
+			    const struct dff_name *job,
+			    enum dff_outcome outcome)
 {
 	(void)outcome;
 	dff_team_quota_remove (entry->quota, job);
--- a/entry/job_cancel.c
+++ b/entry/job_cancel.c
@@ -68,7 +68,7 @@
 	if (outcome == DFF_ENTRY_RECORD_CONFLICT) {
 		try_cancel (call, cancellation->tries + 1);
 	} else if (outcome == DFF_ENTRY_RECORD_DONE) {
-		dff_peer_send_hint (call->entry->options.peer, &cancellation->row->spec.id);
+		dff_peer_send_job_hint (call->entry->options.peer, &cancellation->row->spec.id);
 		dff_reply_json (call, 202, dff_job_to_json (cancellation->row));
 	} else {
 		reply_not_recorded (call, outcome);
--- a/entry/job_json.c
+++ b/entry/job_json.c
@@ -42,14 +42,15 @@
 					   "payload"};
 
 void
-dff_job_fault_clear (struct dff_job_fault *fault)
+dff_job_rejection_clear (struct dff_job_rejection *fault)
 {
 	g_free (fault->detail);
 	fault->detail = NULL;
 	fault->status = 0;
 }
 
-static bool G_GNUC_PRINTF (2, 3) set_fault (struct dff_job_fault *fault, const char *format, ...)
+static bool G_GNUC_PRINTF (2, 3)
+	set_fault (struct dff_job_rejection *fault, const char *format, ...)
 {
 	va_list args;
 	va_start (args, format);
@@ -79,7 +80,7 @@
 }
 
 static bool
-check_names (json_t *json, struct dff_job_fault *fault)
+check_names (json_t *json, struct dff_job_rejection *fault)
 {
 	const char *name = NULL;
 	json_t *value = NULL;
@@ -92,7 +93,7 @@
 }
 
 static bool
-read_ints (json_t *json, struct dff_job_spec *spec, struct dff_job_fault *fault)
+read_ints (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *fault)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS (int_fields); i++) {
 		const struct int_field *field = &int_fields[i];
@@ -111,7 +112,7 @@
 }
 
 static bool
-read_bools (json_t *json, struct dff_job_spec *spec, struct dff_job_fault *fault)
+read_bools (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *fault)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS (bool_fields); i++) {
 		const struct bool_field *field = &bool_fields[i];
@@ -128,7 +129,7 @@
 }
 
 static bool
-read_name (json_t *json, const char *field, struct dff_name *name, struct dff_job_fault *fault)
+read_name (json_t *json, const char *field, struct dff_name *name, struct dff_job_rejection *fault)
 {
 	const json_t *value = json_object_get (json, field);
 	struct dff_str text = {json_string_value (value), json_string_length (value)};
@@ -143,7 +144,7 @@
 }
 
 static bool
-read_adjacency (json_t *json, struct dff_job_spec *spec, struct dff_job_fault *fault)
+read_adjacency (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *fault)
 {
 	const json_t *value = json_object_get (json, "adjacent");
 	spec->adjacency = DFF_ADJACENCY_NONE;
@@ -160,7 +161,7 @@
 }
 
 static bool
-read_declared (json_t *json, struct dff_job_spec *spec, struct dff_job_fault *fault)
+read_declared (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *fault)
 {
 	const json_t *value = json_object_get (json, "declared_s");
 	double seconds = value == NULL ? DECLARED_DEFAULT_S : json_number_value (value);
@@ -173,7 +174,7 @@
 }
 
 static bool
-read_payload (json_t *json, struct dff_job_row *row, struct dff_job_fault *fault)
+read_payload (json_t *json, struct dff_job_row *row, struct dff_job_rejection *fault)
 {
 	json_t *value = json_object_get (json, "payload");
 	if (value == NULL)
@@ -186,7 +187,7 @@
 }
 
 static bool
-read_attempts (json_t *json, struct dff_job_spec *spec, struct dff_job_fault *fault)
+read_attempts (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *fault)
 {
 	if (json_object_get (json, "max_attempts") == NULL)
 		spec->max_attempts = spec->idempotent ? ATTEMPTS_DEFAULT : 1;
@@ -196,7 +197,7 @@
 }
 
 static bool
-read_job (json_t *json, struct dff_job_row *row, struct dff_job_fault *fault)
+read_job (json_t *json, struct dff_job_row *row, struct dff_job_rejection *fault)
 {
 	struct dff_job_spec *spec = &row->spec;
 	if (!json_is_object (json))
@@ -218,7 +219,7 @@
 dff_job_parse (struct dff_str text,
 	       const struct dff_name *team,
 	       const struct dff_name *default_region,
-	       struct dff_job_fault *fault)
+	       struct dff_job_rejection *fault)
 {
 	json_error_t error;
 	fault->status = 0;
--- a/entry/job_json.h
+++ b/entry/job_json.h
@@ -10,16 +10,16 @@
 /* A job as callers write and read it (docs/API.md). */
 
 /** Why a submission was refused. */
-struct dff_job_fault {
+struct dff_job_rejection {
 	/** HTTP status; 0: none. */
 	int status;
 	/** Stable code. Static. */
 	const char *code;
-	/** For people; owned by the fault, see dff_job_fault_clear(). */
+	/** For people; owned by the fault, see dff_job_rejection_clear(). */
 	char *detail;
 };
 
-void dff_job_fault_clear (struct dff_job_fault *fault);
+void dff_job_rejection_clear (struct dff_job_rejection *fault);
 
 /**
  * dff_job_parse:
@@ -35,7 +35,7 @@
 struct dff_job_row *dff_job_parse (struct dff_str text,
 				   const struct dff_name *team,
 				   const struct dff_name *default_region,
-				   struct dff_job_fault *fault);
+				   struct dff_job_rejection *fault);
 
 /** Writes the job as callers read it. */
 json_t *dff_job_to_json (const struct dff_job_row *row);
--- a/entry/job_submit.c
+++ b/entry/job_submit.c
@@ -103,8 +103,8 @@
 	submission->row->revision = revision;
 	(*entry->counters.jobs_accepted)++;
 	submission->reserved = false;
-	dff_peer_send_hint (entry->options.peer, &spec->id);
-	dff_peer_send_watch (entry->options.peer, &spec->id);
+	dff_peer_send_job_hint (entry->options.peer, &spec->id);
+	dff_peer_send_job_watch (entry->options.peer, &spec->id);
 	dff_log (DFF_LOG_ENTRY, DFF_LOG_INFO, "Job accepted. job=%s team=%s", spec->id.data,
 		 spec->team.data);
 	reply_job (submission, 201, submission->row);
@@ -180,7 +180,7 @@
 dff_job_submit (struct dff_call *call)
 {
 	struct dff_entry *entry = call->entry;
-	struct dff_job_fault fault = {.status = 0};
+	struct dff_job_rejection fault = {.status = 0};
 	struct dff_name hash;
 	call->may_repeat = dff_call_header (call, "Idempotency-Key") != NULL;
 	if (dff_refuse_new_work (call))
--- a/entry/private.h
+++ b/entry/private.h
@@ -1,5 +1,5 @@
-#ifndef DFF_ENTRY_PRIVATE_H
-#define DFF_ENTRY_PRIVATE_H
+#ifndef DFF_ENTRY_ENTRY_PRIVATE_H
+#define DFF_ENTRY_ENTRY_PRIVATE_H
 
 #include <event2/http.h>
 #include <glib.h>
--- a/entry/record.c
+++ b/entry/record.c
@@ -45,9 +45,9 @@
 recorded (void *user, enum dff_record_outcome outcome, int64_t revision)
 {
 	static const enum dff_entry_record_outcome outcomes[] = {
-		[DFF_RECORD_DONE] = DFF_ENTRY_RECORD_DONE,
+		[DFF_RECORD_COMMITTED] = DFF_ENTRY_RECORD_DONE,
 		[DFF_RECORD_CONFLICT] = DFF_ENTRY_RECORD_CONFLICT,
-		[DFF_RECORD_NOT_DONE] = DFF_ENTRY_RECORD_NOT_DONE,
+		[DFF_RECORD_NOT_COMMITTED] = DFF_ENTRY_RECORD_NOT_DONE,
 	};
 	finish (user, outcomes[outcome], revision);
 }
@@ -60,11 +60,11 @@
 {
 	struct pending_write *pending = user;
 	pending->timeout = NULL;
-	enum dff_abandon abandon =
+	enum dff_abandon_outcome abandon =
 		dff_recorder_abandon (pending->entry->options.recorder, pending->ticket);
 	finish (pending,
-		abandon == DFF_ABANDON_NOT_DONE ? DFF_ENTRY_RECORD_NOT_DONE
-						: DFF_ENTRY_RECORD_UNKNOWN,
+		abandon == DFF_ABANDON_NOT_COMMITTED ? DFF_ENTRY_RECORD_NOT_DONE
+						     : DFF_ENTRY_RECORD_UNKNOWN,
 		0);
 }
 
@@ -218,7 +218,7 @@
 {
 	if (dff_refuse_draining (call))
 		return true;
-	if (!dff_recorder_is_open (call->entry->options.recorder))
+	if (!dff_recorder_is_breaker_open (call->entry->options.recorder))
 		return false;
 	dff_reply_record_failed (call, DFF_ENTRY_RECORD_NOT_DONE);
 	return true;
--- a/entry/request.c
+++ b/entry/request.c
@@ -240,7 +240,7 @@
 {
 	return dff_name_printf ("%.*s.%04x%04x%08x", INSTANCE_MAX,
 				entry->options.settings->instance.data,
-				dff_peer_start (entry->options.peer),
+				dff_peer_start_id (entry->options.peer),
 				g_rand_int (entry->rng) & 0xffff, g_rand_int (entry->rng));
 }
 
@@ -261,7 +261,8 @@
 void
 dff_requests_worker_leaving (struct dff_requests *requests, const struct dff_name *worker)
 {
-	dff_slots_worker_leaving (requests->slots, worker, dff_entry_now_ms (requests->entry));
+	dff_slots_handle_worker_leaving (requests->slots, worker,
+					 dff_entry_now_ms (requests->entry));
 }
 
 void
--- a/entry/request_read.c
+++ b/entry/request_read.c
@@ -12,7 +12,7 @@
 struct id_maker {
 	/** The beginning of the instance's name. */
 	struct dff_str instance;
-	/** dff_peer_start() of the process; 0: not known. */
+	/** dff_peer_start_id() of the process; 0: not known. */
 	uint32_t start;
 };
 
--- a/entry/result.c
+++ b/entry/result.c
@@ -142,7 +142,7 @@
 	call->on_lost = caller_lost;
 	call->on_lost_user = waiter;
 	g_ptr_array_add (entry->results->waiters, waiter);
-	dff_peer_send_watch (entry->options.peer, &waiter->job);
+	dff_peer_send_job_watch (entry->options.peer, &waiter->job);
 }
 
 static void
@@ -238,7 +238,7 @@
 		DFF_AUTO (dff_job_row)
 		row = dff_job_row_decode (read->value, read->revision, NULL);
 		if (row != NULL && row->state == DFF_JOB_ROW_ENDED)
-			dff_entry_job_ended (entry, &row->spec.id, row->outcome);
+			dff_entry_handle_job_ended (entry, &row->spec.id, row->outcome);
 	}
 	dff_entry_unref (entry);
 }
--- a/entry/retry_budget.c
+++ b/entry/retry_budget.c
@@ -22,7 +22,7 @@
 }
 
 bool
-dff_retry_budget_take (struct dff_retry_budget *budget)
+dff_retry_budget_withdraw (struct dff_retry_budget *budget)
 {
 	if (budget->hundredths < RETRY)
 		return false;
--- a/entry/retry_budget.h
+++ b/entry/retry_budget.h
@@ -19,6 +19,6 @@
 void dff_retry_budget_deposit (struct dff_retry_budget *budget);
 
 /** Takes one retry. Returns: false when there is none left. */
-bool dff_retry_budget_take (struct dff_retry_budget *budget);
+bool dff_retry_budget_withdraw (struct dff_retry_budget *budget);
 
 #endif
--- a/entry/slots.c
+++ b/entry/slots.c
@@ -27,7 +27,7 @@
 	 * when @changed. */
 	GPtrArray *near;
 	bool changed;
-	/** Scratch space of dff_slots_take(): struct slot_worker *. */
+	/** Scratch space of dff_slots_acquire(): struct slot_worker *. */
 	GPtrArray *candidates;
 	int64_t epoch;
 	int64_t expires_ms;
@@ -123,7 +123,7 @@
 {
 	struct slot_worker *worker = ensure_worker (slots, &grant->worker);
 	worker->granted = MAX (0, grant->slots);
-	if (now_ms >= worker->said_leaving_ms + DFF_SLOTS_LEAVING_STANDS_MS)
+	if (now_ms >= worker->said_leaving_ms + DFF_SLOTS_LEAVING_HOLDDOWN_MS)
 		worker->said_leaving = false;
 }
 
@@ -151,7 +151,9 @@
 }
 
 void
-dff_slots_worker_leaving (struct dff_slots *slots, const struct dff_name *name, int64_t now_ms)
+dff_slots_handle_worker_leaving (struct dff_slots *slots,
+				 const struct dff_name *name,
+				 int64_t now_ms)
 {
 	struct slot_worker *worker = ensure_worker (slots, name);
 	worker->said_leaving = true;
@@ -250,7 +252,7 @@
 }
 
 enum dff_slot_outcome
-dff_slots_take (struct dff_slots *slots, int64_t now_ms, struct dff_slot *slot)
+dff_slots_acquire (struct dff_slots *slots, int64_t now_ms, struct dff_slot *slot)
 {
 	if (now_ms >= slots->expires_ms)
 		return DFF_SLOT_NO_GRANT;
@@ -264,7 +266,7 @@
 	worker->in_use++;
 	slot->worker = worker->id;
 	slot->address = worker->address;
-	return DFF_SLOT_TAKEN;
+	return DFF_SLOT_ACQUIRED;
 }
 
 void
--- a/entry/slots.h
+++ b/entry/slots.h
@@ -33,7 +33,7 @@
 /** After this time, ms, the holder knows that a worker said that it is leaving, also when the first
  * word of it was lost; grants that it sent before have expired. A later grant means that the worker
  * is back. */
-#define DFF_SLOTS_LEAVING_STANDS_MS 20000
+#define DFF_SLOTS_LEAVING_HOLDDOWN_MS 20000
 
 /** Replaces every grant. One of an older epoch than the last is ignored. */
 void dff_slots_set_grants (struct dff_slots *slots,
@@ -44,15 +44,16 @@
 			   int64_t expires_ms);
 
 /** The worker said that it is leaving: nothing new goes there, whatever the list says, until the
- * list forgets it or it is granted anew after DFF_SLOTS_LEAVING_STANDS_MS. */
-void
-dff_slots_worker_leaving (struct dff_slots *slots, const struct dff_name *worker, int64_t now_ms);
+ * list forgets it or it is granted anew after DFF_SLOTS_LEAVING_HOLDDOWN_MS. */
+void dff_slots_handle_worker_leaving (struct dff_slots *slots,
+				      const struct dff_name *worker,
+				      int64_t now_ms);
 
 /** Nothing goes to the worker before @until_ms while another one has a free slot. */
 void dff_slots_avoid (struct dff_slots *slots, const struct dff_name *worker, int64_t until_ms);
 
 enum dff_slot_outcome {
-	DFF_SLOT_TAKEN,
+	DFF_SLOT_ACQUIRED,
 	/** Every granted slot is in use. */
 	DFF_SLOT_BUSY,
 	/** No grant is in force for a worker that may be used. */
@@ -66,7 +67,7 @@
 
 /** Takes a slot. */
 enum dff_slot_outcome
-dff_slots_take (struct dff_slots *slots, int64_t now_ms, struct dff_slot *slot);
+dff_slots_acquire (struct dff_slots *slots, int64_t now_ms, struct dff_slot *slot);
 
 /** Gives a slot back. */
 void dff_slots_release (struct dff_slots *slots, const struct dff_name *worker);
--- a/entry/status.c
+++ b/entry/status.c
@@ -77,7 +77,7 @@
 	json_object_set_new (json, "ready", json_boolean (dff_entry_is_ready (entry)));
 	json_object_set_new (json, "draining", json_boolean (entry->draining));
 	json_object_set_new (json, "store",
-			     json_string (dff_recorder_is_open (entry->options.recorder)
+			     json_string (dff_recorder_is_breaker_open (entry->options.recorder)
 						  ? "unavailable"
 						  : "available"));
 	json_object_set_new (json, "holder", holder_json (entry));
--- a/fleet/evacuations.c
+++ b/fleet/evacuations.c
@@ -63,13 +63,13 @@
 }
 
 void
-dff_evacuations_begin (struct dff_evacuations *evacuations)
+dff_evacuations_begin_snapshot (struct dff_evacuations *evacuations)
 {
 	evacuations->reading++;
 }
 
 void
-dff_evacuations_whole (struct dff_evacuations *evacuations)
+dff_evacuations_end_snapshot (struct dff_evacuations *evacuations)
 {
 	GHashTableIter iter;
 	gpointer key, reading;
--- a/fleet/fleet.c
+++ b/fleet/fleet.c
@@ -62,7 +62,7 @@
 	struct dff_metrics *metrics;
 	struct dff_http_client *store_client;
 	struct dff_http_client *worker_client;
-	struct dff_presence *presence;
+	struct dff_probe_link *presence;
 	struct dff_fleet_relays *relays;
 	/** Name of this life of the process. */
 	struct dff_name life;
@@ -75,7 +75,7 @@
 	struct dff_state_link *state_link;
 	struct dff_ingress *ingress;
 	struct dff_holder *holder;
-	struct dff_in_force *in_force;
+	struct dff_operator_state *in_force;
 	struct evhttp *front_http;
 	struct evhttp *ready_http;
 	struct evhttp *metrics_http;
@@ -111,9 +111,9 @@
 {
 	const struct dff_fleet *fleet = ctx;
 	tell_teams (fleet, config);
-	dff_holder_set_unguarded (fleet->holder,
-				  (const struct dff_name *)(void *)config->unenforced->data,
-				  config->unenforced->len);
+	dff_holder_set_unenforced (fleet->holder,
+				   (const struct dff_name *)(void *)config->unenforced->data,
+				   config->unenforced->len);
 }
 
 static void
@@ -127,25 +127,25 @@
 evacuations_age_ms (void *ctx)
 {
 	const struct dff_fleet *fleet = ctx;
-	return dff_in_force_evacuations_age_ms (fleet->in_force);
+	return dff_operator_state_evacuations_age_ms (fleet->in_force);
 }
 
 static const struct dff_fleet_config *
 config_in_force (void *ctx)
 {
 	const struct dff_fleet *fleet = ctx;
-	return dff_in_force_config (fleet->in_force);
+	return dff_operator_state_config (fleet->in_force);
 }
 
 static void
 handle_ready (struct evhttp_request *request, void *ctx)
 {
 	struct dff_fleet *fleet = ctx;
-	bool ready = !is_stopping (fleet) && dff_in_force_is_fresh (fleet->in_force);
+	bool ready = !is_stopping (fleet) && dff_operator_state_is_fresh (fleet->in_force);
 	if (ready != fleet->was_ready) {
 		dff_log (DFF_LOG_SERVE, DFF_LOG_INFO, "%s config_age_ms=%" PRId64 " stopping=%d",
-			 ready ? "Ready." : "Not ready.", dff_in_force_age_ms (fleet->in_force),
-			 is_stopping (fleet));
+			 ready ? "Ready." : "Not ready.",
+			 dff_operator_state_age_ms (fleet->in_force), is_stopping (fleet));
 	}
 	fleet->was_ready = ready;
 	*fleet->ready_gauge = ready;
@@ -185,9 +185,9 @@
 {
 	const struct dff_fleet *fleet = ctx;
 	if (fleet->in_force != NULL)
-		dff_in_force_nudge (fleet->in_force);
+		dff_operator_state_wake (fleet->in_force);
 	if (fleet->holder != NULL)
-		dff_holder_note_store_heard (fleet->holder);
+		dff_holder_handle_store_recovered (fleet->holder);
 }
 
 static void
@@ -214,11 +214,11 @@
 static void
 open_presence (struct dff_fleet *fleet)
 {
-	struct dff_presence_options options = {.base = fleet->base,
-					       .clock = fleet->clock,
-					       .metrics = fleet->metrics,
-					       .incarnation = fleet->life};
-	fleet->presence = dff_presence_new (&options);
+	struct dff_probe_link_options options = {.base = fleet->base,
+						 .clock = fleet->clock,
+						 .metrics = fleet->metrics,
+						 .incarnation = fleet->life};
+	fleet->presence = dff_probe_link_new (&options);
 }
 
 static void
@@ -226,7 +226,7 @@
 {
 	const struct dff_fleet *fleet = ctx;
 	if (fleet->holder != NULL)
-		dff_holder_note_decider_lost (fleet->holder);
+		dff_holder_handle_holder_lost (fleet->holder);
 }
 
 static bool
@@ -261,38 +261,38 @@
 writes_elsewhere (void *ctx)
 {
 	const struct dff_fleet *fleet = ctx;
-	return dff_intake_writes_elsewhere (fleet->intake);
+	return dff_intake_writes_forwarded (fleet->intake);
 }
 
 static int64_t
 store_took_ms (void *ctx)
 {
 	const struct dff_fleet *fleet = ctx;
-	return dff_holder_store_took_ms (fleet->holder);
+	return dff_holder_store_latency_ms (fleet->holder);
 }
 
 static void
 note_holder (void *ctx, const struct dff_name *address, bool self)
 {
 	const struct dff_fleet *fleet = ctx;
-	dff_intake_set_gatherer (fleet->intake, address, self);
-	dff_state_link_set_decider (fleet->state_link, address, self);
+	dff_intake_set_holder_address (fleet->intake, address, self);
+	dff_state_link_set_holder_address (fleet->state_link, address, self);
 	if (fleet->in_force != NULL)
-		dff_in_force_set_deciding (fleet->in_force, self);
+		dff_operator_state_set_holding (fleet->in_force, self);
 }
 
 static void
 handle_gatherer_moved (void *ctx, const struct dff_name *address)
 {
 	const struct dff_fleet *fleet = ctx;
-	dff_state_link_set_decider (fleet->state_link, address, false);
+	dff_state_link_set_holder_address (fleet->state_link, address, false);
 }
 
 static void
 handle_decider_moved (void *ctx, const struct dff_name *address)
 {
 	const struct dff_fleet *fleet = ctx;
-	dff_intake_set_gatherer (fleet->intake, address, false);
+	dff_intake_set_holder_address (fleet->intake, address, false);
 }
 
 static bool
@@ -363,15 +363,15 @@
 	options.rows = dff_rows_health_interface (fleet->store);
 	options.runner = dff_fleet_relays_runner (fleet->relays);
 	options.relay_address = fleet->settings.relay_address;
-	options.relay_connect = dff_fleet_relays_follow;
-	options.relay_set_limit = dff_fleet_relays_want;
+	options.relay_connect = dff_fleet_relays_connect;
+	options.relay_set_limit = dff_fleet_relays_set_limit;
 	options.relay_ctx = fleet->relays;
 	options.holder_changed = note_holder;
 	options.holder_ctx = fleet;
 	options.metrics = fleet->metrics;
 	options.instance = fleet->life;
 	options.probe_address = fleet->settings.ready_address;
-	options.send_probe = dff_presence_ask;
+	options.send_probe = dff_probe_link_send;
 	options.probe_ctx = fleet->presence;
 	options.store_served_ms = store_served_ms;
 	options.store_ctx = fleet;
@@ -388,8 +388,8 @@
 	options.retention_ms =
 		fleet->settings.retention_s * INT64_C (1000) + options.retention_ms / 10;
 	fleet->holder = dff_holder_new (&options);
-	dff_presence_set_holder (fleet->presence, fleet->holder);
-	dff_state_link_set_holder (fleet->state_link, fleet->holder);
+	dff_probe_link_set_local_holder (fleet->presence, fleet->holder);
+	dff_state_link_set_local_holder (fleet->state_link, fleet->holder);
 }
 
 static void
@@ -402,7 +402,7 @@
 		.store_is_silent = store_is_silent,
 		.writes_forwarded = writes_elsewhere,
 		.ctx = fleet,
-		.query_state = dff_state_link_ask,
+		.query_state = dff_state_link_query,
 		.query_ctx = fleet->state_link,
 	};
 	fleet->front = dff_front_new (&front);
@@ -415,7 +415,7 @@
 		.ctx = fleet,
 	};
 	fleet->ingress = dff_ingress_new (&ingress);
-	struct dff_in_force_options in_force = {
+	struct dff_operator_state_options in_force = {
 		.timers = &fleet->timers,
 		.rows = dff_rows_health_interface (fleet->store),
 		.metrics = fleet->metrics,
@@ -424,7 +424,7 @@
 		.evacuations_changed = handle_evacuated,
 		.ctx = fleet,
 	};
-	fleet->in_force = dff_in_force_new (&in_force);
+	fleet->in_force = dff_operator_state_new (&in_force);
 }
 
 static bool
@@ -446,7 +446,7 @@
 	fleet->metrics_http = evhttp_new (fleet->base);
 	dff_ingress_serve (fleet->ingress, fleet->front_http);
 	evhttp_set_gencb (fleet->ready_http, handle_ready, fleet);
-	dff_presence_serve (fleet->presence, fleet->ready_http);
+	dff_probe_link_serve (fleet->presence, fleet->ready_http);
 	dff_intake_link_serve (fleet->intake, fleet->ready_http);
 	dff_state_link_serve (fleet->state_link, fleet->ready_http);
 	evhttp_set_cb (fleet->metrics_http, "/metrics", handle_metrics, fleet);
@@ -463,12 +463,12 @@
 	struct dff_fleet *fleet = ctx;
 	int64_t since_ms = dff_clock_now_ms (fleet->clock) - fleet->stopping_since_ms;
 	bool idle = dff_ingress_n_open (fleet->ingress) == 0;
-	if ((since_ms >= STOP_LINGER_MS && idle && dff_holder_has_resigned (fleet->holder)) ||
+	if ((since_ms >= STOP_LINGER_MS && idle && dff_holder_has_stepped_down (fleet->holder)) ||
 	    since_ms >= fleet->settings.stop_grace_s * INT64_C (1000) - STOP_MARGIN_MS) {
 		dff_log (DFF_LOG_SERVE, DFF_LOG_INFO,
 			 "Stopped. open_calls=%d resigned=%d after_ms=%" PRId64,
 			 dff_ingress_n_open (fleet->ingress),
-			 dff_holder_has_resigned (fleet->holder), since_ms);
+			 dff_holder_has_stepped_down (fleet->holder), since_ms);
 		event_base_loopbreak (fleet->base);
 	}
 }
@@ -482,7 +482,7 @@
 	}
 	fleet->stopping_since_ms = dff_clock_now_ms (fleet->clock);
 	dff_fleet_relays_leave (fleet->relays);
-	dff_holder_resign (fleet->holder);
+	dff_holder_step_down (fleet->holder);
 	struct timeval interval = dff_timeval_from_ms (STOP_CHECK_MS);
 	fleet->stop_check = event_new (fleet->base, -1, EV_PERSIST, handle_stop_check, fleet);
 	event_add (fleet->stop_check, &interval);
@@ -522,13 +522,13 @@
 	g_clear_pointer (&fleet->front_http, evhttp_free);
 	g_clear_pointer (&fleet->ready_http, evhttp_free);
 	g_clear_pointer (&fleet->metrics_http, evhttp_free);
-	g_clear_pointer (&fleet->in_force, dff_in_force_free);
+	g_clear_pointer (&fleet->in_force, dff_operator_state_free);
 	g_clear_pointer (&fleet->holder, dff_holder_free);
 	/* Drops the calls in progress without calling back. */
 	g_clear_pointer (&fleet->store_client, dff_http_client_free);
 	g_clear_pointer (&fleet->worker_client, dff_http_client_free);
 	g_clear_pointer (&fleet->relays, dff_fleet_relays_free);
-	g_clear_pointer (&fleet->presence, dff_presence_free);
+	g_clear_pointer (&fleet->presence, dff_probe_link_free);
 	g_clear_pointer (&fleet->intake_link, dff_intake_link_free);
 	g_clear_pointer (&fleet->state_link, dff_state_link_free);
 	g_clear_pointer (&fleet->intake, dff_intake_free);
--- a/fleet/in_force.c
+++ b/fleet/in_force.c
@@ -23,9 +23,9 @@
 #define STALE_MS 2000
 #define FRESH_MS 1500
 
-struct dff_in_force {
-	struct dff_in_force_options options;
-	struct dff_follower *follower;
+struct dff_operator_state {
+	struct dff_operator_state_options options;
+	struct dff_subscription *follower;
 	struct dff_evacuations *evacuations;
 	/** (nullable) */
 	struct dff_fleet_config *config;
@@ -35,7 +35,7 @@
 /* Idle processes make most of the calls to the store, so that they wait as long as the bound
  * allows. */
 static int32_t
-wait_ms (const struct dff_in_force *in_force)
+wait_ms (const struct dff_operator_state *in_force)
 {
 	return CLAMP (in_force->options.bound_ms / WAIT_PART, WAIT_MS, WAIT_MAX_MS);
 }
@@ -43,7 +43,7 @@
 /* A process never goes back to an older configuration: an answer that was under way for long may
  * still bring one. */
 static void
-take_config (struct dff_in_force *in_force, const struct dff_row *row)
+take_config (struct dff_operator_state *in_force, const struct dff_row *row)
 {
 	DFF_AUTO (dff_fleet_config) config = dff_platform_read_config (row->value);
 	if (config == NULL) {
@@ -67,12 +67,12 @@
 static void
 handle_row (void *ctx, const struct dff_row *row)
 {
-	struct dff_in_force *in_force = ctx;
+	struct dff_operator_state *in_force = ctx;
 	struct dff_name data_centre;
 	switch (dff_platform_read_evacuation (row, &data_centre)) {
 	case DFF_PLATFORM_REQUEST_EVACUATION:
 		dff_evacuations_note (in_force->evacuations, &data_centre, !row->removed,
-				      row->revision, dff_follower_age_ms (in_force->follower));
+				      row->revision, dff_subscription_age_ms (in_force->follower));
 		return;
 	case DFF_PLATFORM_REQUEST_UNREADABLE:
 		if (!row->removed)
@@ -89,60 +89,60 @@
 static void
 handle_begin (void *ctx)
 {
-	const struct dff_in_force *in_force = ctx;
-	dff_evacuations_begin (in_force->evacuations);
+	const struct dff_operator_state *in_force = ctx;
+	dff_evacuations_begin_snapshot (in_force->evacuations);
 }
 
 static void
 handle_whole (void *ctx)
 {
-	const struct dff_in_force *in_force = ctx;
-	dff_evacuations_whole (in_force->evacuations);
+	const struct dff_operator_state *in_force = ctx;
+	dff_evacuations_end_snapshot (in_force->evacuations);
 }
 
 const struct dff_fleet_config *
-dff_in_force_config (const struct dff_in_force *in_force)
+dff_operator_state_config (const struct dff_operator_state *in_force)
 {
 	int64_t stale_ms = 2 * wait_ms (in_force) + STALE_MS;
-	return dff_in_force_age_ms (in_force) <= stale_ms ? in_force->config : NULL;
+	return dff_operator_state_age_ms (in_force) <= stale_ms ? in_force->config : NULL;
 }
 
 bool
-dff_in_force_is_fresh (const struct dff_in_force *in_force)
+dff_operator_state_is_fresh (const struct dff_operator_state *in_force)
 {
 	int64_t fresh_ms = 2 * wait_ms (in_force) + FRESH_MS;
-	return in_force->config != NULL && dff_in_force_age_ms (in_force) <= fresh_ms;
+	return in_force->config != NULL && dff_operator_state_age_ms (in_force) <= fresh_ms;
 }
 
 int64_t
-dff_in_force_age_ms (const struct dff_in_force *in_force)
+dff_operator_state_age_ms (const struct dff_operator_state *in_force)
 {
-	return dff_follower_age_ms (in_force->follower);
+	return dff_subscription_age_ms (in_force->follower);
 }
 
 int64_t
-dff_in_force_evacuations_age_ms (const struct dff_in_force *in_force)
+dff_operator_state_evacuations_age_ms (const struct dff_operator_state *in_force)
 {
-	return dff_follower_is_ready (in_force->follower) ? dff_in_force_age_ms (in_force)
-							  : INT64_MAX;
+	return dff_subscription_is_ready (in_force->follower) ? dff_operator_state_age_ms (in_force)
+							      : INT64_MAX;
 }
 
 void
-dff_in_force_nudge (struct dff_in_force *in_force)
+dff_operator_state_wake (struct dff_operator_state *in_force)
 {
-	dff_follower_nudge (in_force->follower);
+	dff_subscription_wake (in_force->follower);
 }
 
 void
-dff_in_force_set_deciding (struct dff_in_force *in_force, bool deciding)
+dff_operator_state_set_holding (struct dff_operator_state *in_force, bool deciding)
 {
-	dff_follower_set_wait (in_force->follower, deciding ? WAIT_MS : wait_ms (in_force));
+	dff_subscription_set_wait (in_force->follower, deciding ? WAIT_MS : wait_ms (in_force));
 }
 
-struct dff_in_force *
-dff_in_force_new (const struct dff_in_force_options *options)
+struct dff_operator_state *
+dff_operator_state_new (const struct dff_operator_state_options *options)
 {
-	struct dff_in_force *in_force = g_new0 (struct dff_in_force, 1);
+	struct dff_operator_state *in_force = g_new0 (struct dff_operator_state, 1);
 	in_force->options = *options;
 	in_force->version = dff_metrics_gauge (options->metrics, "dff_fleet_config_version",
 					       "Version of the configuration in force.");
@@ -150,7 +150,7 @@
 						      .changed = options->evacuations_changed,
 						      .ctx = options->ctx};
 	in_force->evacuations = dff_evacuations_new (&evacuations);
-	struct dff_follower_options follower = {
+	struct dff_subscription_options follower = {
 		.timers = options->timers,
 		.rows = options->rows,
 		.table = DFF_TABLE_CONFIG,
@@ -161,14 +161,14 @@
 			 .end_snapshot = handle_whole,
 			 .ctx = in_force},
 	};
-	in_force->follower = dff_follower_new (&follower);
+	in_force->follower = dff_subscription_new (&follower);
 	return in_force;
 }
 
 void
-dff_in_force_free (struct dff_in_force *in_force)
+dff_operator_state_free (struct dff_operator_state *in_force)
 {
-	dff_follower_free (in_force->follower);
+	dff_subscription_free (in_force->follower);
 	dff_evacuations_free (in_force->evacuations);
 	g_clear_pointer (&in_force->config, dff_fleet_config_free);
 	g_free (in_force);
--- a/fleet/intake_link.c
+++ b/fleet/intake_link.c
@@ -53,23 +53,24 @@
 	return DFF_ROWS_UNKNOWN;
 }
 
-static enum dff_intake_receiver
+static enum dff_intake_delivery
 receiver_of (const struct dff_http_response *response)
 {
 	if (response->outcome != DFF_HTTP_ANSWERED)
-		return DFF_INTAKE_UNREACHED;
-	return response->status == STATUS_MISDIRECTED ? DFF_INTAKE_MISDIRECTED : DFF_INTAKE_TAKEN;
+		return DFF_INTAKE_UNREACHABLE;
+	return response->status == STATUS_MISDIRECTED ? DFF_INTAKE_MISDIRECTED
+						      : DFF_INTAKE_DELIVERED;
 }
 
 static void
 handle_response (void *user, const struct dff_http_response *response)
 {
 	g_autofree struct call *call = user;
-	struct dff_intake_forwarded forwarded = {.delivery = receiver_of (response),
-						 .outcome = outcome_of (response)};
+	struct dff_intake_forward_result forwarded = {.delivery = receiver_of (response),
+						      .outcome = outcome_of (response)};
 	if (forwarded.delivery == DFF_INTAKE_MISDIRECTED) {
 		forwarded.outcome = DFF_ROWS_NOT_DONE;
-		dff_address_read (response->body, &forwarded.holder);
+		dff_address_from_text (response->body, &forwarded.holder);
 	}
 	call->done (call->user, &forwarded);
 }
@@ -136,8 +137,8 @@
 		evhttp_send_reply (request, HTTP_BADREQUEST, NULL, NULL);
 		return;
 	}
-	if (!dff_intake_is_gatherer (intake)) {
-		const struct dff_name *gatherer = dff_intake_gatherer (intake);
+	if (!dff_intake_is_holder (intake)) {
+		const struct dff_name *gatherer = dff_intake_holder_address (intake);
 		evbuffer_add (evhttp_request_get_output_buffer (request), gatherer->data,
 			      gatherer->len);
 		evhttp_send_reply (request, STATUS_MISDIRECTED, NULL, NULL);
@@ -146,7 +147,7 @@
 	struct dff_intake_row row = {.key = {key.data, key.len},
 				     .value = {(const char *)evbuffer_pullup (input, -1), length},
 				     .timeout_ms = timeout_ms};
-	dff_intake_take (intake, &row, handle_written, request);
+	dff_intake_write (intake, &row, handle_written, request);
 }
 
 void
--- a/fleet/presence.c
+++ b/fleet/presence.c
@@ -20,16 +20,16 @@
 /** Status of an answer whose body is the name of a process that does not hold the cell. */
 #define STATUS_IDLE 203
 
-struct dff_presence {
-	struct dff_presence_options options;
+struct dff_probe_link {
+	struct dff_probe_link_options options;
 	struct dff_http_client *client;
 };
 
 /* A query that is not understood asks for nothing. */
-static struct dff_holder_question
+static struct dff_holder_probe
 read_question (const char *query)
 {
-	struct dff_holder_question question = {0};
+	struct dff_holder_probe question = {0};
 	struct evkeyvalq fields;
 	if (query == NULL || evhttp_parse_query_str (query, &fields) != 0)
 		return question;
@@ -39,14 +39,14 @@
 	const char *decider = evhttp_find_header (&fields, QUERY_DECIDER);
 	const char *epoch = evhttp_find_header (&fields, QUERY_EPOCH);
 	if (decider != NULL && epoch != NULL &&
-	    dff_address_read (dff_str_from (decider), &question.new_holder))
+	    dff_address_from_text (dff_str_from (decider), &question.new_holder))
 		question.epoch = g_ascii_strtoll (epoch, NULL, 10);
 	evhttp_clear_headers (&fields);
 	return question;
 }
 
 static GString *
-question_path (const struct dff_holder_question *question)
+question_path (const struct dff_holder_probe *question)
 {
 	GString *path = g_string_new (INSTANCE_PATH "?");
 	if (question->release_if_unwritable)
@@ -65,11 +65,11 @@
 static void
 handle_request (struct evhttp_request *request, void *ctx)
 {
-	const struct dff_presence *presence = ctx;
+	const struct dff_probe_link *presence = ctx;
 	const char *query = evhttp_uri_get_query (evhttp_request_get_evhttp_uri (request));
-	struct dff_holder_question question = read_question (query);
+	struct dff_holder_probe question = read_question (query);
 	struct dff_holder *holder = presence->options.holder;
-	bool idle = dff_holder_answer_presence (holder, &question) == DFF_HOLDER_IDLE;
+	bool idle = dff_holder_answer_probe (holder, &question) == DFF_HOLDER_PROBE_IDLE;
 	evbuffer_add (evhttp_request_get_output_buffer (request),
 		      presence->options.incarnation.data, presence->options.incarnation.len);
 	evhttp_send_reply (request, idle ? STATUS_IDLE : HTTP_OK, NULL, NULL);
@@ -79,11 +79,11 @@
 	const struct dff_clock *clock;
 	struct dff_name instance;
 	int64_t begun_ms;
-	dff_holder_presence_func done;
+	dff_holder_probe_func done;
 	void *user;
 };
 
-static enum dff_holder_presence
+static enum dff_holder_probe_result
 judge (const struct presence_call *call, const struct dff_http_response *response)
 {
 	int64_t took_ms = dff_clock_now_ms (call->clock) - call->begun_ms;
@@ -91,13 +91,14 @@
 	if (response->outcome == DFF_HTTP_ANSWERED && named) {
 		struct dff_str instance = {call->instance.data, call->instance.len};
 		if (!dff_str_equal (response->body, instance))
-			return DFF_HOLDER_REPLACED;
-		return response->status == HTTP_OK ? DFF_HOLDER_PRESENT : DFF_HOLDER_IDLE;
+			return DFF_HOLDER_PROBE_REPLACED;
+		return response->status == HTTP_OK ? DFF_HOLDER_PROBE_ACTIVE
+						   : DFF_HOLDER_PROBE_IDLE;
 	}
 	/* Refused before its time is up: nobody listens there. */
 	if (response->outcome == DFF_HTTP_UNSENT && took_ms < PRESENCE_TIMEOUT_MS / 2)
-		return DFF_HOLDER_REFUSED;
-	return DFF_HOLDER_UNHEARD;
+		return DFF_HOLDER_PROBE_REFUSED;
+	return DFF_HOLDER_PROBE_TIMED_OUT;
 }
 
 static void
@@ -109,14 +110,14 @@
 }
 
 void
-dff_presence_ask (void *ctx,
-		  const struct dff_name *address,
-		  const struct dff_name *instance,
-		  const struct dff_holder_question *question,
-		  dff_holder_presence_func done,
-		  void *user)
+dff_probe_link_send (void *ctx,
+		     const struct dff_name *address,
+		     const struct dff_name *instance,
+		     const struct dff_holder_probe *question,
+		     dff_holder_probe_func done,
+		     void *user)
 {
-	struct dff_presence *presence = ctx;
+	struct dff_probe_link *presence = ctx;
 	struct presence_call *call = g_new0 (struct presence_call, 1);
 	call->clock = presence->options.clock;
 	call->instance = *instance;
@@ -132,10 +133,10 @@
 	g_string_free (path, TRUE);
 }
 
-struct dff_presence *
-dff_presence_new (const struct dff_presence_options *options)
+struct dff_probe_link *
+dff_probe_link_new (const struct dff_probe_link_options *options)
 {
-	struct dff_presence *presence = g_new0 (struct dff_presence, 1);
+	struct dff_probe_link *presence = g_new0 (struct dff_probe_link, 1);
 	struct dff_http_client_options client;
 	dff_http_client_options_init (&client);
 	client.base = options->base;
@@ -147,20 +148,20 @@
 }
 
 void
-dff_presence_free (struct dff_presence *presence)
+dff_probe_link_free (struct dff_probe_link *presence)
 {
 	dff_http_client_free (presence->client);
 	g_free (presence);
 }
 
 void
-dff_presence_set_holder (struct dff_presence *presence, struct dff_holder *holder)
+dff_probe_link_set_local_holder (struct dff_probe_link *presence, struct dff_holder *holder)
 {
 	presence->options.holder = holder;
 }
 
 void
-dff_presence_serve (struct dff_presence *presence, struct evhttp *http)
+dff_probe_link_serve (struct dff_probe_link *presence, struct evhttp *http)
 {
 	evhttp_set_cb (http, INSTANCE_PATH, handle_request, presence);
 }
--- a/fleet/relays.c
+++ b/fleet/relays.c
@@ -166,7 +166,7 @@
 }
 
 void
-dff_fleet_relays_follow (void *ctx, const struct dff_name *address, int32_t n_relays)
+dff_fleet_relays_connect (void *ctx, const struct dff_name *address, int32_t n_relays)
 {
 	struct dff_fleet_relays *relays = ctx;
 	if (n_relays == 0 || relays->leaving || dff_name_is_empty (address)) {
@@ -185,7 +185,7 @@
 }
 
 void
-dff_fleet_relays_want (void *ctx, int32_t n_relays)
+dff_fleet_relays_set_limit (void *ctx, int32_t n_relays)
 {
 	struct dff_fleet_relays *relays = ctx;
 	dff_dispatch_set_limit (relays->dispatch, n_relays);
--- a/fleet/state_link.c
+++ b/fleet/state_link.c
@@ -42,7 +42,7 @@
 };
 
 static void
-handle_sight (void *user, const struct dff_holder_sight *sight)
+handle_sight (void *user, const struct dff_holder_job_state *sight)
 {
 	g_autofree struct question *question = user;
 	question->done (question->user, sight->known, sight->state);
@@ -63,7 +63,7 @@
 leave_decider (struct dff_state_link *link, const struct dff_name *next)
 {
 	if (!dff_name_is_empty (next) && !dff_name_equal (next, &link->decider)) {
-		dff_state_link_set_decider (link, next, false);
+		dff_state_link_set_holder_address (link, next, false);
 		link->options.holder_moved (link->options.ctx, next);
 	} else {
 		link->avoid_until_ms = dff_clock_now_ms (link->options.clock) + AVOID_MS;
@@ -85,7 +85,7 @@
 	if (!answered || misdirected) {
 		struct dff_name next = {0};
 		if (misdirected)
-			dff_address_read (response->body, &next);
+			dff_address_from_text (response->body, &next);
 		leave_decider (link, &next);
 	}
 	if (misdirected && !link->is_decider && is_reached (link) &&
@@ -112,7 +112,7 @@
 }
 
 bool
-dff_state_link_ask (void *ctx, const struct dff_name *job, dff_front_state_func done, void *user)
+dff_state_link_query (void *ctx, const struct dff_name *job, dff_front_state_func done, void *user)
 {
 	struct dff_state_link *link = ctx;
 	if (!link->is_decider && !is_reached (link))
@@ -121,14 +121,14 @@
 	*question = (struct question){.link = link, .job = *job, .done = done, .user = user};
 	(*link->asked)++;
 	if (link->is_decider)
-		dff_holder_look (link->holder, job, handle_sight, question);
+		dff_holder_query_state (link->holder, job, handle_sight, question);
 	else
 		ask (question);
 	return true;
 }
 
 static void
-answer_sight (void *user, const struct dff_holder_sight *sight)
+answer_sight (void *user, const struct dff_holder_job_state *sight)
 {
 	struct evhttp_request *request = user;
 	const char *name = dff_job_state_name (sight->state);
@@ -165,7 +165,7 @@
 		evhttp_send_reply (request, STATUS_MISDIRECTED, NULL, NULL);
 		return;
 	}
-	dff_holder_look (link->holder, &job, answer_sight, request);
+	dff_holder_query_state (link->holder, &job, answer_sight, request);
 }
 
 void
@@ -175,13 +175,15 @@
 }
 
 void
-dff_state_link_set_holder (struct dff_state_link *link, struct dff_holder *holder)
+dff_state_link_set_local_holder (struct dff_state_link *link, struct dff_holder *holder)
 {
 	link->holder = holder;
 }
 
 void
-dff_state_link_set_decider (struct dff_state_link *link, const struct dff_name *address, bool self)
+dff_state_link_set_holder_address (struct dff_state_link *link,
+				   const struct dff_name *address,
+				   bool self)
 {
 	if (!dff_name_equal (&link->decider, address))
 		link->avoid_until_ms = 0;
--- a/front/intake.c
+++ b/front/intake.c
@@ -335,10 +335,10 @@
 }
 
 void
-dff_intake_take (struct dff_intake *intake,
-		 const struct dff_intake_row *row,
-		 dff_rows_func done,
-		 void *user)
+dff_intake_write (struct dff_intake *intake,
+		  const struct dff_intake_row *row,
+		  dff_rows_func done,
+		  void *user)
 {
 	const struct dff_intake_options *options = &intake->options;
 	int64_t deadline_ms = now_ms (intake) + row->timeout_ms;
@@ -411,7 +411,7 @@
 	const struct dff_intake_options *options = &intake->options;
 	bool moved = !dff_name_is_empty (next) && !dff_name_equal (next, &intake->gatherer);
 	if (moved) {
-		dff_intake_set_gatherer (intake, next, false);
+		dff_intake_set_holder_address (intake, next, false);
 		if (options->holder_moved != NULL)
 			options->holder_moved (options->holder_ctx, next);
 	} else {
@@ -421,7 +421,7 @@
 		options->holder_lost (options->holder_ctx);
 }
 
-static void handle_forwarded (void *user, const struct dff_intake_forwarded *forwarded);
+static void handle_forwarded (void *user, const struct dff_intake_forward_result *forwarded);
 
 static void
 send_forward (struct forward *forward)
@@ -460,18 +460,18 @@
 	struct dff_intake_row row = {.key = dff_str_from (forward->key),
 				     .value = {forward->value->str, forward->value->len},
 				     .timeout_ms = (int32_t)left_ms};
-	dff_intake_take (intake, &row, handle_own_way, forward);
+	dff_intake_write (intake, &row, handle_own_way, forward);
 }
 
 /* One that was reached and did not take the row knows why: a row that goes straight to a store
  * whose transactions queue makes them queue the longer. */
 static void
-handle_forwarded (void *user, const struct dff_intake_forwarded *forwarded)
+handle_forwarded (void *user, const struct dff_intake_forward_result *forwarded)
 {
 	struct forward *forward = user;
-	if (forwarded->delivery != DFF_INTAKE_TAKEN)
+	if (forwarded->delivery != DFF_INTAKE_DELIVERED)
 		leave_gatherer (forward->intake, &forwarded->holder);
-	if (forwarded->delivery != DFF_INTAKE_TAKEN && forwarded->outcome == DFF_ROWS_NOT_DONE)
+	if (forwarded->delivery != DFF_INTAKE_DELIVERED && forwarded->outcome == DFF_ROWS_NOT_DONE)
 		forward_again (forward);
 	else
 		end_forward (forward, forwarded->outcome);
@@ -484,7 +484,7 @@
 	 void *user)
 {
 	if (intake->is_gatherer) {
-		dff_intake_take (intake, row, done, user);
+		dff_intake_write (intake, row, done, user);
 		return;
 	}
 	struct forward *forward = g_new0 (struct forward, 1);
@@ -575,13 +575,13 @@
 }
 
 bool
-dff_intake_writes_elsewhere (const struct dff_intake *intake)
+dff_intake_writes_forwarded (const struct dff_intake *intake)
 {
 	return !intake->is_gatherer && goes_together (intake);
 }
 
 void
-dff_intake_set_gatherer (struct dff_intake *intake, const struct dff_name *address, bool self)
+dff_intake_set_holder_address (struct dff_intake *intake, const struct dff_name *address, bool self)
 {
 	if (!dff_name_equal (address, &intake->gatherer))
 		intake->avoid_until_ms = 0;
@@ -590,13 +590,13 @@
 }
 
 bool
-dff_intake_is_gatherer (const struct dff_intake *intake)
+dff_intake_is_holder (const struct dff_intake *intake)
 {
 	return intake->is_gatherer;
 }
 
 const struct dff_name *
-dff_intake_gatherer (const struct dff_intake *intake)
+dff_intake_holder_address (const struct dff_intake *intake)
 {
 	return &intake->gatherer;
 }
--- a/graph/progress.c
+++ b/graph/progress.c
@@ -122,7 +122,7 @@
 		return;
 	}
 	for (guint i = 0; i < at->tasks->len; i++) {
-		if (g_array_index (at->tasks, struct dff_task, i).state == DFF_TASK_DONE)
+		if (g_array_index (at->tasks, struct dff_task, i).state == DFF_PROGRESS_TASK_DONE)
 			continue;
 		unit.index = (int32_t)i;
 		g_array_append_val (units, unit);
@@ -130,10 +130,10 @@
 }
 
 int64_t
-dff_progress_offer (struct dff_progress *progress,
-		    const struct dff_plan *plan,
-		    int64_t now_wall_ms,
-		    GArray *units)
+dff_progress_take_ready (struct dff_progress *progress,
+			 const struct dff_plan *plan,
+			 int64_t now_wall_ms,
+			 GArray *units)
 {
 	if (dff_job_state_is_final (progress->state))
 		return INT64_MAX;
@@ -159,17 +159,17 @@
 }
 
 void
-dff_progress_finish (struct dff_progress *progress,
-		     const struct dff_plan *plan,
-		     const struct dff_unit *unit)
+dff_progress_mark_done (struct dff_progress *progress,
+			const struct dff_plan *plan,
+			const struct dff_unit *unit)
 {
 	struct dff_step_progress *at = dff_progress_step (progress, unit->occurrence, unit->step);
 	struct dff_unit_tasks tasks = dff_unit_tasks (plan, unit);
 	for (int32_t i = tasks.first; i < tasks.end; i++) {
 		struct dff_task *task = &g_array_index (at->tasks, struct dff_task, i);
-		if (task->state == DFF_TASK_DONE)
+		if (task->state == DFF_PROGRESS_TASK_DONE)
 			continue;
-		task->state = DFF_TASK_DONE;
+		task->state = DFF_PROGRESS_TASK_DONE;
 		g_clear_pointer (&task->checkpoint, g_free);
 		at->n_done++;
 		if (at->n_done == (int32_t)at->tasks->len)
@@ -180,14 +180,14 @@
 }
 
 bool
-dff_progress_failed (const struct dff_progress *progress,
-		     const struct dff_plan *plan,
-		     const struct dff_unit *unit)
+dff_progress_failure_counted (const struct dff_progress *progress,
+			      const struct dff_plan *plan,
+			      const struct dff_unit *unit)
 {
 	struct dff_unit_tasks tasks = dff_unit_tasks (plan, unit);
 	for (int32_t i = tasks.first; i < tasks.end; i++) {
 		if (dff_progress_task (progress, unit->occurrence, unit->step, i)->state ==
-		    DFF_TASK_FAILED)
+		    DFF_PROGRESS_TASK_FAILED)
 			return true;
 	}
 	return false;
@@ -198,35 +198,36 @@
  * are over; the next one hears the failure again, or, as it was acknowledged, never. Cause: a count
  * alone does not tell whether the open run is in it. */
 void
-dff_progress_note_failed (struct dff_progress *progress,
+dff_progress_mark_failed (struct dff_progress *progress,
 			  const struct dff_plan *plan,
 			  const struct dff_unit *unit,
 			  int32_t index)
 {
 	struct dff_unit_tasks tasks = dff_unit_tasks (plan, unit);
-	bool counted = dff_progress_failed (progress, plan, unit);
+	bool counted = dff_progress_failure_counted (progress, plan, unit);
 	for (int32_t i = tasks.first; i < tasks.end; i++)
 		dff_progress_task (progress, unit->occurrence, unit->step, i)->failures += !counted;
-	dff_progress_task (progress, unit->occurrence, unit->step, index)->state = DFF_TASK_FAILED;
+	dff_progress_task (progress, unit->occurrence, unit->step, index)->state =
+		DFF_PROGRESS_TASK_FAILED;
 }
 
 /* Symptom: a task is blamed twice for one worker. Sequence: a gang's member is lost with its
  * worker, which is recorded; the process that decides ends before the other members are over; the
  * next one finds the worker gone as well. */
 bool
-dff_progress_note_lost (struct dff_progress *progress, const struct dff_unit *unit, int32_t index)
+dff_progress_mark_lost (struct dff_progress *progress, const struct dff_unit *unit, int32_t index)
 {
 	struct dff_task *task = dff_progress_task (progress, unit->occurrence, unit->step, index);
-	if (task->state != DFF_TASK_ASSIGNED)
+	if (task->state != DFF_PROGRESS_TASK_ASSIGNED)
 		return false;
-	task->state = DFF_TASK_LOST;
+	task->state = DFF_PROGRESS_TASK_LOST;
 	return true;
 }
 
 int32_t
-dff_progress_blame (const struct dff_progress *progress,
-		    const struct dff_plan *plan,
-		    const struct dff_unit *unit)
+dff_progress_max_blame (const struct dff_progress *progress,
+			const struct dff_plan *plan,
+			const struct dff_unit *unit)
 {
 	struct dff_unit_tasks tasks = dff_unit_tasks (plan, unit);
 	int32_t blame = 0;
@@ -239,10 +240,10 @@
 }
 
 void
-dff_progress_save (struct dff_progress *progress,
-		   const struct dff_plan *plan,
-		   const struct dff_unit *unit,
-		   struct dff_str checkpoint)
+dff_progress_save_checkpoint (struct dff_progress *progress,
+			      const struct dff_plan *plan,
+			      const struct dff_unit *unit,
+			      struct dff_str checkpoint)
 {
 	struct dff_unit_tasks tasks = dff_unit_tasks (plan, unit);
 	for (int32_t i = tasks.first; i < tasks.end; i++) {
--- a/graph/progress_row.c
+++ b/graph/progress_row.c
@@ -37,13 +37,13 @@
 static bool
 task_has_begun (const struct dff_task *task)
 {
-	return task->run > 0 || task->state != DFF_TASK_PENDING;
+	return task->run > 0 || task->state != DFF_PROGRESS_TASK_PENDING;
 }
 
 static json_t *
 encode_task (const struct dff_task *task, struct worker_names *names, bool checkpoints)
 {
-	if (task->state == DFF_TASK_DONE)
+	if (task->state == DFF_PROGRESS_TASK_DONE)
 		return json_integer (1);
 	if (!task_has_begun (task))
 		return json_integer (0);
@@ -126,11 +126,11 @@
 {
 	if (json_is_integer (value)) {
 		bool done = json_integer_value (value) == 1;
-		task->state = done ? DFF_TASK_DONE : DFF_TASK_PENDING;
+		task->state = done ? DFF_PROGRESS_TASK_DONE : DFF_PROGRESS_TASK_PENDING;
 		step->n_done += done;
 		return;
 	}
-	task->state = (enum dff_task_state)json_integer_value (json_array_get (value, 0));
+	task->state = (enum dff_progress_task_state)json_integer_value (json_array_get (value, 0));
 	task->run = (int32_t)json_integer_value (json_array_get (value, 1));
 	task->failures = (int32_t)json_integer_value (json_array_get (value, 2));
 	task->worker = name_of (
--- a/holder/blame.c
+++ b/holder/blame.c
@@ -79,8 +79,8 @@
 	if (has_left (holder, run->worker) || !may_have_begun (holder, run))
 		return 0;
 	bool fresh = run->ran && !run->inherited && seen_ms (run) < SURVIVED_MS;
-	return loss != DFF_LOSS_LEASE_LAPSED && fresh ? DFF_POLICY_BLAME_FRESH
-						      : DFF_POLICY_BLAME_SEEN;
+	return loss != DFF_LOSS_LEASE_LAPSED && fresh ? DFF_POLICY_BLAME_STARTUP
+						      : DFF_POLICY_BLAME_RUNNING;
 }
 
 /* Has the core, and the row, go by what a task is blamed for now. */
@@ -89,7 +89,7 @@
 {
 	struct dff_event event = {.type = DFF_EVENT_JOB_BLAMED,
 				  .job = dff_unit_name (job->plan, at),
-				  .blame = dff_progress_blame (job->progress, job->plan, at)};
+				  .blame = dff_progress_max_blame (job->progress, job->plan, at)};
 	dff_core_handle_event (holder->core, &event, holder_now_ms (holder));
 	commit_mark (holder, job);
 }
@@ -111,12 +111,12 @@
 	struct dff_task *task =
 		dff_progress_task (job->progress, unit->unit.occurrence, unit->unit.step, index);
 	int32_t points = 0;
-	if (dff_progress_note_lost (job->progress, &unit->unit, index)) {
+	if (dff_progress_mark_lost (job->progress, &unit->unit, index)) {
 		points = points_for (holder, run, loss);
 		if (seen_ms (run) >= CLEARED_MS)
 			task->blame = task->startup_blame = points = 0;
 		task->blame += points;
-		task->startup_blame += points == DFF_POLICY_BLAME_FRESH ? points : 0;
+		task->startup_blame += points == DFF_POLICY_BLAME_STARTUP ? points : 0;
 		if (points > 0 && loss == DFF_LOSS_LEASE_LAPSED)
 			remember_blamed (run->worker, &run->task);
 		tell_blame (holder, job, &unit->unit);
@@ -157,7 +157,7 @@
 		return;
 	struct dff_task *task =
 		dff_progress_task (job->progress, ref.occurrence, ref.step, ref.index);
-	task->blame = MAX (task->blame - DFF_POLICY_BLAME_SEEN, task->startup_blame);
+	task->blame = MAX (task->blame - DFF_POLICY_BLAME_RUNNING, task->startup_blame);
 	bool gang = dff_plan_step (job->plan, ref.step)->gang;
 	struct dff_unit at = {
 		.occurrence = ref.occurrence, .step = ref.step, .index = gang ? -1 : ref.index};
--- a/holder/commit.c
+++ b/holder/commit.c
@@ -147,7 +147,7 @@
 }
 
 void
-dff_holder_note_store_heard (struct dff_holder *holder)
+dff_holder_handle_store_recovered (struct dff_holder *holder)
 {
 	if (holder->phase < DFF_HOLDER_READING)
 		return;
@@ -156,7 +156,7 @@
 	holder->next_commit_ms = 0;
 	holder->commit_wait_ms = REFUSED_MIN_MS;
 	if (holder->jobs_follower != NULL)
-		dff_follower_nudge (holder->jobs_follower);
+		dff_subscription_wake (holder->jobs_follower);
 	holder_wake (holder);
 }
 
--- a/holder/holder.c
+++ b/holder/holder.c
@@ -129,13 +129,13 @@
 open_metrics (struct dff_holder *holder)
 {
 	struct dff_metrics *metrics = holder->options.metrics;
-	static const char *const end_names[DFF_RUN_ALONE + 1] = {
+	static const char *const end_names[DFF_RUN_GANG_TIMEOUT + 1] = {
 		[DFF_RUN_COMPLETED] = "dff_holder_runs_ended_total{end=\"completed\"}",
 		[DFF_RUN_FAILED] = "dff_holder_runs_ended_total{end=\"failed\"}",
 		[DFF_RUN_STOPPED] = "dff_holder_runs_ended_total{end=\"stopped\"}",
-		[DFF_RUN_LAPSED] = "dff_holder_runs_ended_total{end=\"lapsed\"}",
-		[DFF_RUN_BROKEN] = "dff_holder_runs_ended_total{end=\"broken\"}",
-		[DFF_RUN_ALONE] = "dff_holder_runs_ended_total{end=\"alone\"}",
+		[DFF_RUN_LEASE_EXPIRED] = "dff_holder_runs_ended_total{end=\"lapsed\"}",
+		[DFF_RUN_GANG_BROKEN] = "dff_holder_runs_ended_total{end=\"broken\"}",
+		[DFF_RUN_GANG_TIMEOUT] = "dff_holder_runs_ended_total{end=\"alone\"}",
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (end_names); i++)
 		holder->metrics.ends[i] = dff_metrics_counter (metrics, end_names[i],
@@ -271,14 +271,14 @@
 }
 
 void
-dff_holder_resign (struct dff_holder *holder)
+dff_holder_step_down (struct dff_holder *holder)
 {
 	holder->resigning = true;
 	holder_wake (holder);
 }
 
 int64_t
-dff_holder_store_took_ms (const struct dff_holder *holder)
+dff_holder_store_latency_ms (const struct dff_holder *holder)
 {
 	return MAX (holder->commit_took_ms, holder->read_took_ms);
 }
@@ -300,19 +300,20 @@
 	       options->store_served_ms (options->store_ctx) <= holder->lost_begun_ms;
 }
 
-enum dff_holder_presence
-dff_holder_answer_presence (struct dff_holder *holder, const struct dff_holder_question *question)
+enum dff_holder_probe_result
+dff_holder_answer_probe (struct dff_holder *holder, const struct dff_holder_probe *question)
 {
 	if (question->release_if_unwritable && is_helpless (holder))
 		lease_stand_down (holder, "store_lost");
 	handover_answer (holder, question->asker_takeover_ms);
 	if (!dff_name_is_empty (&question->new_holder))
 		relays_note_decider (holder, &question->new_holder, question->epoch);
-	return holder->phase == DFF_HOLDER_WATCHING ? DFF_HOLDER_IDLE : DFF_HOLDER_PRESENT;
+	return holder->phase == DFF_HOLDER_WATCHING ? DFF_HOLDER_PROBE_IDLE
+						    : DFF_HOLDER_PROBE_ACTIVE;
 }
 
 bool
-dff_holder_has_resigned (const struct dff_holder *holder)
+dff_holder_has_stepped_down (const struct dff_holder *holder)
 {
 	return holder->resigning && holder->phase == DFF_HOLDER_WATCHING;
 }
--- a/holder/holder_private.h
+++ b/holder/holder_private.h
@@ -459,8 +459,9 @@
 void run_stop_anew (struct dff_holder *holder, struct holder_run *run);
 
 /** Takes in that a worker runs it. */
-void
-run_note_open (struct dff_holder *holder, struct holder_run *run, const struct dff_run_open *open);
+void run_note_open (struct dff_holder *holder,
+		    struct holder_run *run,
+		    const struct dff_run_active *open);
 
 /** Takes in an end that a worker lists. */
 void run_note_ended (struct dff_holder *holder,
--- a/holder/holder_tables.h
+++ b/holder/holder_tables.h
@@ -312,9 +312,9 @@
 	struct dff_timer *look_timer;
 
 	/* holder/recovery.c */
-	struct dff_follower *jobs_follower;
+	struct dff_subscription *jobs_follower;
 	GHashTable *recorded;
-	struct dff_reading *progress_reading;
+	struct dff_scan *progress_reading;
 	bool progress_read;
 	bool jobs_read;
 
@@ -356,7 +356,7 @@
 	GArray *unguarded;
 
 	/* holder/list.c */
-	struct dff_reading *list_reading;
+	struct dff_scan *list_reading;
 	/** When the page in progress was asked for. */
 	int64_t list_page_ms;
 	/** Workers seen in the reading in progress. */
@@ -382,7 +382,7 @@
 		int64_t *starts_rejected;
 		int64_t *units_stopped;
 		int64_t *strays;
-		int64_t *ends[DFF_RUN_ALONE + 1];
+		int64_t *ends[DFF_RUN_GANG_TIMEOUT + 1];
 		int64_t *lapsed_workers;
 		int64_t *runs_lost;
 		int64_t *stalled_workers;
--- a/holder/jobs.c
+++ b/holder/jobs.c
@@ -72,7 +72,7 @@
 		return;
 	g_autoptr (GArray) units = g_array_new (FALSE, FALSE, sizeof (struct dff_unit));
 	int64_t wall_ms = dff_clock_wall_ms (holder->options.timers->clock) - DUE_MARGIN_MS;
-	job->due_ms = dff_progress_offer (job->progress, job->plan, wall_ms, units);
+	job->due_ms = dff_progress_take_ready (job->progress, job->plan, wall_ms, units);
 	holder->next_due_ms = MIN (holder->next_due_ms, job->due_ms);
 	for (guint i = 0; i < units->len; i++)
 		units_give (holder, job, &g_array_index (units, struct dff_unit, i));
--- a/holder/lease.c
+++ b/holder/lease.c
@@ -159,7 +159,7 @@
 }
 
 static void
-ignore_presence (void *user, enum dff_holder_presence presence)
+ignore_presence (void *user, enum dff_holder_probe_result presence)
 {
 	(void)presence;
 	g_free (user);
@@ -173,8 +173,8 @@
 	if (dff_name_is_empty (&holder->former_address) ||
 	    dff_name_equal (&holder->former_address, &holder->options.probe_address))
 		return;
-	struct dff_holder_question question = {.new_holder = holder->options.probe_address,
-					       .epoch = holder->epoch};
+	struct dff_holder_probe question = {.new_holder = holder->options.probe_address,
+					    .epoch = holder->epoch};
 	holder->options.send_probe (holder->options.probe_ctx, &holder->former_address,
 				    &holder->former_instance, &question, ignore_presence,
 				    holder_call_begin (holder, sizeof (struct holder_call)));
@@ -253,22 +253,22 @@
 };
 
 static void
-handle_presence (void *user, enum dff_holder_presence presence)
+handle_presence (void *user, enum dff_holder_probe_result presence)
 {
 	g_autofree struct ask_call *ask = user;
 	struct dff_holder *holder = ask->call.holder;
 	holder->asking_presence = false;
 	if (holder_call_end (&ask->call) == NULL)
 		return;
-	if (presence == DFF_HOLDER_PRESENT) {
+	if (presence == DFF_HOLDER_PROBE_ACTIVE) {
 		holder->present_ms = ask->call.begun_ms;
 		holder->present_revision = ask->revision;
 		return;
 	}
-	if (presence == DFF_HOLDER_UNHEARD)
+	if (presence == DFF_HOLDER_PROBE_TIMED_OUT)
 		return;
 	holder->ended_revision = ask->revision;
-	holder->ended_surely = presence != DFF_HOLDER_REFUSED;
+	holder->ended_surely = presence != DFF_HOLDER_PROBE_REFUSED;
 	holder->next_read_ms = 0;
 	holder_wake (holder);
 }
@@ -290,7 +290,7 @@
 	holder->next_ask_ms = now_ms + ASK_EVERY_MS;
 	struct ask_call *ask = holder_call_begin (holder, sizeof (*ask));
 	ask->revision = revision;
-	struct dff_holder_question question = {
+	struct dff_holder_probe question = {
 		.release_if_unwritable = holder->read_took_ms < SLOW_READ_MS,
 		.asker_takeover_ms = relieve ? holder->options.takeover_ms : 0,
 	};
@@ -299,11 +299,12 @@
 }
 
 static void
-handle_former_presence (void *user, enum dff_holder_presence presence)
+handle_former_presence (void *user, enum dff_holder_probe_result presence)
 {
 	g_autofree struct holder_call *call = user;
 	struct dff_holder *holder = holder_call_end (call);
-	if (holder == NULL || (presence != DFF_HOLDER_IDLE && presence != DFF_HOLDER_REPLACED))
+	if (holder == NULL ||
+	    (presence != DFF_HOLDER_PROBE_IDLE && presence != DFF_HOLDER_PROBE_REPLACED))
 		return;
 	int64_t now_ms = holder_now_ms (holder);
 	int64_t spared_ms = holder->former_until_ms - now_ms;
@@ -314,7 +315,7 @@
 		 "The former holder renews nothing any more. epoch=%" PRId64
 		 " former=%s reason=%s spared_ms=%" PRId64 " others_may_renew_ms=%" PRId64,
 		 holder->epoch, holder->former_instance.data,
-		 presence == DFF_HOLDER_IDLE ? "idle" : "replaced", spared_ms,
+		 presence == DFF_HOLDER_PROBE_IDLE ? "idle" : "replaced", spared_ms,
 		 renewing_until_ms (holder) - now_ms);
 }
 
@@ -326,7 +327,7 @@
 	    dff_name_is_empty (&holder->former_address))
 		return;
 	holder->next_former_ask_ms = now_ms + ASK_FORMER_EVERY_MS;
-	struct dff_holder_question question = {0};
+	struct dff_holder_probe question = {0};
 	holder->options.send_probe (holder->options.probe_ctx, &holder->former_address,
 				    &holder->former_instance, &question, handle_former_presence,
 				    holder_call_begin (holder, sizeof (struct holder_call)));
@@ -442,7 +443,7 @@
 }
 
 void
-dff_holder_note_decider_lost (struct dff_holder *holder)
+dff_holder_handle_holder_lost (struct dff_holder *holder)
 {
 	if (holder->phase != DFF_HOLDER_WATCHING)
 		return;
--- a/holder/list.c
+++ b/holder/list.c
@@ -82,7 +82,7 @@
 
 /* What a whole list does not name is missing. */
 static void
-handle_whole (void *ctx, const struct dff_reading_end *end)
+handle_whole (void *ctx, const struct dff_scan_result *end)
 {
 	struct dff_holder *holder = ctx;
 	GHashTableIter iter;
@@ -106,7 +106,7 @@
 {
 	holder->list_revision = 0;
 	g_hash_table_remove_all (holder->list_seen);
-	dff_reading_start (holder->list_reading);
+	dff_scan_start (holder->list_reading);
 }
 
 static void
@@ -151,7 +151,7 @@
 list_work (struct dff_holder *holder)
 {
 	int64_t now_ms = holder_now_ms (holder);
-	if (dff_reading_is_running (holder->list_reading) || holder->asking_list_changes ||
+	if (dff_scan_is_running (holder->list_reading) || holder->asking_list_changes ||
 	    now_ms < holder->next_list_ms)
 		return;
 	if (holder->list_revision > 0 &&
@@ -166,7 +166,7 @@
 {
 	holder->list_seen =
 		g_hash_table_new_full (dff_name_hash, dff_name_equal_func, g_free, NULL);
-	struct dff_reading_options reading = {
+	struct dff_scan_options reading = {
 		.timers = holder->options.timers,
 		.rows = holder->options.rows,
 		.table = DFF_TABLE_UPSTREAMS,
@@ -176,7 +176,7 @@
 			 .done = handle_whole,
 			 .ctx = holder},
 	};
-	holder->list_reading = dff_reading_new (&reading);
+	holder->list_reading = dff_scan_new (&reading);
 	holder->listed_once = false;
 	holder->list_revision = 0;
 	holder->asking_list_changes = false;
@@ -187,5 +187,5 @@
 list_forget (struct dff_holder *holder)
 {
 	g_clear_pointer (&holder->list_seen, g_hash_table_unref);
-	g_clear_pointer (&holder->list_reading, dff_reading_free);
+	g_clear_pointer (&holder->list_reading, dff_scan_free);
 }
--- a/holder/lives.c
+++ b/holder/lives.c
@@ -44,7 +44,7 @@
 {
 	struct dff_str task = {run->task.data, run->task.len};
 	for (size_t i = 0; i < result->n_running; i++) {
-		const struct dff_run_open *open = &result->running[i];
+		const struct dff_run_active *open = &result->running[i];
 		if (open->run == run->run && dff_str_equal (open->task, task))
 			return true;
 	}
@@ -81,7 +81,7 @@
 		       const struct dff_name *task,
 		       int32_t run)
 {
-	if (!dff_born_is_told (worker->upstream.incarnation.started_ms))
+	if (!dff_start_is_known (worker->upstream.incarnation.started_ms))
 		return;
 	if (worker->unanswered == NULL)
 		worker->unanswered = g_array_new (FALSE, FALSE, sizeof (struct lives_order));
@@ -133,7 +133,7 @@
 {
 	if (holder->phase != DFF_HOLDER_HOLDING)
 		return;
-	struct dff_event event = {.type = DFF_EVENT_WORKER_RENEWED,
+	struct dff_event event = {.type = DFF_EVENT_WORKER_RESTARTED,
 				  .worker = worker->upstream.incarnation.id};
 	dff_core_handle_event (holder->core, &event, holder_now_ms (holder));
 }
@@ -145,7 +145,7 @@
 	      struct holder_worker *worker,
 	      const struct dff_runner_result *result)
 {
-	worker->upstream.incarnation.started_ms = MAX (result->started_ms, DFF_BORN_UNTOLD);
+	worker->upstream.incarnation.started_ms = MAX (result->started_ms, DFF_START_UNREPORTED);
 	worker->n_lives++;
 	worker->born_known_ms = holder_now_ms (holder);
 	worker->upstream.leaving = false;
@@ -196,7 +196,7 @@
 refute_entry (struct holder_worker *worker, int64_t begun_ms)
 {
 	if (worker->next_entry != NULL && begun_ms > worker->next_entry->noted_ms) {
-		worker->entry_born_ms = DFF_BORN_UNTOLD;
+		worker->entry_born_ms = DFF_START_UNREPORTED;
 		g_clear_pointer (&worker->next_entry, g_free);
 	}
 }
@@ -204,18 +204,18 @@
 /* A life that started earlier than a known one is over, but for one thing: the answer to a call
  * that began after the later life was known comes from the worker as it is. Its time of day may
  * have been set back between the two. */
-static enum dff_life_order
+static enum dff_incarnation_order
 compare_answer (const struct holder_worker *worker,
 		const struct dff_runner_result *result,
 		const struct lives_mark *mark)
 {
-	enum dff_life_order order =
-		dff_life_compare (result->started_ms, &worker->upstream.incarnation);
-	if (order == DFF_LIFE_EARLIER && mark->begun_ms > worker->born_known_ms)
-		return DFF_LIFE_LATER;
-	bool untold = !dff_born_is_told (result->started_ms);
-	if (order == DFF_LIFE_SAME && untold && mark->n_lives != worker->n_lives)
-		return DFF_LIFE_EARLIER;
+	enum dff_incarnation_order order =
+		dff_incarnation_compare (result->started_ms, &worker->upstream.incarnation);
+	if (order == DFF_INCARNATION_EARLIER && mark->begun_ms > worker->born_known_ms)
+		return DFF_INCARNATION_LATER;
+	bool untold = !dff_start_is_known (result->started_ms);
+	if (order == DFF_INCARNATION_SAME && untold && mark->n_lives != worker->n_lives)
+		return DFF_INCARNATION_EARLIER;
 	return order;
 }
 
@@ -244,22 +244,22 @@
 		 const struct dff_runner_result *result,
 		 const struct lives_mark *mark)
 {
-	bool expected = dff_born_is_told (worker->upstream.incarnation.started_ms);
-	bool told = dff_born_is_told (result->started_ms);
+	bool expected = dff_start_is_known (worker->upstream.incarnation.started_ms);
+	bool told = dff_start_is_known (result->started_ms);
 	if (expected && !told) {
 		note_odd (holder, worker, result->started_ms,
-			  result->started_ms == DFF_BORN_UNTOLD ? "missing" : "unreadable");
+			  result->started_ms == DFF_START_UNREPORTED ? "missing" : "unreadable");
 		return take_untold_list (holder, worker, result);
 	}
 	switch (compare_answer (worker, result, mark)) {
-	case DFF_LIFE_EARLIER:
+	case DFF_INCARNATION_EARLIER:
 		note_odd (holder, worker, result->started_ms, "earlier_life");
 		return false;
-	case DFF_LIFE_LATER:
+	case DFF_INCARNATION_LATER:
 		begin_next (holder, worker, result);
 		bar_unanswered (holder, worker);
 		return true;
-	case DFF_LIFE_SAME:
+	case DFF_INCARNATION_SAME:
 		break;
 	}
 	if (!expected && told) {
@@ -278,12 +278,12 @@
 		  const struct lives_mark *mark)
 {
 	switch (compare_answer (worker, result, mark)) {
-	case DFF_LIFE_SAME:
+	case DFF_INCARNATION_SAME:
 		return true;
-	case DFF_LIFE_LATER:
+	case DFF_INCARNATION_LATER:
 		watch_look (holder, worker);
 		return false;
-	case DFF_LIFE_EARLIER:
+	case DFF_INCARNATION_EARLIER:
 		return false;
 	}
 	return false;
@@ -297,15 +297,16 @@
 		  int64_t begun_ms)
 {
 	int64_t born_ms = upstream->incarnation.started_ms;
-	if (born_ms == DFF_BORN_UNREADABLE)
+	if (born_ms == DFF_START_UNREADABLE)
 		note_odd (holder, worker, born_ms, "unreadable_in_entry");
-	enum dff_life_order order = dff_life_compare (born_ms, &worker->upstream.incarnation);
-	if (order == DFF_LIFE_EARLIER) {
+	enum dff_incarnation_order order =
+		dff_incarnation_compare (born_ms, &worker->upstream.incarnation);
+	if (order == DFF_INCARNATION_EARLIER) {
 		note_odd (holder, worker, born_ms, "earlier_entry");
 		return false;
 	}
-	worker->entry_born_ms = MAX (born_ms, DFF_BORN_UNTOLD);
-	if (order == DFF_LIFE_SAME)
+	worker->entry_born_ms = MAX (born_ms, DFF_START_UNREPORTED);
+	if (order == DFF_INCARNATION_SAME)
 		return true;
 	bool known = worker->next_entry != NULL &&
 		     worker->next_entry->upstream.incarnation.started_ms == born_ms;
@@ -325,6 +326,6 @@
 lives_are_sure (const struct holder_worker *worker)
 {
 	return worker->next_entry == NULL &&
-	       dff_life_compare (worker->entry_born_ms, &worker->upstream.incarnation) ==
-		       DFF_LIFE_SAME;
+	       dff_incarnation_compare (worker->entry_born_ms, &worker->upstream.incarnation) ==
+		       DFF_INCARNATION_SAME;
 }
--- a/holder/looks.c
+++ b/holder/looks.c
@@ -23,7 +23,7 @@
 struct look {
 	struct dff_name job;
 	int64_t begun_ms;
-	dff_holder_look_func done;
+	dff_holder_state_func done;
 	void *user;
 };
 
@@ -46,9 +46,9 @@
 
 /* Returns: false while the look waits. */
 static bool
-judge (struct dff_holder *holder, const struct look *look, struct dff_holder_sight *sight)
+judge (struct dff_holder *holder, const struct look *look, struct dff_holder_job_state *sight)
 {
-	*sight = (struct dff_holder_sight){0};
+	*sight = (struct dff_holder_job_state){0};
 	if (!may_answer (holder))
 		return true;
 	if (draft_finished_state (holder, &look->job, &sight->state)) {
@@ -70,7 +70,7 @@
 {
 	for (guint n = holder->looks.length; n > 0; n--) {
 		struct look *look = g_queue_pop_head (&holder->looks);
-		struct dff_holder_sight sight;
+		struct dff_holder_job_state sight;
 		if (!judge (holder, look, &sight)) {
 			g_queue_push_tail (&holder->looks, look);
 			continue;
@@ -102,10 +102,10 @@
 }
 
 void
-dff_holder_look (struct dff_holder *holder,
-		 const struct dff_name *job,
-		 dff_holder_look_func done,
-		 void *user)
+dff_holder_query_state (struct dff_holder *holder,
+			const struct dff_name *job,
+			dff_holder_state_func done,
+			void *user)
 {
 	struct look *look = g_new0 (struct look, 1);
 	look->job = *job;
--- a/holder/pace.c
+++ b/holder/pace.c
@@ -67,7 +67,7 @@
 	run->pace_told = true;
 	if (!is_near_data (run))
 		return;
-	struct dff_event event = {.type = DFF_EVENT_TASK_PACE,
+	struct dff_event event = {.type = DFF_EVENT_TASK_DURATION,
 				  .worker = run->worker->upstream.incarnation.id,
 				  .peer_group = cohort_of (run),
 				  .duration_ms = worked_ms * 100 / done};
--- a/holder/policy.c
+++ b/holder/policy.c
@@ -56,7 +56,7 @@
 	options->start_timeout_ms = gang_wait_ms + START_TIMEOUT_MS;
 	options->retry_without_limit = true;
 	options->blame_limit = DFF_POLICY_BLAME_LIMIT;
-	options->isolation_blame = DFF_POLICY_BLAME_FRESH;
+	options->isolation_blame = DFF_POLICY_BLAME_STARTUP;
 	options->ageing_ms = AGEING_MS;
 	options->quarantine_ms = QUARANTINE_MS;
 	options->early_failure_share = AT_ONCE_SHARE;
--- a/holder/recovery.c
+++ b/holder/recovery.c
@@ -27,7 +27,7 @@
 static void
 follow_jobs (struct dff_holder *holder)
 {
-	struct dff_follower_options options = {
+	struct dff_subscription_options options = {
 		.timers = holder->options.timers,
 		.rows = holder->options.rows,
 		.table = DFF_TABLE_JOBS,
@@ -36,7 +36,7 @@
 		.page_timeout_ms = JOBS_PAGE_TIMEOUT_MS,
 		.sink = {.row = jobs_handle_row, .end_snapshot = handle_whole, .ctx = holder},
 	};
-	holder->jobs_follower = dff_follower_new (&options);
+	holder->jobs_follower = dff_subscription_new (&options);
 }
 
 static void
@@ -57,7 +57,7 @@
 }
 
 static void
-handle_whole_progress (void *ctx, G_GNUC_UNUSED const struct dff_reading_end *end)
+handle_whole_progress (void *ctx, G_GNUC_UNUSED const struct dff_scan_result *end)
 {
 	struct dff_holder *holder = ctx;
 	holder->progress_read = true;
@@ -67,15 +67,15 @@
 static void
 read_progress (struct dff_holder *holder)
 {
-	struct dff_reading_options options = {
+	struct dff_scan_options options = {
 		.timers = holder->options.timers,
 		.rows = holder->options.rows,
 		.table = DFF_TABLE_PROGRESS,
 		.timeout_ms = READ_TIMEOUT_MS,
 		.sink = {.row = handle_progress_row, .done = handle_whole_progress, .ctx = holder},
 	};
-	holder->progress_reading = dff_reading_new (&options);
-	dff_reading_start (holder->progress_reading);
+	holder->progress_reading = dff_scan_new (&options);
+	dff_scan_start (holder->progress_reading);
 }
 
 void
@@ -114,8 +114,8 @@
 void
 recovery_forget (struct dff_holder *holder)
 {
-	g_clear_pointer (&holder->jobs_follower, dff_follower_free);
-	g_clear_pointer (&holder->progress_reading, dff_reading_free);
+	g_clear_pointer (&holder->jobs_follower, dff_subscription_free);
+	g_clear_pointer (&holder->progress_reading, dff_scan_free);
 	inbox_forget (holder);
 	g_clear_pointer (&holder->recorded, g_hash_table_unref);
 	g_clear_pointer (&holder->dirty, g_hash_table_unref);
--- a/holder/rooms.c
+++ b/holder/rooms.c
@@ -22,7 +22,7 @@
 rooms_allow_start (const struct dff_holder *holder, const struct holder_worker *worker)
 {
 	return rooms_are_known (holder, worker) &&
-	       dff_core_worker_has_room (holder->core, &worker->upstream.incarnation.id);
+	       dff_core_worker_within_capacity (holder->core, &worker->upstream.incarnation.id);
 }
 
 bool
@@ -32,9 +32,9 @@
 }
 
 void
-dff_holder_set_unguarded (struct dff_holder *holder,
-			  const struct dff_name *services,
-			  size_t n_services)
+dff_holder_set_unenforced (struct dff_holder *holder,
+			   const struct dff_name *services,
+			   size_t n_services)
 {
 	holder_names_set (holder->unguarded, services, n_services);
 }
--- a/holder/runs.c
+++ b/holder/runs.c
@@ -160,13 +160,13 @@
 }
 
 void
-run_note_open (struct dff_holder *holder, struct holder_run *run, const struct dff_run_open *open)
+run_note_open (struct dff_holder *holder, struct holder_run *run, const struct dff_run_active *open)
 {
 	struct holder_unit *unit = run->unit;
 	int64_t now_ms = holder_now_ms (holder);
 	if (open->checkpoint.len > 0)
-		dff_progress_save (unit->job->progress, unit->job->plan, &unit->unit,
-				   open->checkpoint);
+		dff_progress_save_checkpoint (unit->job->progress, unit->job->plan, &unit->unit,
+					      open->checkpoint);
 	if (open->percent != run->percent) {
 		run->percent = open->percent;
 		run->percent_ms = now_ms;
@@ -212,8 +212,8 @@
 		 run->run, dff_run_end_name (ended->end), run->worker->upstream.incarnation.id.data,
 		 ended->number);
 	if (ended->checkpoint.len > 0 && ended->end != DFF_RUN_COMPLETED) {
-		dff_progress_save (unit->job->progress, unit->job->plan, &unit->unit,
-				   ended->checkpoint);
+		dff_progress_save_checkpoint (unit->job->progress, unit->job->plan, &unit->unit,
+					      ended->checkpoint);
 		commit_mark (holder, unit->job);
 	}
 	blame_clear_ended (holder, run);
@@ -226,12 +226,12 @@
 		unit_note_failed (holder, unit, run->member);
 		run_settle (holder, run, DFF_EVENT_TASK_FAILED, true);
 		return;
-	case DFF_RUN_LAPSED:
+	case DFF_RUN_LEASE_EXPIRED:
 		run_settle (holder, run, DFF_EVENT_TASK_LOST, true);
 		return;
 	case DFF_RUN_STOPPED:
-	case DFF_RUN_BROKEN:
-	case DFF_RUN_ALONE:
+	case DFF_RUN_GANG_BROKEN:
+	case DFF_RUN_GANG_TIMEOUT:
 		run_settle (holder, run, DFF_EVENT_TASK_STOPPED, true);
 		return;
 	}
@@ -274,7 +274,7 @@
 			   DFF_EVENT_TASK_STARTED, true);
 		holder_wake (holder);
 		return;
-	case DFF_RUNNER_LATE:
+	case DFF_RUNNER_DEADLINE_PASSED:
 		run->next_ms = now_ms + REFUSED_PAUSE_MS;
 		return;
 	case DFF_RUNNER_UNSENT:
@@ -344,7 +344,7 @@
 		holder != NULL ? workers_find (holder, &order->worker) : NULL;
 	if (worker == NULL)
 		return;
-	if (result->outcome == DFF_RUNNER_OTHER_LIFE) {
+	if (result->outcome == DFF_RUNNER_OTHER_INCARNATION) {
 		note_other_life (holder, worker, order);
 		return;
 	}
--- a/holder/units.c
+++ b/holder/units.c
@@ -31,7 +31,7 @@
 	if (dff_plan_step (plan, unit->unit.step)->endless)
 		return INT32_MAX;
 	int32_t before = member_task (unit, 0)->failures -
-			 dff_progress_failed (unit->job->progress, plan, &unit->unit);
+			 dff_progress_failure_counted (unit->job->progress, plan, &unit->unit);
 	return MAX (plan->max_attempts - before, 1);
 }
 
@@ -55,7 +55,7 @@
 		.idempotent = true,
 		.declared_ms = step->estimate_ms,
 		.max_attempts = attempts_left (unit),
-		.blame = dff_progress_blame (unit->job->progress, plan, &unit->unit),
+		.blame = dff_progress_max_blame (unit->job->progress, plan, &unit->unit),
 		.label = step->label,
 		.per_worker = step->per_worker,
 		.weight = dff_policy_weight (plan->priority, step->gang ? 1 : step->count),
@@ -90,9 +90,10 @@
 recover_run (struct dff_holder *holder, struct holder_unit *unit, int32_t member)
 {
 	const struct dff_task *task = member_task (unit, member);
-	if (task->state == DFF_TASK_FAILED || task->state == DFF_TASK_LOST) {
-		enum dff_event_type type = task->state == DFF_TASK_FAILED ? DFF_EVENT_TASK_FAILED
-									  : DFF_EVENT_TASK_LOST;
+	if (task->state == DFF_PROGRESS_TASK_FAILED || task->state == DFF_PROGRESS_TASK_LOST) {
+		enum dff_event_type type = task->state == DFF_PROGRESS_TASK_FAILED
+						   ? DFF_EVENT_TASK_FAILED
+						   : DFF_EVENT_TASK_LOST;
 		jobs_emit (holder, &unit->name, unit->attempt, member, type, true);
 		return;
 	}
@@ -121,7 +122,7 @@
 		g_array_append_val (placements, placement);
 		g_array_append_val (running, yes);
 	}
-	struct dff_recovered recovered = {
+	struct dff_recovered_attempt recovered = {
 		.attempt = 1, .open = true, .placements = placements, .running = running};
 	struct dff_event event = {
 		.type = DFF_EVENT_JOB_RECOVERED, .spec = spec, .recovered = &recovered};
@@ -135,7 +136,7 @@
 {
 	struct holder_unit *unit = unit_new (holder, job, at);
 	struct dff_job_spec spec = unit_spec (unit);
-	if (dff_task_state_is_open (member_task (unit, 0)->state)) {
+	if (dff_progress_task_state_is_open (member_task (unit, 0)->state)) {
 		recover_unit (holder, unit, &spec);
 		return;
 	}
@@ -159,7 +160,7 @@
 void
 unit_note_failed (struct dff_holder *holder, struct holder_unit *unit, int32_t member)
 {
-	dff_progress_note_failed (unit->job->progress, unit->job->plan, &unit->unit,
+	dff_progress_mark_failed (unit->job->progress, unit->job->plan, &unit->unit,
 				  MAX (unit->unit.index, 0) + member);
 	commit_mark (holder, unit->job);
 }
@@ -172,7 +173,7 @@
 	unit->attempt = command->attempt;
 	for (int32_t i = 0; i < unit->n_members; i++) {
 		struct dff_task *task = member_task (unit, i);
-		task->state = DFF_TASK_ASSIGNED;
+		task->state = DFF_PROGRESS_TASK_ASSIGNED;
 		task->run = unit->base_run + command->attempt;
 		task->worker = g_array_index (command->placements, struct dff_placement, i).worker;
 	}
@@ -237,8 +238,8 @@
 {
 	for (int32_t i = 0; i < unit->n_members; i++) {
 		struct dff_task *task = member_task (unit, i);
-		if (dff_task_state_is_open (task->state))
-			task->state = DFF_TASK_PENDING;
+		if (dff_progress_task_state_is_open (task->state))
+			task->state = DFF_PROGRESS_TASK_PENDING;
 	}
 	commit_mark (holder, unit->job);
 }
@@ -248,7 +249,7 @@
 {
 	struct holder_job *job = unit->job;
 	unit_note_started (holder, unit);
-	dff_progress_finish (job->progress, job->plan, &unit->unit);
+	dff_progress_mark_done (job->progress, job->plan, &unit->unit);
 	commit_mark (holder, job);
 	if (job->progress->state == DFF_JOB_STATE_COMPLETED)
 		jobs_end (holder, job, DFF_JOB_STATE_COMPLETED, "all_steps_done");
@@ -309,7 +310,7 @@
 	case DFF_COMMAND_RECORD_RETRY:
 		clear_assignment (holder, unit);
 		return;
-	case DFF_COMMAND_RECORD_END:
+	case DFF_COMMAND_RECORD_OUTCOME:
 		end_unit (holder, unit, command);
 		return;
 	}
--- a/holder/watch.c
+++ b/holder/watch.c
@@ -147,7 +147,7 @@
 	      int64_t begun_ms)
 {
 	for (size_t i = 0; i < result->n_running; i++) {
-		const struct dff_run_open *open = &result->running[i];
+		const struct dff_run_active *open = &result->running[i];
 		struct dff_name task;
 		if (!dff_name_parse (open->task, &task))
 			continue;
@@ -306,7 +306,7 @@
 	case DFF_RUNNER_STALE_EPOCH:
 		lease_stand_down (holder, "worker_saw_higher_epoch");
 		return;
-	case DFF_RUNNER_OTHER_LIFE:
+	case DFF_RUNNER_OTHER_INCARNATION:
 		/* A call to a life that is over, or to where the worker is not. */
 		if (!present || watch->at_next)
 			return;
@@ -335,7 +335,7 @@
 {
 	bool shown = !look && worker->n_silent == 0 && lives_are_sure (worker) &&
 		     worker->start_ms <= worker->lists_ms;
-	if (!shown && dff_born_is_told (worker->upstream.incarnation.started_ms))
+	if (!shown && dff_start_is_known (worker->upstream.incarnation.started_ms))
 		return 0;
 	return worker->ended_recorded;
 }
--- a/holder/workers.c
+++ b/holder/workers.c
@@ -63,7 +63,7 @@
 	if (worker->upstream.leaving)
 		return DFF_WORKER_LEAVING;
 	if (!rooms_are_known (holder, worker) || !lives_are_sure (worker))
-		return DFF_WORKER_UNSURE;
+		return DFF_WORKER_CAPACITY_UNKNOWN;
 	return evacuation_covers (holder, worker) ? DFF_WORKER_EVACUATED : DFF_WORKER_UP;
 }
 
@@ -86,9 +86,11 @@
 	if (state == worker->state)
 		return;
 	static const char *const names[] = {
-		[DFF_WORKER_DOWN] = "down",       [DFF_WORKER_UP] = "up",
-		[DFF_WORKER_LEAVING] = "leaving", [DFF_WORKER_EVACUATED] = "evacuated",
-		[DFF_WORKER_UNSURE] = "unsure",
+		[DFF_WORKER_DOWN] = "down",
+		[DFF_WORKER_UP] = "up",
+		[DFF_WORKER_LEAVING] = "leaving",
+		[DFF_WORKER_EVACUATED] = "evacuated",
+		[DFF_WORKER_CAPACITY_UNKNOWN] = "unsure",
 	};
 	dff_log (DFF_LOG_UPSTREAM, DFF_LOG_INFO,
 		 "Worker %s. worker=%s data_centre=%s address=%s was=%s listed=%d silent_calls=%d "
@@ -144,7 +146,7 @@
 	if (!lives_take_entry (holder, worker, upstream, revision, begun_ms))
 		return;
 	holder->pool_changed |= differs (&worker->upstream, upstream);
-	struct dff_life life = worker->upstream.incarnation;
+	struct dff_incarnation life = worker->upstream.incarnation;
 	bool leaving = worker->upstream.leaving || upstream->leaving;
 	worker->upstream = *upstream;
 	worker->upstream.incarnation = life;
--- a/include/backing/memory.h
+++ b/include/backing/memory.h
@@ -86,12 +86,12 @@
 };
 
 /**
- * struct dff_memory_caller:
+ * struct dff_memory_handle:
  * A handle: the interfaces to pass on, and the faults of its calls, which may be changed at any
  * time. Faults take hold of the calls made from then on; a silence also of calls and answers that
  * are on their way.
  */
-struct dff_memory_caller {
+struct dff_memory_handle {
 	struct dff_table table;
 	struct dff_object_store objects;
 	struct dff_instance_list instances;
@@ -102,7 +102,7 @@
 };
 
 /** Opens a handle without faults. */
-struct dff_memory_caller *dff_memory_open (struct dff_memory *memory);
+struct dff_memory_handle *dff_memory_open (struct dff_memory *memory);
 
 /**
  * dff_memory_close:
@@ -110,7 +110,7 @@
  * Closes a handle. Like a process that dies: its commits that are on their way still take effect,
  * and no callback comes any more. To be called before what the callbacks point to is freed.
  */
-void dff_memory_close (struct dff_memory_caller *caller);
+void dff_memory_close (struct dff_memory_handle *caller);
 
 /** Adds or replaces an instance. It is listed for @ttl_ms; 0: until it is removed. */
 void dff_memory_announce (struct dff_memory *memory,
--- a/include/cell/cell.h
+++ b/include/cell/cell.h
@@ -84,11 +84,11 @@
 void dff_cell_set_rank (struct dff_cell *cell, int32_t rank);
 
 /** A job row was written by an entry (accepted, or cancellation requested): read it now. */
-void dff_cell_hint (struct dff_cell *cell, const struct dff_name *job);
+void dff_cell_handle_job_hint (struct dff_cell *cell, const struct dff_name *job);
 
 /** What a watcher saw at a worker: whether it answers, whether it says it is leaving, what changed.
  */
-struct dff_worker_sighting {
+struct dff_worker_report {
 	struct dff_name worker;
 	bool reachable;
 	bool leaving;
@@ -103,7 +103,8 @@
 };
 
 /** Takes in what a watcher (this process or a peer) saw. Ignored unless holder. */
-void dff_cell_sighting (struct dff_cell *cell, const struct dff_worker_sighting *sighting);
+void dff_cell_handle_worker_report (struct dff_cell *cell,
+				    const struct dff_worker_report *sighting);
 
 /** Whether this process holds the cell, its lease is good for more than the margin, and its tables
  * are rebuilt. */
--- a/include/client/call.h
+++ b/include/client/call.h
@@ -14,18 +14,18 @@
 /* One call at a time to any of several servers: runs the event loop until the whole answer is
  * there. */
 
-struct dff_caller;
+struct dff_api_client;
 
 /** Returns: (transfer full): a caller over a copy of @connection's options. */
-struct dff_caller *dff_caller_new (const struct dff_connection *connection);
+struct dff_api_client *dff_api_client_new (const struct dff_connection *connection);
 
-/** Like dff_caller_new(), over @base, which the caller then owns. */
-struct dff_caller *dff_caller_new_on (const struct dff_connection *connection,
-				      struct event_base *base);
+/** Like dff_api_client_new(), over @base, which the caller then owns. */
+struct dff_api_client *dff_api_client_new_on (const struct dff_connection *connection,
+					      struct event_base *base);
 
-void dff_caller_free (struct dff_caller *caller);
+void dff_api_client_free (struct dff_api_client *caller);
 
-DFF_DEFINE_CLEANUP (dff_caller, dff_caller_free);
+DFF_DEFINE_CLEANUP (dff_api_client, dff_api_client_free);
 
 struct dff_call_request {
 	enum evhttp_cmd_type method;
@@ -78,17 +78,17 @@
  * is idempotent, goes to the next server; 429, 503 and 504 to an idempotent one are obeyed: it
  * comes back after the time that the server named. Gives up when the connection's time is over.
  */
-struct dff_call_response *dff_call (struct dff_caller *caller,
+struct dff_call_response *dff_call (struct dff_api_client *caller,
 				    const struct dff_call_request *request);
 
 /** Returns: ms left of the time that the command line allows, 0 when it is over. */
-int64_t dff_caller_remaining_ms (const struct dff_caller *caller);
+int64_t dff_api_client_remaining_ms (const struct dff_api_client *caller);
 
 /** Lets @ms pass, at most what remains. */
-void dff_caller_pause (struct dff_caller *caller, int64_t ms);
+void dff_api_client_sleep (struct dff_api_client *caller, int64_t ms);
 
 /** Returns: number of servers. */
-guint dff_caller_n_servers (const struct dff_caller *caller);
+guint dff_api_client_n_servers (const struct dff_api_client *caller);
 
 /** Returns: (transfer full) (nullable): the body as JSON. */
 json_t *dff_call_response_json (const struct dff_call_response *response);
@@ -103,6 +103,6 @@
 int dff_exit_code_for_status (int status);
 
 /** Whether the body has the SHA-256 that the Digest header states; true without the header. */
-bool dff_call_response_is_whole (const struct dff_call_response *response);
+bool dff_call_response_matches_digest (const struct dff_call_response *response);
 
 #endif
--- a/include/client/connection.h
+++ b/include/client/connection.h
@@ -10,7 +10,7 @@
 
 /* Options that every command which talks to a server takes. */
 
-/** Values of the long options; a command's own start at DFF_OPTION_OWN. */
+/** Values of the long options; a command's own start at DFF_OPTION_COMMAND_FIRST. */
 enum dff_option {
 	DFF_OPTION_HELP = 'h',
 	DFF_OPTION_SERVER = 's',
@@ -18,7 +18,7 @@
 	DFF_OPTION_TOKEN_FILE,
 	DFF_OPTION_TIMEOUT,
 	DFF_OPTION_TLS_CA,
-	DFF_OPTION_OWN,
+	DFF_OPTION_COMMAND_FIRST,
 };
 
 /* clang-format off */
@@ -31,7 +31,7 @@
 	{"tls-ca", required_argument, NULL, DFF_OPTION_TLS_CA}
 /* clang-format on */
 
-#define DFF_CONNECTION_SHORT "hs:"
+#define DFF_CONNECTION_SHORT_OPTIONS "hs:"
 
 /** Lines for --help. */
 #define DFF_CONNECTION_USAGE                                                                       \
@@ -64,7 +64,7 @@
 DFF_DEFINE_CLEANUP (dff_connection, dff_connection_free);
 
 /**
- * dff_connection_option:
+ * dff_connection_handle_option:
  * @option: what getopt_long() returned
  * @usage: text for --help
  * @exit_code: (out): set when the command is to end
@@ -73,10 +73,10 @@
  *
  * Returns: false when the command is to end with @exit_code.
  */
-bool dff_connection_option (struct dff_connection *connection,
-			    int option,
-			    const char *usage,
-			    int *exit_code);
+bool dff_connection_handle_option (struct dff_connection *connection,
+				   int option,
+				   const char *usage,
+				   int *exit_code);
 
 /** Takes from the environment what the command line did not give. Returns: false, and says so, when
  * there is no server. */
--- a/include/common/log.h
+++ b/include/common/log.h
@@ -9,7 +9,7 @@
 /* Logs through log4c: one category for each part, whose name is the fixed prefix of its lines. A
  * message is one short sentence; values follow as key=value pairs. */
 
-enum dff_log_part {
+enum dff_log_category {
 	DFF_LOG_CORE,
 	DFF_LOG_CELL,
 	DFF_LOG_ENTRY,
@@ -20,7 +20,7 @@
 	DFF_LOG_SERVE,
 	DFF_LOG_UPSTREAM,
 	DFF_LOG_STANDIN,
-	DFF_LOG_N_PARTS,
+	DFF_LOG_N_CATEGORIES,
 };
 
 enum dff_log_level {
@@ -46,7 +46,7 @@
 
 /** Writes one line, prefixed by the part, when its level is written: a short sentence, then
  * key=value pairs. */
-void dff_log (enum dff_log_part part, enum dff_log_level level, const char *format, ...)
+void dff_log (enum dff_log_category part, enum dff_log_level level, const char *format, ...)
 	G_GNUC_PRINTF (3, 4);
 
 #endif
--- a/include/common/setting.h
+++ b/include/common/setting.h
@@ -80,7 +80,7 @@
 				   ...) G_GNUC_PRINTF (3, 4);
 
 /** Returns: whether the file names the key. */
-bool dff_setting_reader_names (const struct dff_setting_reader *reader, const char *key);
+bool dff_setting_reader_has_key (const struct dff_setting_reader *reader, const char *key);
 
 /** Checks what no key alone can tell. */
 typedef void (*dff_setting_check_func) (struct dff_setting_reader *reader, const void *object);
--- a/include/core/core.h
+++ b/include/core/core.h
@@ -107,7 +107,7 @@
 	 * data centre is taken back. */
 	DFF_WORKER_EVACUATED,
 	/** The same, because nobody knows what room it has by now. */
-	DFF_WORKER_UNSURE,
+	DFF_WORKER_CAPACITY_UNKNOWN,
 };
 
 /** Where one member of a gang runs. */
@@ -140,18 +140,18 @@
 	DFF_EVENT_TASK_LOST,     /**< Its lease has lapsed: it no longer runs, and may have run. */
 	DFF_EVENT_TASK_PROGRESS, /**< @percent of the task's work is done. */
 	/** @worker, @peer_group, @duration_ms. Told once a run, as soon as its progress tells. */
-	DFF_EVENT_TASK_PACE,
+	DFF_EVENT_TASK_DURATION,
 	/** @worker, @worker_state, @leaves_in_ms. */
 	DFF_EVENT_WORKER_STATE,
 	/** The worker has started again: what was seen of it before does not count. @worker. */
-	DFF_EVENT_WORKER_RENEWED,
+	DFF_EVENT_WORKER_RESTARTED,
 	/** Tasks on a worker stand still: it goes to quarantine, and what has little to lose runs
 	 * elsewhere. @worker. */
 	DFF_EVENT_WORKER_STALLED,
 };
 
 /** State of an attempt found on record at take-over. */
-struct dff_recovered {
+struct dff_recovered_attempt {
 	/** Last attempt whose start intent is durable; 0: never. */
 	int32_t attempt;
 	/** Whether that attempt is still open (intent durable, no end durable). */
@@ -174,7 +174,7 @@
 	/** Index of the member in its gang. */
 	int32_t member;
 	const struct dff_job_spec *spec;
-	const struct dff_recovered *recovered;
+	const struct dff_recovered_attempt *recovered;
 	struct dff_name worker;
 	enum dff_worker_state worker_state;
 	/** With DFF_WORKER_LEAVING: how long the worker is there still, ms; 0: not known. */
@@ -194,8 +194,8 @@
 	DFF_COMMAND_RELEASE_TASK,
 	DFF_COMMAND_CHECKPOINT_TASK,
 	DFF_COMMAND_STOP_TASK,
-	DFF_COMMAND_RECORD_END,   /**< @job, @attempt, @outcome, @reason. */
-	DFF_COMMAND_RECORD_RETRY, /**< The attempt is over and may be followed by another. */
+	DFF_COMMAND_RECORD_OUTCOME, /**< @job, @attempt, @outcome, @reason. */
+	DFF_COMMAND_RECORD_RETRY,   /**< The attempt is over and may be followed by another. */
 };
 
 /** An output. Members that its type does not name are zero. */
@@ -249,7 +249,7 @@
 int64_t dff_core_next_wake_ms (const struct dff_core *core);
 
 /** Returns: whether a worker has room for all that it was given: it may have shrunk since. */
-bool dff_core_worker_has_room (const struct dff_core *core, const struct dff_name *worker);
+bool dff_core_worker_within_capacity (const struct dff_core *core, const struct dff_name *worker);
 
 struct dff_core_stats {
 	/** Jobs by phase; @ended counts all since the core was made, so that the sum is what it was
@@ -271,15 +271,15 @@
 void dff_core_get_stats (const struct dff_core *core, struct dff_core_stats *stats);
 
 enum dff_job_phase {
-	DFF_JOB_UNKNOWN,
-	DFF_JOB_QUEUED,
-	DFF_JOB_STARTING,
-	DFF_JOB_RUNNING,
-	DFF_JOB_STOPPING,
-	DFF_JOB_ENDED,
+	DFF_JOB_PHASE_UNKNOWN,
+	DFF_JOB_PHASE_QUEUED,
+	DFF_JOB_PHASE_STARTING,
+	DFF_JOB_PHASE_RUNNING,
+	DFF_JOB_PHASE_STOPPING,
+	DFF_JOB_PHASE_ENDED,
 };
 
-/** Returns: the phase of @job, DFF_JOB_UNKNOWN when the core does not hold it. */
+/** Returns: the phase of @job, DFF_JOB_PHASE_UNKNOWN when the core does not hold it. */
 enum dff_job_phase dff_core_job_phase (const struct dff_core *core, const struct dff_name *job);
 
 /**
--- a/include/daemon/daemon.h
+++ b/include/daemon/daemon.h
@@ -34,11 +34,11 @@
 bool dff_daemon_is_draining (const struct dff_daemon *daemon);
 
 /** Ends the loop at once: what is in flight is cut off. For a second signal. */
-void dff_daemon_stop_now (struct dff_daemon *daemon);
+void dff_daemon_abort (struct dff_daemon *daemon);
 
 /** Returns: whether the loop ended with work cut off: a drain that was given up, or a second
  * signal. */
-bool dff_daemon_was_cut_off (const struct dff_daemon *daemon);
+bool dff_daemon_was_aborted (const struct dff_daemon *daemon);
 
 /** Reads again what depends on reloadable settings. */
 void dff_daemon_settings_changed (struct dff_daemon *daemon);
--- a/include/entry/entry.h
+++ b/include/entry/entry.h
@@ -71,7 +71,7 @@
 			      size_t n_instances);
 
 /** A worker said itself that it is leaving: nothing new goes there from now on. */
-void dff_entry_worker_leaving (struct dff_entry *entry, const struct dff_name *worker);
+void dff_entry_handle_worker_leaving (struct dff_entry *entry, const struct dff_name *worker);
 
 /** Replaces the request slots that this process may use, for @valid_ms from now; a set of an older
  * @epoch is ignored. Copied. */
@@ -82,8 +82,9 @@
 			   int32_t valid_ms);
 
 /** A job ended: wakes the callers who wait for it. */
-void
-dff_entry_job_ended (struct dff_entry *entry, const struct dff_name *job, enum dff_outcome outcome);
+void dff_entry_handle_job_ended (struct dff_entry *entry,
+				 const struct dff_name *job,
+				 enum dff_outcome outcome);
 
 /** Neither store nor peers answer: /readyz says no until it is called with false. */
 void dff_entry_set_isolated (struct dff_entry *entry, bool isolated);
--- a/include/fleet/evacuations.h
+++ b/include/fleet/evacuations.h
@@ -50,9 +50,9 @@
 				      int64_t revision);
 
 /** The table is going to be read whole. */
-void dff_evacuations_begin (struct dff_evacuations *evacuations);
+void dff_evacuations_begin_snapshot (struct dff_evacuations *evacuations);
 
 /** It was: requests not noted since are gone. */
-void dff_evacuations_whole (struct dff_evacuations *evacuations);
+void dff_evacuations_end_snapshot (struct dff_evacuations *evacuations);
 
 #endif
--- a/include/fleet/in_force.h
+++ b/include/fleet/in_force.h
@@ -1,5 +1,5 @@
-#ifndef DFF_FLEET_IN_FORCE_H
-#define DFF_FLEET_IN_FORCE_H
+#ifndef DFF_FLEET_OPERATOR_STATE_H
+#define DFF_FLEET_OPERATOR_STATE_H
 
 #include "common/cleanup.h"
 #include "common/metrics.h"
@@ -13,9 +13,9 @@
  * is asked goes by the time within which operators count on a change.
  */
 
-struct dff_in_force;
+struct dff_operator_state;
 
-struct dff_in_force_options {
+struct dff_operator_state_options {
 	const struct dff_timers *timers;
 	const struct dff_rows *rows;
 	struct dff_metrics *metrics;
@@ -30,31 +30,33 @@
 };
 
 /** Begins to follow the table. */
-struct dff_in_force *dff_in_force_new (const struct dff_in_force_options *options);
+struct dff_operator_state *
+dff_operator_state_new (const struct dff_operator_state_options *options);
 
 /** The store's calls in progress do not call back any more. */
-void dff_in_force_free (struct dff_in_force *in_force);
+void dff_operator_state_free (struct dff_operator_state *in_force);
 
-DFF_DEFINE_CLEANUP (dff_in_force, dff_in_force_free);
+DFF_DEFINE_CLEANUP (dff_operator_state, dff_operator_state_free);
 
 /** Returns: (transfer none) (nullable): the configuration; NULL when none is known, or what is
  * known is too old to go by. */
-const struct dff_fleet_config *dff_in_force_config (const struct dff_in_force *in_force);
+const struct dff_fleet_config *
+dff_operator_state_config (const struct dff_operator_state *in_force);
 
 /** Returns: whether a configuration is known that will not soon be too old. */
-bool dff_in_force_is_fresh (const struct dff_in_force *in_force);
+bool dff_operator_state_is_fresh (const struct dff_operator_state *in_force);
 
 /** Returns: how old what is known is, ms; INT64_MAX: nothing is. */
-int64_t dff_in_force_age_ms (const struct dff_in_force *in_force);
+int64_t dff_operator_state_age_ms (const struct dff_operator_state *in_force);
 
 /** Returns: the same of evacuations, of which nothing is known before the whole table is. */
-int64_t dff_in_force_evacuations_age_ms (const struct dff_in_force *in_force);
+int64_t dff_operator_state_evacuations_age_ms (const struct dff_operator_state *in_force);
 
 /** The store was silent and answers again. */
-void dff_in_force_nudge (struct dff_in_force *in_force);
+void dff_operator_state_wake (struct dff_operator_state *in_force);
 
 /** The process that decides starts nothing by old knowledge of evacuations, and asks as often as
  * that takes. */
-void dff_in_force_set_deciding (struct dff_in_force *in_force, bool deciding);
+void dff_operator_state_set_holding (struct dff_operator_state *in_force, bool deciding);
 
 #endif
--- a/include/fleet/presence.h
+++ b/include/fleet/presence.h
@@ -1,5 +1,5 @@
-#ifndef DFF_FLEET_PRESENCE_H
-#define DFF_FLEET_PRESENCE_H
+#ifndef DFF_FLEET_PROBE_LINK_H
+#define DFF_FLEET_PROBE_LINK_H
 
 #include <event2/http.h>
 
@@ -11,9 +11,9 @@
 /* A process tells its name to others that ask, and asks them. This is how a holder that has ended,
  * or cannot record, is told from one that is merely not heard. */
 
-struct dff_presence;
+struct dff_probe_link;
 
-struct dff_presence_options {
+struct dff_probe_link_options {
 	struct event_base *base;
 	const struct dff_clock *clock;
 	struct dff_metrics *metrics;
@@ -23,24 +23,24 @@
 	struct dff_holder *holder;
 };
 
-struct dff_presence *dff_presence_new (const struct dff_presence_options *options);
+struct dff_probe_link *dff_probe_link_new (const struct dff_probe_link_options *options);
 
-void dff_presence_free (struct dff_presence *presence);
+void dff_probe_link_free (struct dff_probe_link *presence);
 
-DFF_DEFINE_CLEANUP (dff_presence, dff_presence_free);
+DFF_DEFINE_CLEANUP (dff_probe_link, dff_probe_link_free);
 
-void dff_presence_set_holder (struct dff_presence *presence, struct dff_holder *holder);
+void dff_probe_link_set_local_holder (struct dff_probe_link *presence, struct dff_holder *holder);
 
 /** Answers those who ask on @http. */
-void dff_presence_serve (struct dff_presence *presence, struct evhttp *http);
+void dff_probe_link_serve (struct dff_probe_link *presence, struct evhttp *http);
 
 /** Asks the process at @address whether it is @instance: dff_holder_options.send_probe, with the
- * struct dff_presence as its context. */
-void dff_presence_ask (void *ctx,
-		       const struct dff_name *address,
-		       const struct dff_name *instance,
-		       const struct dff_holder_question *question,
-		       dff_holder_presence_func done,
-		       void *user);
+ * struct dff_probe_link as its context. */
+void dff_probe_link_send (void *ctx,
+			  const struct dff_name *address,
+			  const struct dff_name *instance,
+			  const struct dff_holder_probe *question,
+			  dff_holder_probe_func done,
+			  void *user);
 
 #endif
--- a/include/fleet/relays.h
+++ b/include/fleet/relays.h
@@ -38,10 +38,10 @@
 const struct dff_runner *dff_fleet_relays_runner (struct dff_fleet_relays *relays);
 
 /** dff_holder_options.relay_connect, with the struct dff_fleet_relays as its context. */
-void dff_fleet_relays_follow (void *ctx, const struct dff_name *address, int32_t n_relays);
+void dff_fleet_relays_connect (void *ctx, const struct dff_name *address, int32_t n_relays);
 
 /** dff_holder_options.relay_set_limit, likewise. */
-void dff_fleet_relays_want (void *ctx, int32_t n_relays);
+void dff_fleet_relays_set_limit (void *ctx, int32_t n_relays);
 
 /** This process is about to stop: it carries no further calls. */
 void dff_fleet_relays_leave (struct dff_fleet_relays *relays);
--- a/include/fleet/state_link.h
+++ b/include/fleet/state_link.h
@@ -34,15 +34,16 @@
 DFF_DEFINE_CLEANUP (dff_state_link, dff_state_link_free);
 
 /** Sets the holder of this process, before anything is asked. */
-void dff_state_link_set_holder (struct dff_state_link *link, struct dff_holder *holder);
+void dff_state_link_set_local_holder (struct dff_state_link *link, struct dff_holder *holder);
 
 /** Tells which process decides: @address empty: none is known, or this one if @self. */
-void
-dff_state_link_set_decider (struct dff_state_link *link, const struct dff_name *address, bool self);
+void dff_state_link_set_holder_address (struct dff_state_link *link,
+					const struct dff_name *address,
+					bool self);
 
 /** Asks the process that decides; for struct dff_front_options, with the link as @ctx. */
 bool
-dff_state_link_ask (void *ctx, const struct dff_name *job, dff_front_state_func done, void *user);
+dff_state_link_query (void *ctx, const struct dff_name *job, dff_front_state_func done, void *user);
 
 /** Answers other processes' questions. */
 void dff_state_link_serve (struct dff_state_link *link, struct evhttp *http);
--- a/include/front/intake.h
+++ b/include/front/intake.h
@@ -24,18 +24,18 @@
 };
 
 /** Who a row that was handed on has come to. */
-enum dff_intake_receiver {
+enum dff_intake_delivery {
 	/** A process that has dealt with it. */
-	DFF_INTAKE_TAKEN,
+	DFF_INTAKE_DELIVERED,
 	/** One that does not decide, and did nothing. */
 	DFF_INTAKE_MISDIRECTED,
 	/** Nobody who answered. */
-	DFF_INTAKE_UNREACHED,
+	DFF_INTAKE_UNREACHABLE,
 };
 
 /** What became of a row that was handed on. */
-struct dff_intake_forwarded {
-	enum dff_intake_receiver delivery;
+struct dff_intake_forward_result {
+	enum dff_intake_delivery delivery;
 	/** NOT_DONE where a process was misdirected to, or surely never reached. */
 	enum dff_rows_outcome outcome;
 	/** Who decides, as the receiver knows; empty: it does not. */
@@ -43,7 +43,8 @@
 };
 
 /** @forwarded: valid in the callback only. */
-typedef void (*dff_intake_forward_func) (void *user, const struct dff_intake_forwarded *forwarded);
+typedef void (*dff_intake_forward_func) (void *user,
+					 const struct dff_intake_forward_result *forwarded);
 
 struct dff_intake_options {
 	const struct dff_timers *timers;
@@ -58,7 +59,7 @@
 	/** Returns: how long the store's answers take now, ms. */
 	int64_t (*store_latency_ms) (void *ctx);
 	void *store_ctx;
-	/** Hands a row to the process at @address, which passes it to dff_intake_take(): DONE,
+	/** Hands a row to the process at @address, which passes it to dff_intake_write(): DONE,
 	 * CONFLICT, NOT_DONE or UNKNOWN. @done is called once, never before the call returns. */
 	void (*forward) (void *ctx,
 			 const struct dff_name *address,
@@ -93,22 +94,24 @@
 const struct dff_rows *dff_intake_interface (struct dff_intake *intake);
 
 /** Tells which process gathers rows: @address empty: none, or this one if @self. */
-void dff_intake_set_gatherer (struct dff_intake *intake, const struct dff_name *address, bool self);
+void dff_intake_set_holder_address (struct dff_intake *intake,
+				    const struct dff_name *address,
+				    bool self);
 
 /** Returns: whether this process gathers rows. */
-bool dff_intake_is_gatherer (const struct dff_intake *intake);
+bool dff_intake_is_holder (const struct dff_intake *intake);
 
 /** Returns: (transfer none): the process that does, as far as is known; empty: none, or this one.
  */
-const struct dff_name *dff_intake_gatherer (const struct dff_intake *intake);
+const struct dff_name *dff_intake_holder_address (const struct dff_intake *intake);
 
 /** Returns: whether rows that are written now go through another process. */
-bool dff_intake_writes_elsewhere (const struct dff_intake *intake);
+bool dff_intake_writes_forwarded (const struct dff_intake *intake);
 
 /** Writes a row together with others. A store that does not answer is not waited for. */
-void dff_intake_take (struct dff_intake *intake,
-		      const struct dff_intake_row *row,
-		      dff_rows_func done,
-		      void *user);
+void dff_intake_write (struct dff_intake *intake,
+		       const struct dff_intake_row *row,
+		       dff_rows_func done,
+		       void *user);
 
 #endif
--- a/include/graph/progress.h
+++ b/include/graph/progress.h
@@ -34,28 +34,29 @@
 	return state >= DFF_JOB_STATE_COMPLETED;
 }
 
-enum dff_task_state {
+enum dff_progress_task_state {
 	/** No run is on record as open. */
-	DFF_TASK_PENDING,
+	DFF_PROGRESS_TASK_PENDING,
 	/** A run was recorded with its worker, and no end of it. */
-	DFF_TASK_ASSIGNED,
-	DFF_TASK_DONE,
+	DFF_PROGRESS_TASK_ASSIGNED,
+	DFF_PROGRESS_TASK_DONE,
 	/** The recorded run has failed, and that is counted. Members of its gang may not be over
 	 * yet. */
-	DFF_TASK_FAILED,
+	DFF_PROGRESS_TASK_FAILED,
 	/** The same, lost with its worker: what that says of the task is in its blame. */
-	DFF_TASK_LOST,
+	DFF_PROGRESS_TASK_LOST,
 };
 
 /** Whether a run is on record that may not be over for all members of its unit. */
 static inline bool
-dff_task_state_is_open (enum dff_task_state state)
+dff_progress_task_state_is_open (enum dff_progress_task_state state)
 {
-	return state == DFF_TASK_ASSIGNED || state == DFF_TASK_FAILED || state == DFF_TASK_LOST;
+	return state == DFF_PROGRESS_TASK_ASSIGNED || state == DFF_PROGRESS_TASK_FAILED ||
+	       state == DFF_PROGRESS_TASK_LOST;
 }
 
 struct dff_task {
-	enum dff_task_state state;
+	enum dff_progress_task_state state;
 	/** Number of the last run that was recorded; 0: none yet. */
 	int32_t run;
 	/** Runs that ended as failed: of a gang, those in which any member did. */
@@ -114,41 +115,41 @@
 int64_t dff_plan_due_ms (const struct dff_plan *plan, int32_t occurrence);
 
 /**
- * dff_progress_offer:
+ * dff_progress_take_ready:
  * @now_wall_ms: ms since 1970
  * @units: elements: struct dff_unit; those that may be placed now and were not offered before are
  *   appended
  *
  * Returns: when to ask again though nothing ended, ms since 1970; INT64_MAX: not needed.
  */
-int64_t dff_progress_offer (struct dff_progress *progress,
-			    const struct dff_plan *plan,
-			    int64_t now_wall_ms,
-			    GArray *units);
+int64_t dff_progress_take_ready (struct dff_progress *progress,
+				 const struct dff_plan *plan,
+				 int64_t now_wall_ms,
+				 GArray *units);
 
 /** Marks a unit's tasks as done and, with the last one, the job as completed. */
-void dff_progress_finish (struct dff_progress *progress,
-			  const struct dff_plan *plan,
-			  const struct dff_unit *unit);
+void dff_progress_mark_done (struct dff_progress *progress,
+			     const struct dff_plan *plan,
+			     const struct dff_unit *unit);
 
 /**
- * dff_progress_note_failed:
+ * dff_progress_mark_failed:
  * @index: the task, of a unit whose run is on record
  *
  * Counts the recorded run as failed: once for a gang, however many of its members fail.
  */
-void dff_progress_note_failed (struct dff_progress *progress,
+void dff_progress_mark_failed (struct dff_progress *progress,
 			       const struct dff_plan *plan,
 			       const struct dff_unit *unit,
 			       int32_t index);
 
 /** Returns: whether the failure of a unit's recorded run is counted already. */
-bool dff_progress_failed (const struct dff_progress *progress,
-			  const struct dff_plan *plan,
-			  const struct dff_unit *unit);
+bool dff_progress_failure_counted (const struct dff_progress *progress,
+				   const struct dff_plan *plan,
+				   const struct dff_unit *unit);
 
 /**
- * dff_progress_note_lost:
+ * dff_progress_mark_lost:
  * @index: the task, of a unit whose run is on record
  *
  * Notes that the recorded run was lost with its worker.
@@ -156,18 +157,18 @@
  * Returns: whether that is new. If not, its blame is on record already.
  */
 bool
-dff_progress_note_lost (struct dff_progress *progress, const struct dff_unit *unit, int32_t index);
+dff_progress_mark_lost (struct dff_progress *progress, const struct dff_unit *unit, int32_t index);
 
 /** Returns: the largest blame of a unit's tasks. */
-int32_t dff_progress_blame (const struct dff_progress *progress,
-			    const struct dff_plan *plan,
-			    const struct dff_unit *unit);
+int32_t dff_progress_max_blame (const struct dff_progress *progress,
+				const struct dff_plan *plan,
+				const struct dff_unit *unit);
 
 /** Keeps what a task, or any member of its gang, saved. */
-void dff_progress_save (struct dff_progress *progress,
-			const struct dff_plan *plan,
-			const struct dff_unit *unit,
-			struct dff_str checkpoint);
+void dff_progress_save_checkpoint (struct dff_progress *progress,
+				   const struct dff_plan *plan,
+				   const struct dff_unit *unit,
+				   struct dff_str checkpoint);
 
 /** Tasks of a unit: from the first to one beyond the last. */
 struct dff_unit_tasks {
--- a/include/holder/holder.h
+++ b/include/holder/holder.h
@@ -19,22 +19,22 @@
 struct dff_holder;
 
 /** What asking a process for its name has shown. */
-enum dff_holder_presence {
+enum dff_holder_probe_result {
 	/** The process that was asked for answers, and decides for the cell. */
-	DFF_HOLDER_PRESENT,
+	DFF_HOLDER_PROBE_ACTIVE,
 	/** The process that was asked for answers, and neither holds the cell nor is about to: it
 	 * renews no leases. */
-	DFF_HOLDER_IDLE,
+	DFF_HOLDER_PROBE_IDLE,
 	/** Another life of the process answers: the one that was asked for has ended. */
-	DFF_HOLDER_REPLACED,
+	DFF_HOLDER_PROBE_REPLACED,
 	/** Nobody listens there. It has ended, or its machine cannot be reached. */
-	DFF_HOLDER_REFUSED,
+	DFF_HOLDER_PROBE_REFUSED,
 	/** No answer: it may be cut off, frozen, or without power. */
-	DFF_HOLDER_UNHEARD,
+	DFF_HOLDER_PROBE_TIMED_OUT,
 };
 
 /** What a process asks of the one that holds the cell, besides its name. */
-struct dff_holder_question {
+struct dff_holder_probe {
 	/** To let go of the cell if it cannot record anything. */
 	bool release_if_unwritable;
 	/** To hand the cell over to the asker, which takes so long to take over, ms, if this one
@@ -46,7 +46,7 @@
 	int64_t epoch;
 };
 
-typedef void (*dff_holder_presence_func) (void *user, enum dff_holder_presence presence);
+typedef void (*dff_holder_probe_func) (void *user, enum dff_holder_probe_result presence);
 
 struct dff_holder_options {
 	const struct dff_timers *timers;
@@ -80,8 +80,8 @@
 	void (*send_probe) (void *ctx,
 			    const struct dff_name *address,
 			    const struct dff_name *instance,
-			    const struct dff_holder_question *question,
-			    dff_holder_presence_func done,
+			    const struct dff_holder_probe *question,
+			    dff_holder_probe_func done,
 			    void *user);
 	void *probe_ctx;
 	/** Returns: when the latest call to the store was begun that has been served. */
@@ -139,23 +139,23 @@
 
 /** Tells which services have workers that start whatever they are told to, with room for it or
  * without. All others refuse what they have no room for. */
-void dff_holder_set_unguarded (struct dff_holder *holder,
-			       const struct dff_name *services,
-			       size_t n_services);
+void dff_holder_set_unenforced (struct dff_holder *holder,
+				const struct dff_name *services,
+				size_t n_services);
 
 /** Lets go of the cell and does not take it again; for a process that is to stop. */
-void dff_holder_resign (struct dff_holder *holder);
+void dff_holder_step_down (struct dff_holder *holder);
 
 /** The process that decides could not be reached, or has ended a connection: who decides now is
  * looked up. */
-void dff_holder_note_decider_lost (struct dff_holder *holder);
+void dff_holder_handle_holder_lost (struct dff_holder *holder);
 
 /** The store was silent and answers again: what waits for it is not to wait longer. */
-void dff_holder_note_store_heard (struct dff_holder *holder);
+void dff_holder_handle_store_recovered (struct dff_holder *holder);
 
 /** Returns: how long the store's last answer took, of a small reading or, while this process
  * decides, of a transaction if that took longer, ms. */
-int64_t dff_holder_store_took_ms (const struct dff_holder *holder);
+int64_t dff_holder_store_latency_ms (const struct dff_holder *holder);
 
 /** A row of DFF_TABLE_JOBS that must not exist yet. Borrowed for the length of a call. */
 struct dff_holder_submission {
@@ -181,34 +181,34 @@
 			void *user);
 
 /** What is on record of a job's state, as the process that decides knows it. */
-struct dff_holder_sight {
+struct dff_holder_job_state {
 	/** Whether it can tell: it decides, and holds the job. Else the rows tell. */
 	bool known;
 	enum dff_job_state state;
 };
 
-typedef void (*dff_holder_look_func) (void *user, const struct dff_holder_sight *sight);
+typedef void (*dff_holder_state_func) (void *user, const struct dff_holder_job_state *sight);
 
 /**
- * dff_holder_look:
+ * dff_holder_query_state:
  *
  * Asks for a job's state. Where an end is on its way to the record, the answer waits for it for a
  * moment, a tenth of a second at the most. @done is called once, never before the call returns,
  * unless the holder is freed before.
  */
-void dff_holder_look (struct dff_holder *holder,
-		      const struct dff_name *job,
-		      dff_holder_look_func done,
-		      void *user);
+void dff_holder_query_state (struct dff_holder *holder,
+			     const struct dff_name *job,
+			     dff_holder_state_func done,
+			     void *user);
 
 /** Returns: whether this process decides now. */
 bool dff_holder_is_holding (const struct dff_holder *holder);
 
 /** Returns: what to tell a process that asks after this one. Does what @question asks for. */
-enum dff_holder_presence dff_holder_answer_presence (struct dff_holder *holder,
-						     const struct dff_holder_question *question);
+enum dff_holder_probe_result dff_holder_answer_probe (struct dff_holder *holder,
+						      const struct dff_holder_probe *question);
 
 /** Returns: whether there is nothing to let go of any more. */
-bool dff_holder_has_resigned (const struct dff_holder *holder);
+bool dff_holder_has_stepped_down (const struct dff_holder *holder);
 
 #endif
--- a/include/holder/policy.h
+++ b/include/holder/policy.h
@@ -16,9 +16,9 @@
 /** Points against a task for a worker that ended while it ran there. */
 enum dff_policy_blame {
 	/** It had been seen at work there, or nobody knows whether the worker ended. */
-	DFF_POLICY_BLAME_SEEN = 1,
+	DFF_POLICY_BLAME_RUNNING = 1,
 	/** Nothing was heard of the worker since it was started there. */
-	DFF_POLICY_BLAME_FRESH = 2,
+	DFF_POLICY_BLAME_STARTUP = 2,
 	/** It is given up: after the third worker that ends as it starts, and after the fifth in
 	 * any case. */
 	DFF_POLICY_BLAME_LIMIT = 5,
--- a/include/peer/grant.h
+++ b/include/peer/grant.h
@@ -15,7 +15,7 @@
  */
 
 /** How many times likelier a slot goes to a member of the worker's data centre than to another. */
-#define DFF_GRANT_SAME_DATA_CENTRE 4
+#define DFF_GRANT_SAME_DATA_CENTRE_WEIGHT 4
 
 struct dff_grant_member {
 	struct dff_name id;
@@ -30,7 +30,7 @@
 };
 
 /**
- * dff_grants_share:
+ * dff_grants_assign:
  * @workers: in any order, as are @members; may be none
  *
  * Gives each slot to one member by weighted rendezvous hashing. A member that joins or leaves moves
@@ -39,9 +39,9 @@
  * Returns: (transfer full): for each member, in the order of @members, a GArray of struct
  * dff_grant in the order of @workers; without members, an empty array.
  */
-GPtrArray *dff_grants_share (const struct dff_grant_worker *workers,
-			     size_t n_workers,
-			     const struct dff_grant_member *members,
-			     size_t n_members);
+GPtrArray *dff_grants_assign (const struct dff_grant_worker *workers,
+			      size_t n_workers,
+			      const struct dff_grant_member *members,
+			      size_t n_members);
 
 #endif
--- a/include/peer/peer.h
+++ b/include/peer/peer.h
@@ -38,7 +38,7 @@
 
 /** Two bytes in a heartbeat. Of 16,383 restarts one draws its predecessor's number and is taken for
  * it. */
-#define DFF_MEMBER_START_MAX 16383
+#define DFF_MEMBER_START_ID_MAX 16383
 
 struct dff_member {
 	struct dff_instance instance;
@@ -46,8 +46,8 @@
 	int64_t pool_generation;
 	/** Epoch it says it holds its region's cell with; 0: none. */
 	int64_t holder_epoch;
-	/** Drawn when it started, 1 to DFF_MEMBER_START_MAX: another process of the same name has
-	 * another one; 0: not known. */
+	/** Drawn when it started, 1 to DFF_MEMBER_START_ID_MAX: another process of the same name
+	 * has another one; 0: not known. */
 	uint32_t start_id;
 	bool ready;
 	int64_t heartbeat_received_ms;
@@ -75,7 +75,7 @@
 	/** A peer wants to know when a job ends. */
 	void (*job_watch) (void *ctx, const struct dff_name *watcher, const struct dff_name *job);
 	/** A watcher's sighting, for the holder. */
-	void (*worker_report) (void *ctx, const struct dff_worker_sighting *sighting);
+	void (*worker_report) (void *ctx, const struct dff_worker_report *sighting);
 	/** This process's grants were replaced as a whole. */
 	void (*grants_received) (void *ctx,
 				 int64_t epoch,
@@ -134,26 +134,26 @@
 const GArray *dff_peer_members (const struct dff_peer *peer);
 
 /** Returns: what this process drew when it started, as its members entry has it. */
-uint32_t dff_peer_start (const struct dff_peer *peer);
+uint32_t dff_peer_start_id (const struct dff_peer *peer);
 
 /** Returns: (nullable): the member of this region that says it is holder with the highest epoch. */
 const struct dff_member *dff_peer_holder (const struct dff_peer *peer);
 
 /** Sends a hint to the holder; delivered locally when this process is it. */
-void dff_peer_send_hint (struct dff_peer *peer, const struct dff_name *job);
+void dff_peer_send_job_hint (struct dff_peer *peer, const struct dff_name *job);
 
 /** Asks the holder to tell this process when @job ends. */
-void dff_peer_send_watch (struct dff_peer *peer, const struct dff_name *job);
+void dff_peer_send_job_watch (struct dff_peer *peer, const struct dff_name *job);
 
 /** Tells @watcher that @job has ended. */
-void dff_peer_send_ended (struct dff_peer *peer,
-			  const struct dff_name *watcher,
-			  const struct dff_name *job,
-			  enum dff_outcome outcome);
+void dff_peer_send_job_ended (struct dff_peer *peer,
+			      const struct dff_name *watcher,
+			      const struct dff_name *job,
+			      enum dff_outcome outcome);
 
 /** Sends a sighting to the holder; one that says leaving also, without reports, to every member of
  * the region. */
-void dff_peer_send_sighting (struct dff_peer *peer, const struct dff_worker_sighting *sighting);
+void dff_peer_send_worker_report (struct dff_peer *peer, const struct dff_worker_report *sighting);
 
 /** Holder: replaces the grants of @member, or renews them where they are as sent before. */
 void dff_peer_send_grants (struct dff_peer *peer,
--- a/include/peer/watch_share.h
+++ b/include/peer/watch_share.h
@@ -1,5 +1,5 @@
-#ifndef DFF_PEER_WATCH_SHARE_H
-#define DFF_PEER_WATCH_SHARE_H
+#ifndef DFF_PEER_WATCH_ASSIGNMENT_H
+#define DFF_PEER_WATCH_ASSIGNMENT_H
 
 #include <glib.h>
 #include <stddef.h>
@@ -14,7 +14,7 @@
  */
 
 /**
- * dff_watch_share_members:
+ * dff_watch_collect_members:
  * @members: elements: struct dff_member, as dff_peer_members() returns them
  * @region: this process's region
  * @out: elements: struct dff_name
@@ -22,23 +22,23 @@
  * Appends those who share the watching: members of @region that are alive or silent but not yet
  * taken for dead. One that is leaving hands its workers over at once.
  */
-void dff_watch_share_members (const GArray *members, const struct dff_name *region, GArray *out);
+void dff_watch_collect_members (const GArray *members, const struct dff_name *region, GArray *out);
 
 /**
- * dff_watch_share:
+ * dff_watch_assign:
  * @self: this process
- * @members: as dff_watch_share_members() gives them
+ * @members: as dff_watch_collect_members() gives them
  * @workers: workers of the region, in any order
  * @out: elements: guint, indexes into @workers
  *
  * Appends the workers that @self watches. A member that joins or leaves moves only its own share.
  */
-void dff_watch_share (const struct dff_name *self,
-		      const struct dff_name *members,
-		      size_t n_members,
-		      const struct dff_name *workers,
-		      size_t n_workers,
-		      GArray *out);
+void dff_watch_assign (const struct dff_name *self,
+		       const struct dff_name *members,
+		       size_t n_members,
+		       const struct dff_name *workers,
+		       size_t n_workers,
+		       GArray *out);
 
 /**
  * dff_watch_interval_ms:
--- a/include/pool/pool.h
+++ b/include/pool/pool.h
@@ -175,7 +175,7 @@
 
 /** Returns: how many of those no job gets: the sum over the services that set theirs aside, at most
  * half of the worker's slots. */
-int32_t dff_pool_slots_set_aside (const struct dff_pool *pool, const struct dff_rack *rack);
+int32_t dff_pool_dedicated_slots (const struct dff_pool *pool, const struct dff_rack *rack);
 
 /** Returns: (nullable): the rack called @name. */
 const struct dff_rack *dff_pool_find_rack (const struct dff_pool *pool,
@@ -183,6 +183,6 @@
 
 /** Returns: accelerators of the largest guaranteed shape that fits one rack; 8 where there is none.
  */
-int32_t dff_pool_adjacent_unit (const struct dff_pool *pool);
+int32_t dff_pool_largest_rack_shape (const struct dff_pool *pool);
 
 #endif
--- a/include/record/recorder.h
+++ b/include/record/recorder.h
@@ -57,11 +57,11 @@
 DFF_DEFINE_CLEANUP (dff_recorder, dff_recorder_free);
 
 enum dff_record_outcome {
-	DFF_RECORD_DONE,
+	DFF_RECORD_COMMITTED,
 	/** A condition did not hold. Proven not written. */
 	DFF_RECORD_CONFLICT,
 	/** Proven not written: refused, never sent, or found absent and barred by its write id. */
-	DFF_RECORD_NOT_DONE,
+	DFF_RECORD_NOT_COMMITTED,
 };
 
 /** @revision: of the commit, for the next condition. */
@@ -95,16 +95,16 @@
 			     dff_record_func done,
 			     void *user);
 
-enum dff_abandon {
+enum dff_abandon_outcome {
 	/** It was still waiting and is dropped: proven not written. */
-	DFF_ABANDON_NOT_DONE,
+	DFF_ABANDON_NOT_COMMITTED,
 	/** It has been sent: its effect stays unknown to this caller. @done is not called any more.
 	 */
 	DFF_ABANDON_UNKNOWN,
 };
 
 /** Gives up on a write whose callback has not come yet. */
-enum dff_abandon dff_recorder_abandon (struct dff_recorder *recorder, uint64_t ticket);
+enum dff_abandon_outcome dff_recorder_abandon (struct dff_recorder *recorder, uint64_t ticket);
 
 /** Changes the maximum of transactions a second, from now on. */
 void dff_recorder_set_max_commits (struct dff_recorder *recorder, int32_t max_commits_per_s);
@@ -113,7 +113,7 @@
 void dff_recorder_tick (struct dff_recorder *recorder);
 
 /** Whether the breaker is open: new work that needs a record should be refused at once. */
-bool dff_recorder_is_open (const struct dff_recorder *recorder);
+bool dff_recorder_is_breaker_open (const struct dff_recorder *recorder);
 
 /** When a refused caller should come back, seconds, jittered, at least 1. */
 int32_t dff_recorder_retry_after_s (struct dff_recorder *recorder);
--- a/include/rows/reading.h
+++ b/include/rows/reading.h
@@ -1,5 +1,5 @@
-#ifndef DFF_ROWS_READING_H
-#define DFF_ROWS_READING_H
+#ifndef DFF_ROWS_SCAN_H
+#define DFF_ROWS_SCAN_H
 
 #include "common/cleanup.h"
 #include "common/timer.h"
@@ -11,10 +11,10 @@
  * that a row which moves may be missed or seen twice; changes since the first page's revision tell.
  */
 
-struct dff_reading;
+struct dff_scan;
 
 /** What a reading came to. */
-struct dff_reading_end {
+struct dff_scan_result {
 	/** The store's newest revision at the first page. */
 	int64_t revision;
 	int32_t n_rows;
@@ -26,36 +26,36 @@
 
 /** What a reading reports to. Each is called from the loop; none may free the reading but
  * @done. */
-struct dff_reading_sink {
+struct dff_scan_sink {
 	void (*row) (void *ctx, const struct dff_row *row);
 	/** (nullable): a page was answered, or was not; the call began at @begun_ms. Before its
 	 * rows. */
 	void (*page) (void *ctx, const struct dff_rows_result *result, int64_t begun_ms);
-	void (*done) (void *ctx, const struct dff_reading_end *end);
+	void (*done) (void *ctx, const struct dff_scan_result *end);
 	void *ctx;
 };
 
-struct dff_reading_options {
+struct dff_scan_options {
 	const struct dff_timers *timers;
 	const struct dff_rows *rows;
 	const char *table;
 	/** Timeout of the first page, ms. */
 	int32_t timeout_ms;
-	struct dff_reading_sink sink;
+	struct dff_scan_sink sink;
 };
 
 /** @options is copied. Nothing is read yet. */
-struct dff_reading *dff_reading_new (const struct dff_reading_options *options);
+struct dff_scan *dff_scan_new (const struct dff_scan_options *options);
 
 /** Ends it; no callback comes afterwards. */
-void dff_reading_free (struct dff_reading *reading);
+void dff_scan_free (struct dff_scan *reading);
 
-DFF_DEFINE_CLEANUP (dff_reading, dff_reading_free);
+DFF_DEFINE_CLEANUP (dff_scan, dff_scan_free);
 
 /** Reads the table from its first row on. Not while it is being read. */
-void dff_reading_start (struct dff_reading *reading);
+void dff_scan_start (struct dff_scan *reading);
 
 /** Returns: whether the table is being read. */
-bool dff_reading_is_running (const struct dff_reading *reading);
+bool dff_scan_is_running (const struct dff_scan *reading);
 
 #endif
--- a/include/standin/memory_runner.h
+++ b/include/standin/memory_runner.h
@@ -83,14 +83,14 @@
 
 /** The same for a worker that tells when it started, and whose clock counts from then on; one of
  * that id that was there before has to be dead. */
-struct dff_memory_worker_faults *dff_memory_runner_add_born (struct dff_memory_runner *runner,
-							     const char *id,
-							     const char *address,
-							     int32_t accelerators,
-							     int32_t clock_permille);
+struct dff_memory_worker_faults *dff_memory_runner_add_with_start (struct dff_memory_runner *runner,
+								   const char *id,
+								   const char *address,
+								   int32_t accelerators,
+								   int32_t clock_permille);
 
 /** Returns: when the last life of a worker started, on the loop's clock; 0: it does not tell. */
-int64_t dff_memory_runner_born_ms (struct dff_memory_runner *runner, const char *id);
+int64_t dff_memory_runner_started_ms (struct dff_memory_runner *runner, const char *id);
 
 /** Changes what a worker has room for; what runs there goes on. A smaller room counts once whoever
  * starts tasks had the time to learn of it. */
@@ -117,13 +117,14 @@
 const char *dff_memory_runner_violation (const struct dff_memory_runner *runner);
 
 /** Returns: runs that are open, over all workers. */
-int32_t dff_memory_runner_n_open (const struct dff_memory_runner *runner);
+int32_t dff_memory_runner_n_active (const struct dff_memory_runner *runner);
 
 /** Returns: (nullable): the worker that runs @task now. */
-const char *dff_memory_runner_where (const struct dff_memory_runner *runner, const char *task);
+const char *dff_memory_runner_worker_of (const struct dff_memory_runner *runner, const char *task);
 
 /** Returns: workers whose lives ended while they ran @task, whatever ended them. */
-int32_t dff_memory_runner_n_lives_ended (const struct dff_memory_runner *runner, const char *task);
+int32_t dff_memory_runner_n_incarnations_ended (const struct dff_memory_runner *runner,
+						const char *task);
 
 /** Returns: starts that were carried out, of tasks whose name begins with @prefix. */
 int32_t dff_memory_runner_n_starts (const struct dff_memory_runner *runner, const char *prefix);
--- a/include/standin/memory_workers.h
+++ b/include/standin/memory_workers.h
@@ -62,7 +62,7 @@
 						   const struct dff_name *address);
 
 /** Returns: the interface. An address that was not added is unreachable. */
-const struct dff_worker_client *dff_memory_workers_client (struct dff_memory_workers *workers);
+const struct dff_worker_client *dff_memory_workers_interface (struct dff_memory_workers *workers);
 
 /** Lets time pass at every worker and answers what is due. */
 void dff_memory_workers_tick (struct dff_memory_workers *workers);
--- a/include/standin/virtual_loop.h
+++ b/include/standin/virtual_loop.h
@@ -23,10 +23,10 @@
 int64_t dff_virtual_loop_now_ms (const struct dff_virtual_loop *loop);
 
 /** Calls @func once in @delay_ms. */
-void dff_virtual_loop_after (struct dff_virtual_loop *loop,
-			     int64_t delay_ms,
-			     dff_timer_func func,
-			     void *user);
+void dff_virtual_loop_schedule (struct dff_virtual_loop *loop,
+				int64_t delay_ms,
+				dff_timer_func func,
+				void *user);
 
 /** Runs everything that is due within the next @ms. */
 void dff_virtual_loop_run (struct dff_virtual_loop *loop, int64_t ms);
--- a/include/upstream/http_worker.h
+++ b/include/upstream/http_worker.h
@@ -40,6 +40,6 @@
 
 /** Returns: the interface; valid as long as @worker. Its callbacks never run before a call returns.
  */
-const struct dff_worker_client *dff_http_worker_client (struct dff_http_worker *worker);
+const struct dff_worker_client *dff_http_worker_interface (struct dff_http_worker *worker);
 
 #endif
--- a/include/upstream/life.h
+++ b/include/upstream/life.h
@@ -11,29 +11,30 @@
  * the numbers of its ends begin anew. Elsewhere each life has an id of its own. */
 
 /** In place of a start that was not told. */
-#define DFF_BORN_UNTOLD INT64_C (0)
+#define DFF_START_UNREPORTED INT64_C (0)
 /** In place of one that cannot be read. */
-#define DFF_BORN_UNREADABLE INT64_C (-1)
+#define DFF_START_UNREADABLE INT64_C (-1)
 
-struct dff_life {
+struct dff_incarnation {
 	struct dff_name id;
 	/** When it started, ms since 1970, by the worker's time of day. */
 	int64_t started_ms;
 };
 
-enum dff_life_order {
+enum dff_incarnation_order {
 	/** The same life, or nothing tells them apart. */
-	DFF_LIFE_SAME,
+	DFF_INCARNATION_SAME,
 	/** It started earlier. */
-	DFF_LIFE_EARLIER,
+	DFF_INCARNATION_EARLIER,
 	/** It started later. */
-	DFF_LIFE_LATER,
+	DFF_INCARNATION_LATER,
 };
 
 /** Returns: how the life that was born at @born_ms is to @known, which is of the same id. */
-enum dff_life_order dff_life_compare (int64_t born_ms, const struct dff_life *known);
+enum dff_incarnation_order dff_incarnation_compare (int64_t born_ms,
+						    const struct dff_incarnation *known);
 
 /** Returns: whether @born_ms tells when a life started. */
-bool dff_born_is_told (int64_t born_ms);
+bool dff_start_is_known (int64_t born_ms);
 
 #endif
--- a/include/upstream/runner.h
+++ b/include/upstream/runner.h
@@ -21,7 +21,7 @@
 
 /** What a worker says of itself. */
 struct dff_upstream {
-	struct dff_life incarnation;
+	struct dff_incarnation incarnation;
 	/** "IP:PORT". */
 	struct dff_name address;
 	struct dff_name service;
@@ -43,15 +43,15 @@
 	/** This run, or a higher one, was stopped or has ended there: it will not start. */
 	DFF_RUNNER_OLD_RUN,
 	/** The deadline has passed on the worker's clock. */
-	DFF_RUNNER_LATE,
+	DFF_RUNNER_DEADLINE_PASSED,
 	/** It does not fit. */
-	DFF_RUNNER_NO_ROOM,
+	DFF_RUNNER_NO_CAPACITY,
 	/** The worker is unhealthy and did nothing. */
 	DFF_RUNNER_UNHEALTHY,
 	/** The worker does not understand the call, and did nothing. */
 	DFF_RUNNER_INVALID,
 	/** Another life of the worker answers: the one meant is gone with all it ran. */
-	DFF_RUNNER_OTHER_LIFE,
+	DFF_RUNNER_OTHER_INCARNATION,
 	/** Never left this process. */
 	DFF_RUNNER_UNSENT,
 	/** Done, not done, or still to be done. */
@@ -64,11 +64,11 @@
 	DFF_RUN_FAILED,
 	DFF_RUN_STOPPED,
 	/** The worker's lease lapsed. */
-	DFF_RUN_LAPSED,
+	DFF_RUN_LEASE_EXPIRED,
 	/** Another member of its gang ended. */
-	DFF_RUN_BROKEN,
+	DFF_RUN_GANG_BROKEN,
 	/** The other members of its gang did not come in time. */
-	DFF_RUN_ALONE,
+	DFF_RUN_GANG_TIMEOUT,
 };
 
 struct dff_run_order {
@@ -100,7 +100,7 @@
 	int32_t timeout_ms;
 };
 
-struct dff_run_open {
+struct dff_run_active {
 	struct dff_str task;
 	int32_t run;
 	/** Last checkpoint; empty: none. */
@@ -122,10 +122,10 @@
 	enum dff_runner_outcome outcome;
 	/** The worker's clock when it answered; 0: not said. */
 	int64_t clock_ms;
-	/** When the life that answered started, as in struct dff_life. */
+	/** When the life that answered started, as in struct dff_incarnation. */
 	int64_t started_ms;
 	/** Of a watch: everything that runs, and every end that is not acknowledged, in order. */
-	const struct dff_run_open *running;
+	const struct dff_run_active *running;
 	size_t n_running;
 	const struct dff_run_ended *ended;
 	size_t n_ended;
--- a/include/upstream/watcher.h
+++ b/include/upstream/watcher.h
@@ -44,7 +44,7 @@
 	int32_t failures_unreachable;
 	/** Takes a sighting, borrowed for the call. A long list of reports comes in pieces, none of
 	 * which is whole. */
-	void (*report) (void *ctx, const struct dff_worker_sighting *sighting);
+	void (*report) (void *ctx, const struct dff_worker_report *sighting);
 	void *ctx;
 };
 
@@ -77,6 +77,6 @@
 
 /** Tells of every worker again at its next answer, all its tasks included: the cell has a new
  * holder, who has not seen what was told before. */
-void dff_watcher_tell_all (struct dff_watcher *watcher);
+void dff_watcher_report_all (struct dff_watcher *watcher);
 
 #endif
--- a/include/upstream/worker_client.h
+++ b/include/upstream/worker_client.h
@@ -26,7 +26,7 @@
 };
 
 enum dff_task_state {
-	DFF_TASK_UNSEEN, /**< The worker does not know it. */
+	DFF_TASK_UNKNOWN, /**< The worker does not know it. */
 	DFF_TASK_HELD,
 	DFF_TASK_RUNNING,
 	DFF_TASK_COMPLETED,
