--- a/peer/grant.c
+++ b/peer/grant.c
@@ -15,7 +15,7 @@
 	uint64_t hash = dff_rendezvous_weight (text, &member->id);
 	double uniform = ((double)(hash >> 11) + 0.5) / (double)(UINT64_C (1) << 53);
 	bool same = dff_name_equal (&worker->data_centre, &member->data_centre);
-	double weight = same ? DFF_GRANT_SAME_DATA_CENTRE : 1;
+	double weight = same ? DFF_GRANT_SAME_DATA_CENTRE_WEIGHT : 1;
 	return -weight / log (uniform);
 }
 
@@ -56,10 +56,10 @@
 }
 
 GPtrArray *
-dff_grants_share (const struct dff_grant_worker *workers,
-		  size_t n_workers,
-		  const struct dff_grant_member *members,
-		  size_t n_members)
+dff_grants_assign (const struct dff_grant_worker *workers,
+		   size_t n_workers,
+		   const struct dff_grant_member *members,
+		   size_t n_members)
 {
 	GPtrArray *shares = g_ptr_array_new_with_free_func ((GDestroyNotify)g_array_unref);
 	for (size_t i = 0; i < n_members; i++)
--- a/peer/member_table.c
+++ b/peer/member_table.c
@@ -27,7 +27,7 @@
 	table->entries = g_ptr_array_new_with_free_func (g_free);
 	table->ring = g_ptr_array_new ();
 	table->self = dff_member_table_add (table, self, 0);
-	table->self->known.liveness = DFF_LIFE_ALIVE;
+	table->self->known.liveness = DFF_LIVENESS_ALIVE;
 	table->self->known.incarnation = 1;
 	return table;
 }
@@ -67,7 +67,7 @@
 	struct dff_member_entry *entry = g_new0 (struct dff_member_entry, 1);
 	entry->instance = *instance;
 	entry->known.id = instance->id;
-	entry->known.liveness = DFF_LIFE_SUSPECT;
+	entry->known.liveness = DFF_LIVENESS_SUSPECT;
 	entry->heard_ms = now_ms;
 	entry->direct_ms = DFF_TIME_NEVER;
 	entry->replied_ms = DFF_TIME_NEVER;
@@ -100,7 +100,7 @@
 static bool
 counts_on_ring (const struct dff_member_entry *entry)
 {
-	return entry->known.liveness == DFF_LIFE_ALIVE || entry->known.incarnation == 0;
+	return entry->known.liveness == DFF_LIVENESS_ALIVE || entry->known.incarnation == 0;
 }
 
 static void
@@ -117,7 +117,7 @@
 	g_ptr_array_set_size (table->ring, 0);
 	for (guint i = 0; i < table->entries->len; i++) {
 		struct dff_member_entry *entry = table->entries->pdata[i];
-		if (entry->known.liveness != DFF_LIFE_DEAD)
+		if (entry->known.liveness != DFF_LIVENESS_DEAD)
 			g_ptr_array_add (table->ring, entry);
 		else
 			entry->observed = false;
--- a/peer/membership.c
+++ b/peer/membership.c
@@ -24,7 +24,7 @@
 	membership->table = dff_member_table_new (&options->self);
 	membership->random = g_rand_new_with_seed ((guint32)(options->seed ^ options->seed >> 32));
 	membership->table->self->known.start_id =
-		(uint32_t)g_rand_int_range (membership->random, 1, DFF_MEMBER_START_MAX + 1);
+		(uint32_t)g_rand_int_range (membership->random, 1, DFF_MEMBER_START_ID_MAX + 1);
 	membership->last_tick_ms = dff_clock_now_ms (options->clock);
 	membership->last_heartbeat_ms = DFF_TIME_NEVER;
 	membership->ring_changed = true;
@@ -64,13 +64,13 @@
 void
 dff_membership_set_life (struct dff_membership *membership,
 			 struct dff_member_entry *entry,
-			 enum dff_life life)
+			 enum dff_liveness life)
 {
 	if (entry->known.liveness == life)
 		return;
-	if (life == DFF_LIFE_SUSPECT)
+	if (life == DFF_LIVENESS_SUSPECT)
 		*membership->n_suspected += 1;
-	if (life == DFF_LIFE_DEAD) {
+	if (life == DFF_LIVENESS_DEAD) {
 		*membership->n_died += 1;
 		/* Few members judge it; the others learn of it step by step, and a step should not
 		 * take a whole interval. */
@@ -92,11 +92,11 @@
 {
 	const struct dff_membership_options *options = &membership->options;
 	int64_t patience_ms = (int64_t)options->suspect_ms + options->dead_ms;
-	if (entry->known.liveness == DFF_LIFE_SUSPECT &&
+	if (entry->known.liveness == DFF_LIVENESS_SUSPECT &&
 	    now_ms - entry->life_since_ms > 2 * patience_ms)
-		dff_membership_set_life (membership, entry, DFF_LIFE_DEAD);
+		dff_membership_set_life (membership, entry, DFF_LIVENESS_DEAD);
 	if (!entry->listed && now_ms - entry->heard_ms > UNOBSERVED_PATIENCE * patience_ms)
-		dff_membership_set_life (membership, entry, DFF_LIFE_DEAD);
+		dff_membership_set_life (membership, entry, DFF_LIVENESS_DEAD);
 }
 
 static void
@@ -107,13 +107,13 @@
 	if (!silent)
 		return;
 	if (!entry->listed) {
-		dff_membership_set_life (membership, entry, DFF_LIFE_DEAD);
+		dff_membership_set_life (membership, entry, DFF_LIVENESS_DEAD);
 		return;
 	}
-	if (entry->known.liveness == DFF_LIFE_ALIVE)
-		dff_membership_set_life (membership, entry, DFF_LIFE_SUSPECT);
+	if (entry->known.liveness == DFF_LIVENESS_ALIVE)
+		dff_membership_set_life (membership, entry, DFF_LIVENESS_SUSPECT);
 	else if (now_ms - entry->life_since_ms > options->dead_ms)
-		dff_membership_set_life (membership, entry, DFF_LIFE_DEAD);
+		dff_membership_set_life (membership, entry, DFF_LIVENESS_DEAD);
 }
 
 static void
@@ -122,7 +122,7 @@
 	const GPtrArray *entries = membership->table->entries;
 	for (guint i = 0; i < entries->len; i++) {
 		struct dff_member_entry *entry = entries->pdata[i];
-		if (entry == membership->table->self || entry->known.liveness == DFF_LIFE_DEAD)
+		if (entry == membership->table->self || entry->known.liveness == DFF_LIVENESS_DEAD)
 			continue;
 		if (entry->observed)
 			judge_observed (membership, entry, now_ms);
@@ -137,7 +137,7 @@
 	GPtrArray *entries = membership->table->entries;
 	for (guint i = entries->len; i > 0; i--) {
 		struct dff_member_entry *entry = entries->pdata[i - 1];
-		bool gone = !entry->listed && entry->known.liveness == DFF_LIFE_DEAD;
+		bool gone = !entry->listed && entry->known.liveness == DFF_LIVENESS_DEAD;
 		if (!gone || entry == membership->table->self || entry->relays_left > 0)
 			continue;
 		dff_membership_note_change (membership, entry);
--- a/peer/membership_internal.h
+++ b/peer/membership_internal.h
@@ -41,7 +41,7 @@
 /** Changes what is known of whether @entry runs; passes the change on. */
 void dff_membership_set_life (struct dff_membership *membership,
 			      struct dff_member_entry *entry,
-			      enum dff_life life);
+			      enum dff_liveness life);
 
 /** Lets the next heartbeats carry the state of @entry. */
 void dff_membership_relay (struct dff_membership *membership, struct dff_member_entry *entry);
--- a/peer/membership_merge.c
+++ b/peer/membership_merge.c
@@ -68,7 +68,7 @@
 {
 	struct dff_member_report *self = &membership->table->self->known;
 	bool earlier_run = report_is_newer (report, self);
-	bool accused = report->liveness != DFF_LIFE_ALIVE;
+	bool accused = report->liveness != DFF_LIVENESS_ALIVE;
 	if (earlier_run || (accused && report->incarnation == self->incarnation))
 		raise_incarnation (membership, report);
 	/* Also one that accuses an incarnation that is over is answered: it has not heard of the
@@ -89,11 +89,11 @@
 	/* Only the member itself can end its death, by a higher incarnation: a sign of life that
 	 * was long on its way must not bring back one that is gone. */
 	bool same_incarnation = report->incarnation == entry->known.incarnation;
-	if (entry->known.liveness == DFF_LIFE_DEAD && same_incarnation)
+	if (entry->known.liveness == DFF_LIVENESS_DEAD && same_incarnation)
 		return;
 	entry->heard_ms = dff_clock_now_ms (membership->options.clock);
 	adopt_values (membership, entry, report);
-	dff_membership_set_life (membership, entry, DFF_LIFE_ALIVE);
+	dff_membership_set_life (membership, entry, DFF_LIVENESS_ALIVE);
 }
 
 static bool
@@ -132,11 +132,11 @@
 		dff_membership_correct (membership, entry, report);
 		return;
 	}
-	enum dff_life life = report->liveness;
-	if (report_is_newer (known, report) && life == DFF_LIFE_SUSPECT)
+	enum dff_liveness life = report->liveness;
+	if (report_is_newer (known, report) && life == DFF_LIVENESS_SUSPECT)
 		return;
 	if (contradicts (membership, known, report))
-		life = DFF_LIFE_SUSPECT;
+		life = DFF_LIVENESS_SUSPECT;
 	/* A later incarnation ran after whatever this process holds it for. */
 	bool outdated = report->incarnation > known->incarnation;
 	if (report_is_newer (report, known))
@@ -155,7 +155,7 @@
 		return;
 	if (entry == membership->table->self)
 		merge_about_self (membership, sender, report);
-	else if (report->liveness != DFF_LIFE_ALIVE)
+	else if (report->liveness != DFF_LIVENESS_ALIVE)
 		merge_accusation (membership, entry, report);
 	else
 		merge_sign_of_life (membership, entry, report);
@@ -177,9 +177,9 @@
 	entry->direct_ms = entry->heard_ms;
 	entry->sent_ms = heartbeat->sent_ms;
 	adopt_values (membership, entry, report);
-	dff_membership_set_life (membership, entry, DFF_LIFE_ALIVE);
+	dff_membership_set_life (membership, entry, DFF_LIVENESS_ALIVE);
 	/* It lives, but others still hold it for dead in this incarnation. */
-	if (before.liveness != DFF_LIFE_ALIVE && before.incarnation == report->incarnation)
+	if (before.liveness != DFF_LIVENESS_ALIVE && before.incarnation == report->incarnation)
 		dff_membership_correct (membership, entry, &before);
 }
 
--- a/peer/membership_query.c
+++ b/peer/membership_query.c
@@ -3,9 +3,9 @@
 static enum dff_member_state
 state_of (const struct dff_member_entry *entry)
 {
-	if (entry->known.liveness == DFF_LIFE_DEAD)
+	if (entry->known.liveness == DFF_LIVENESS_DEAD)
 		return DFF_MEMBER_DEAD;
-	if (entry->known.liveness == DFF_LIFE_SUSPECT)
+	if (entry->known.liveness == DFF_LIVENESS_SUSPECT)
 		return DFF_MEMBER_SUSPECT;
 	bool leaving = entry->known.leaving || entry->instance.leaving;
 	return leaving ? DFF_MEMBER_LEAVING : DFF_MEMBER_ALIVE;
@@ -53,7 +53,8 @@
 	const GPtrArray *entries = membership->table->entries;
 	for (guint i = 0; i < entries->len; i++) {
 		const struct dff_member_entry *entry = entries->pdata[i];
-		if (entry->known.liveness == DFF_LIFE_DEAD || entry->known.holder_epoch <= *epoch)
+		if (entry->known.liveness == DFF_LIVENESS_DEAD ||
+		    entry->known.holder_epoch <= *epoch)
 			continue;
 		if (!dff_name_equal (&entry->instance.region, &membership->options.self.region))
 			continue;
@@ -83,7 +84,7 @@
 	const GPtrArray *entries = membership->table->entries;
 	for (guint i = 0; i < entries->len; i++) {
 		const struct dff_member_entry *entry = entries->pdata[i];
-		if (entry->known.liveness != DFF_LIFE_DEAD)
+		if (entry->known.liveness != DFF_LIVENESS_DEAD)
 			newest = MAX (newest, entry->known.pool_generation);
 	}
 	return newest;
@@ -98,7 +99,7 @@
 	for (guint i = 0; i < entries->len; i++) {
 		const struct dff_member_entry *entry = entries->pdata[i];
 		bool has = entry->known.pool_generation >= generation &&
-			   entry->known.liveness != DFF_LIFE_DEAD;
+			   entry->known.liveness != DFF_LIVENESS_DEAD;
 		if (!has || entry == membership->table->self)
 			continue;
 		n_seen++;
--- a/peer/membership_send.c
+++ b/peer/membership_send.c
@@ -116,7 +116,7 @@
 {
 	g_autoptr (GPtrArray) chosen = g_ptr_array_new ();
 	choose_others (membership, chosen);
-	struct dff_member_report others[DFF_HEARTBEAT_OTHERS_MAX];
+	struct dff_member_report others[DFF_HEARTBEAT_PEERS_MAX];
 	for (guint i = 0; i < chosen->len; i++) {
 		const struct dff_member_entry *entry = chosen->pdata[i];
 		others[i] = entry->known;
@@ -163,7 +163,7 @@
 	for (guint tries = 0; tries < entries->len; tries++) {
 		membership->dead_cursor = (membership->dead_cursor + 1) % entries->len;
 		struct dff_member_entry *entry = entries->pdata[membership->dead_cursor];
-		if (entry->known.liveness != DFF_LIFE_DEAD)
+		if (entry->known.liveness != DFF_LIVENESS_DEAD)
 			continue;
 		add_target (membership, targets, &entry->instance.id);
 		return;
@@ -197,7 +197,7 @@
 static bool
 is_to_be_asked (const struct dff_membership *membership, const struct dff_member_entry *entry)
 {
-	if (entry->known.liveness != DFF_LIFE_SUSPECT)
+	if (entry->known.liveness != DFF_LIVENESS_SUSPECT)
 		return false;
 	const struct dff_membership_options *options = &membership->options;
 	int64_t judgement_ms = (int64_t)options->suspect_ms + options->dead_ms;
--- a/peer/message.h
+++ b/peer/message.h
@@ -13,19 +13,19 @@
 /* Messages between processes as typed structs; the wire format is peer/peer.proto. */
 
 /** Longest message that is taken in, in bytes: a pool file of 1 MiB and its frame. */
-#define DFF_MESSAGE_MAX ((1 << 20) + 1024)
+#define DFF_MESSAGE_MAX_BYTES ((1 << 20) + 1024)
 
 /** States of other members in one heartbeat, at the most. */
-#define DFF_HEARTBEAT_OTHERS_MAX 16
+#define DFF_HEARTBEAT_PEERS_MAX 16
 
 /** Grants or task reports in one message, at the most. */
 #define DFF_MESSAGE_ELEMENTS_MAX 8192
 
 /** Whether a member is taken to run. Values are those of the wire. */
-enum dff_life {
-	DFF_LIFE_ALIVE,
-	DFF_LIFE_SUSPECT,
-	DFF_LIFE_DEAD,
+enum dff_liveness {
+	DFF_LIVENESS_ALIVE,
+	DFF_LIVENESS_SUSPECT,
+	DFF_LIVENESS_DEAD,
 };
 
 /** What a process says about one member, itself included. (incarnation, sequence) orders them. */
@@ -35,7 +35,7 @@
 	uint64_t incarnation;
 	/** Heartbeats that the member has sent in this incarnation or an earlier one. */
 	uint64_t sequence;
-	enum dff_life liveness;
+	enum dff_liveness liveness;
 	bool leaving;
 	bool ready;
 	int64_t pool_generation;
@@ -87,7 +87,7 @@
 	DFF_MESSAGE_JOB_HINT,
 	DFF_MESSAGE_JOB_WATCH,
 	DFF_MESSAGE_JOB_ENDED,
-	DFF_MESSAGE_SIGHTING,
+	DFF_MESSAGE_WORKER_REPORT,
 	DFF_MESSAGE_GRANTS,
 };
 
@@ -102,7 +102,7 @@
 		/** Job of a hint or watch. */
 		struct dff_name job;
 		struct dff_job_end job_ended;
-		struct dff_worker_sighting worker_report;
+		struct dff_worker_report worker_report;
 		struct dff_grant_set grants;
 	};
 	/** Decoded messages: owns what the members above point to. */
--- a/peer/message_decode.c
+++ b/peer/message_decode.c
@@ -34,7 +34,7 @@
 		return false;
 	report->incarnation = wire->incarnation;
 	report->sequence = wire->sequence;
-	report->liveness = (enum dff_life)wire->life;
+	report->liveness = (enum dff_liveness)wire->life;
 	report->leaving = wire->leaving;
 	report->ready = wire->ready;
 	report->pool_generation = wire->pool_generation;
@@ -47,7 +47,7 @@
 decode_heartbeat (const Dff__Peer__Heartbeat *wire, struct dff_message *message)
 {
 	struct dff_heartbeat *heartbeat = &message->heartbeat;
-	if (wire->self == NULL || wire->n_others > DFF_HEARTBEAT_OTHERS_MAX)
+	if (wire->self == NULL || wire->n_others > DFF_HEARTBEAT_PEERS_MAX)
 		return false;
 	if (!member_from_wire (wire->self, &heartbeat->self))
 		return false;
@@ -69,7 +69,7 @@
 static bool
 decode_deflated_pool_file (const Dff__Peer__PoolFile *wire, struct dff_message *message)
 {
-	if (wire->length == 0 || wire->length > DFF_MESSAGE_MAX)
+	if (wire->length == 0 || wire->length > DFF_MESSAGE_MAX_BYTES)
 		return false;
 	message->elements = dff_inflate (wire->deflated.data, wire->deflated.len, wire->length);
 	message->pool_file.text.data = message->elements;
@@ -129,7 +129,7 @@
 static bool
 decode_sighting (const Dff__Peer__Sighting *wire, struct dff_message *message)
 {
-	struct dff_worker_sighting *sighting = &message->worker_report;
+	struct dff_worker_report *sighting = &message->worker_report;
 	if (wire->n_reports > DFF_MESSAGE_ELEMENTS_MAX || wire->silent_ms < 0)
 		return false;
 	if (!name_from_wire (&wire->worker, &sighting->worker))
@@ -214,7 +214,7 @@
 		message->kind = DFF_MESSAGE_JOB_ENDED;
 		return decode_job_ended (envelope->job_ended, message);
 	case DFF__PEER__ENVELOPE__BODY_SIGHTING:
-		message->kind = DFF_MESSAGE_SIGHTING;
+		message->kind = DFF_MESSAGE_WORKER_REPORT;
 		return decode_sighting (envelope->sighting, message);
 	case DFF__PEER__ENVELOPE__BODY_GRANTS:
 		message->kind = DFF_MESSAGE_GRANTS;
@@ -237,7 +237,7 @@
 struct dff_message *
 dff_message_decode (const uint8_t *data, size_t len)
 {
-	if (len > DFF_MESSAGE_MAX)
+	if (len > DFF_MESSAGE_MAX_BYTES)
 		return NULL;
 	struct dff_message *message = g_new0 (struct dff_message, 1);
 	if (decode_envelope (data, len, message))
--- a/peer/message_encode.c
+++ b/peer/message_encode.c
@@ -40,12 +40,12 @@
 {
 	Dff__Peer__Heartbeat wire = DFF__PEER__HEARTBEAT__INIT;
 	Dff__Peer__MemberState self;
-	Dff__Peer__MemberState others[DFF_HEARTBEAT_OTHERS_MAX];
-	Dff__Peer__MemberState *pointers[DFF_HEARTBEAT_OTHERS_MAX];
+	Dff__Peer__MemberState others[DFF_HEARTBEAT_PEERS_MAX];
+	Dff__Peer__MemberState *pointers[DFF_HEARTBEAT_PEERS_MAX];
 	member_to_wire (&heartbeat->self, &self);
 	wire.self = &self;
 	wire.sent_ms = heartbeat->sent_ms;
-	wire.n_others = MIN (heartbeat->n_peers, (size_t)DFF_HEARTBEAT_OTHERS_MAX);
+	wire.n_others = MIN (heartbeat->n_peers, (size_t)DFF_HEARTBEAT_PEERS_MAX);
 	wire.others = pointers;
 	for (size_t i = 0; i < wire.n_others; i++) {
 		member_to_wire (&heartbeat->peers[i], &others[i]);
@@ -121,7 +121,7 @@
 }
 
 static GByteArray *
-encode_sighting (Dff__Peer__Envelope envelope, const struct dff_worker_sighting *sighting)
+encode_sighting (Dff__Peer__Envelope envelope, const struct dff_worker_report *sighting)
 {
 	size_t n = MIN (sighting->n_reports, (size_t)DFF_MESSAGE_ELEMENTS_MAX);
 	g_autofree Dff__Peer__TaskReport *reports = g_new (Dff__Peer__TaskReport, n);
@@ -190,7 +190,7 @@
 		return encode_job (envelope, DFF__PEER__ENVELOPE__BODY_JOB_WATCH, &message->job);
 	case DFF_MESSAGE_JOB_ENDED:
 		return encode_job_ended (envelope, &message->job_ended);
-	case DFF_MESSAGE_SIGHTING:
+	case DFF_MESSAGE_WORKER_REPORT:
 		return encode_sighting (envelope, &message->worker_report);
 	case DFF_MESSAGE_GRANTS:
 		return encode_grants (envelope, &message->grants);
--- a/peer/peer.c
+++ b/peer/peer.c
@@ -39,7 +39,7 @@
 {
 	message->sender = peer->options.self.id;
 	g_autoptr (GByteArray) bytes = dff_message_encode (message);
-	if (bytes->len > DFF_MESSAGE_MAX) {
+	if (bytes->len > DFF_MESSAGE_MAX_BYTES) {
 		dff_log (DFF_LOG_PEER, DFF_LOG_ERROR, "Message too long. bytes=%u", bytes->len);
 		return;
 	}
@@ -214,7 +214,7 @@
 		callbacks->job_ended (callbacks->ctx, &message->job_ended.job,
 				      message->job_ended.outcome);
 		break;
-	case DFF_MESSAGE_SIGHTING:
+	case DFF_MESSAGE_WORKER_REPORT:
 		callbacks->worker_report (callbacks->ctx, &message->worker_report);
 		break;
 	case DFF_MESSAGE_GRANTS:
@@ -284,7 +284,7 @@
 }
 
 uint32_t
-dff_peer_start (const struct dff_peer *peer)
+dff_peer_start_id (const struct dff_peer *peer)
 {
 	return dff_membership_start (peer->membership);
 }
@@ -307,14 +307,14 @@
 }
 
 void
-dff_peer_send_hint (struct dff_peer *peer, const struct dff_name *job)
+dff_peer_send_job_hint (struct dff_peer *peer, const struct dff_name *job)
 {
 	struct dff_message message = {.kind = DFF_MESSAGE_JOB_HINT, .job = *job};
 	dff_notices_send (peer, &message);
 }
 
 void
-dff_peer_send_watch (struct dff_peer *peer, const struct dff_name *job)
+dff_peer_send_job_watch (struct dff_peer *peer, const struct dff_name *job)
 {
 	struct dff_message message = {.kind = DFF_MESSAGE_JOB_WATCH, .job = *job};
 	dff_notices_send (peer, &message);
@@ -325,9 +325,10 @@
  * the worker out of the grants. So all members are told, without the reports, which are the
  * holder's. */
 static void
-tell_leaving (struct dff_peer *peer, const struct dff_worker_sighting *sighting)
+tell_leaving (struct dff_peer *peer, const struct dff_worker_report *sighting)
 {
-	struct dff_message message = {.kind = DFF_MESSAGE_SIGHTING, .worker_report = *sighting};
+	struct dff_message message = {.kind = DFF_MESSAGE_WORKER_REPORT,
+				      .worker_report = *sighting};
 	message.sender = peer->options.self.id;
 	message.worker_report.reports = NULL;
 	message.worker_report.n_reports = 0;
@@ -345,19 +346,20 @@
 }
 
 void
-dff_peer_send_sighting (struct dff_peer *peer, const struct dff_worker_sighting *sighting)
+dff_peer_send_worker_report (struct dff_peer *peer, const struct dff_worker_report *sighting)
 {
-	struct dff_message message = {.kind = DFF_MESSAGE_SIGHTING, .worker_report = *sighting};
+	struct dff_message message = {.kind = DFF_MESSAGE_WORKER_REPORT,
+				      .worker_report = *sighting};
 	dff_notices_send (peer, &message);
 	if (sighting->leaving)
 		tell_leaving (peer, sighting);
 }
 
 void
-dff_peer_send_ended (struct dff_peer *peer,
-		     const struct dff_name *watcher,
-		     const struct dff_name *job,
-		     enum dff_outcome outcome)
+dff_peer_send_job_ended (struct dff_peer *peer,
+			 const struct dff_name *watcher,
+			 const struct dff_name *job,
+			 enum dff_outcome outcome)
 {
 	struct dff_message message = {.kind = DFF_MESSAGE_JOB_ENDED};
 	message.job_ended.job = *job;
--- a/peer/watch_share.c
+++ b/peer/watch_share.c
@@ -8,7 +8,7 @@
 #define INTERVALS_A_LEASE 4
 
 void
-dff_watch_share_members (const GArray *members, const struct dff_name *region, GArray *out)
+dff_watch_collect_members (const GArray *members, const struct dff_name *region, GArray *out)
 {
 	for (guint i = 0; i < members->len; i++) {
 		const struct dff_member *member = &g_array_index (members, struct dff_member, i);
@@ -20,12 +20,12 @@
 }
 
 void
-dff_watch_share (const struct dff_name *self,
-		 const struct dff_name *members,
-		 size_t n_members,
-		 const struct dff_name *workers,
-		 size_t n_workers,
-		 GArray *out)
+dff_watch_assign (const struct dff_name *self,
+		  const struct dff_name *members,
+		  size_t n_members,
+		  const struct dff_name *workers,
+		  size_t n_workers,
+		  GArray *out)
 {
 	for (size_t i = 0; i < n_workers; i++) {
 		struct dff_str key = {.data = workers[i].data, .len = workers[i].len};
--- a/peer/zmq_transport.c
+++ b/peer/zmq_transport.c
@@ -84,7 +84,7 @@
 static bool
 set_router_options (const struct dff_zmq_transport *transport)
 {
-	int64_t max_size = DFF_MESSAGE_MAX;
+	int64_t max_size = DFF_MESSAGE_MAX_BYTES;
 	return set_common_options (transport, transport->router) &&
 	       set_int (transport->router, ZMQ_CURVE_SERVER, 1) &&
 	       zmq_setsockopt (transport->router, ZMQ_MAXMSGSIZE, &max_size, sizeof (max_size)) ==
--- a/pool/pool.c
+++ b/pool/pool.c
@@ -183,7 +183,7 @@
 }
 
 int32_t
-dff_pool_slots_set_aside (const struct dff_pool *pool, const struct dff_rack *rack)
+dff_pool_dedicated_slots (const struct dff_pool *pool, const struct dff_rack *rack)
 {
 	return sum_slots (pool, rack, true);
 }
@@ -212,7 +212,7 @@
 }
 
 int32_t
-dff_pool_adjacent_unit (const struct dff_pool *pool)
+dff_pool_largest_rack_shape (const struct dff_pool *pool)
 {
 	int32_t largest_rack = pool_largest_rack (pool);
 	int32_t unit = 0;
--- a/record/recorder.c
+++ b/record/recorder.c
@@ -163,9 +163,9 @@
 		     int64_t revision)
 {
 	int64_t *const counters[] = {
-		[DFF_RECORD_DONE] = recorder->counters.done,
+		[DFF_RECORD_COMMITTED] = recorder->counters.done,
 		[DFF_RECORD_CONFLICT] = recorder->counters.conflict,
-		[DFF_RECORD_NOT_DONE] = recorder->counters.not_done,
+		[DFF_RECORD_NOT_COMMITTED] = recorder->counters.not_done,
 	};
 	(*counters[outcome])++;
 	if (unit->abandoned) {
@@ -181,9 +181,9 @@
 void
 dff_recorder_requeue (struct dff_recorder *recorder, struct dff_record_unit *unit)
 {
-	bool refused = unit->has_give_up && dff_recorder_is_open (recorder);
+	bool refused = unit->has_give_up && dff_recorder_is_breaker_open (recorder);
 	if (unit->abandoned || refused || dff_recorder_now_ms (recorder) >= unit->give_up_at_ms)
-		dff_recorder_finish (recorder, unit, DFF_RECORD_NOT_DONE, 0);
+		dff_recorder_finish (recorder, unit, DFF_RECORD_NOT_COMMITTED, 0);
 	else
 		insert_waiting (recorder, unit);
 }
@@ -199,7 +199,7 @@
 			continue;
 		unlink_waiting (recorder, link);
 		(*recorder->counters.refused)++;
-		dff_recorder_finish (recorder, unit, DFF_RECORD_NOT_DONE, 0);
+		dff_recorder_finish (recorder, unit, DFF_RECORD_NOT_COMMITTED, 0);
 	}
 }
 
@@ -214,10 +214,10 @@
 	g_hash_table_insert (recorder->units, &unit->ticket, unit);
 	(*recorder->counters.writes)++;
 	bool full = recorder->waiting.length >= (guint)recorder->options.max_waiting;
-	bool refused = unit->has_give_up && dff_recorder_is_open (recorder);
+	bool refused = unit->has_give_up && dff_recorder_is_breaker_open (recorder);
 	if (full || refused || unit->n_bytes > DFF_RECORD_MAX_UNIT_BYTES) {
 		(*recorder->counters.refused)++;
-		dff_recorder_finish (recorder, unit, DFF_RECORD_NOT_DONE, 0);
+		dff_recorder_finish (recorder, unit, DFF_RECORD_NOT_COMMITTED, 0);
 		return unit->ticket;
 	}
 	g_queue_push_tail (&recorder->waiting, unit);
@@ -225,7 +225,7 @@
 	return unit->ticket;
 }
 
-enum dff_abandon
+enum dff_abandon_outcome
 dff_recorder_abandon (struct dff_recorder *recorder, uint64_t ticket)
 {
 	struct dff_record_unit *unit = g_hash_table_lookup (recorder->units, &ticket);
@@ -236,13 +236,13 @@
 		(*recorder->counters.abandoned)++;
 		return DFF_ABANDON_UNKNOWN;
 	}
-	bool written = unit->finished && unit->outcome == DFF_RECORD_DONE;
+	bool written = unit->finished && unit->outcome == DFF_RECORD_COMMITTED;
 	if (unit->finished)
 		g_queue_remove (&recorder->finished, unit);
 	else
 		unlink_waiting (recorder, g_queue_find (&recorder->waiting, unit));
 	forget_unit (recorder, unit);
-	return written ? DFF_ABANDON_UNKNOWN : DFF_ABANDON_NOT_DONE;
+	return written ? DFF_ABANDON_UNKNOWN : DFF_ABANDON_NOT_COMMITTED;
 }
 
 static void
@@ -256,7 +256,7 @@
 		if (now_ms < unit->give_up_at_ms)
 			continue;
 		unlink_waiting (recorder, link);
-		dff_recorder_finish (recorder, unit, DFF_RECORD_NOT_DONE, 0);
+		dff_recorder_finish (recorder, unit, DFF_RECORD_NOT_COMMITTED, 0);
 	}
 }
 
@@ -362,7 +362,7 @@
 		;
 	dff_recorder_take_answers (recorder);
 	*recorder->counters.waiting = recorder->waiting.length;
-	*recorder->counters.breaker_open = dff_recorder_is_open (recorder);
+	*recorder->counters.breaker_open = dff_recorder_is_breaker_open (recorder);
 	call_back_finished (recorder);
 }
 
@@ -373,7 +373,7 @@
 }
 
 bool
-dff_recorder_is_open (const struct dff_recorder *recorder)
+dff_recorder_is_breaker_open (const struct dff_recorder *recorder)
 {
 	return recorder->breaker.state != DFF_BREAKER_CLOSED;
 }
@@ -382,7 +382,7 @@
 dff_recorder_retry_after_s (struct dff_recorder *recorder)
 {
 	int64_t wait_ms = 0;
-	if (dff_recorder_is_open (recorder))
+	if (dff_recorder_is_breaker_open (recorder))
 		wait_ms = recorder->breaker.open_until_ms - dff_recorder_now_ms (recorder);
 	int32_t wait_s = (int32_t)((MAX (wait_ms, 0) + MS_PER_S - 1) / MS_PER_S);
 	return wait_s + g_rand_int_range (recorder->rand, 1, RETRY_AFTER_JITTER_S + 1);
--- a/record/resolve.c
+++ b/record/resolve.c
@@ -147,7 +147,7 @@
 	struct dff_record_group *group = call->group;
 	switch (call->outcome) {
 	case DFF_TABLE_OK:
-		finish_group (recorder, group, DFF_RECORD_DONE, call->revision);
+		finish_group (recorder, group, DFF_RECORD_COMMITTED, call->revision);
 		break;
 	case DFF_TABLE_CONFLICT:
 		/* After a lookup, the conflict may be the lookup's refusal of the write id, and no
@@ -174,7 +174,7 @@
 	switch (call->outcome) {
 	case DFF_TABLE_OK:
 		(*recorder->counters.resolved_written)++;
-		finish_group (recorder, group, DFF_RECORD_DONE, call->revision);
+		finish_group (recorder, group, DFF_RECORD_COMMITTED, call->revision);
 		break;
 	case DFF_TABLE_CONFLICT:
 		(*recorder->counters.resolved_absent)++;
--- a/relay/message.c
+++ b/relay/message.c
@@ -137,7 +137,7 @@
 	answer->running = keep (batch, g_new (Dff__Relay__Open *, result->n_running));
 	answer->n_running = result->n_running;
 	for (size_t i = 0; i < result->n_running; i++) {
-		const struct dff_run_open *from = &result->running[i];
+		const struct dff_run_active *from = &result->running[i];
 		dff__relay__open__init (&runs[i]);
 		runs[i].task = keep_text (batch, from->task);
 		runs[i].run = from->run;
@@ -264,18 +264,19 @@
 void
 relay_answer_read (const Dff__Relay__Answer *answer, relay_answer_func done, void *user)
 {
-	g_autofree struct dff_run_open *running = g_new (struct dff_run_open, answer->n_running);
+	g_autofree struct dff_run_active *running =
+		g_new (struct dff_run_active, answer->n_running);
 	for (size_t i = 0; i < answer->n_running; i++) {
 		const Dff__Relay__Open *from = answer->running[i];
-		running[i] = (struct dff_run_open){.task = str_of (&from->task),
-						   .run = from->run,
-						   .checkpoint = str_of (&from->checkpoint),
-						   .percent = from->percent};
+		running[i] = (struct dff_run_active){.task = str_of (&from->task),
+						     .run = from->run,
+						     .checkpoint = str_of (&from->checkpoint),
+						     .percent = from->percent};
 	}
 	g_autofree struct dff_run_ended *ended = g_new (struct dff_run_ended, answer->n_ended);
 	for (size_t i = 0; i < answer->n_ended; i++) {
 		const Dff__Relay__Ended *from = answer->ended[i];
-		bool known = from->end <= DFF_RUN_ALONE;
+		bool known = from->end <= DFF_RUN_GANG_TIMEOUT;
 		ended[i] = (struct dff_run_ended){.number = from->number,
 						  .task = str_of (&from->task),
 						  .run = from->run,
--- a/relay/stream.c
+++ b/relay/stream.c
@@ -114,7 +114,7 @@
 		    const struct dff_stream_handlers *handlers)
 {
 	struct sockaddr_in parsed;
-	if (!dff_address_parse (address, &parsed))
+	if (!dff_address_to_sockaddr (address, &parsed))
 		return NULL;
 	DFF_AUTO (dff_stream) stream = stream_new (base, -1, handlers);
 	struct timeval timeout = dff_timeval_from_ms (CONNECT_TIMEOUT_MS);
@@ -183,7 +183,7 @@
 		   void *ctx)
 {
 	struct sockaddr_in parsed;
-	if (!dff_address_parse (address, &parsed))
+	if (!dff_address_to_sockaddr (address, &parsed))
 		return NULL;
 	struct dff_stream_listener *listener = g_new0 (struct dff_stream_listener, 1);
 	listener->accept = accept;
--- a/rows/follower.c
+++ b/rows/follower.c
@@ -11,9 +11,9 @@
 #define RETRY_MIN_MS 50
 #define RETRY_MAX_MS 400
 
-struct dff_follower {
-	struct dff_follower_options options;
-	struct dff_reading *reading;
+struct dff_subscription {
+	struct dff_subscription_options options;
+	struct dff_scan *reading;
 	struct dff_timer *retry;
 	/** The call in progress, to tell its callback that the follower is gone. */
 	struct call *call;
@@ -26,14 +26,14 @@
 };
 
 struct call {
-	struct dff_follower *follower;
+	struct dff_subscription *follower;
 	int64_t begun_ms;
 };
 
-static void follow (struct dff_follower *follower);
+static void follow (struct dff_subscription *follower);
 
 static struct call *
-call_begin (struct dff_follower *follower)
+call_begin (struct dff_subscription *follower)
 {
 	struct call *call = g_new0 (struct call, 1);
 	call->follower = follower;
@@ -43,10 +43,10 @@
 }
 
 /* Returns: (nullable): the follower, unless it is gone. */
-static struct dff_follower *
+static struct dff_subscription *
 call_end (struct call *call, int64_t *begun_ms)
 {
-	struct dff_follower *follower = call->follower;
+	struct dff_subscription *follower = call->follower;
 	*begun_ms = call->begun_ms;
 	g_free (call);
 	if (follower != NULL)
@@ -55,7 +55,7 @@
 }
 
 static void
-note_failure (struct dff_follower *follower, const struct dff_rows_result *result)
+note_failure (struct dff_subscription *follower, const struct dff_rows_result *result)
 {
 	if (!follower->lost) {
 		dff_log (DFF_LOG_RECORD, DFF_LOG_WARNING,
@@ -66,7 +66,7 @@
 }
 
 static void
-retry_later (struct dff_follower *follower, const struct dff_rows_result *result)
+retry_later (struct dff_subscription *follower, const struct dff_rows_result *result)
 {
 	note_failure (follower, result);
 	dff_timer_start (follower->retry, follower->retry_ms);
@@ -74,7 +74,7 @@
 }
 
 static void
-note_answer (struct dff_follower *follower, int64_t begun_ms)
+note_answer (struct dff_subscription *follower, int64_t begun_ms)
 {
 	if (follower->lost) {
 		dff_log (DFF_LOG_RECORD, DFF_LOG_INFO, "Following a table again. table=%s",
@@ -86,7 +86,7 @@
 }
 
 static void
-report_rows (struct dff_follower *follower, const struct dff_rows_result *result)
+report_rows (struct dff_subscription *follower, const struct dff_rows_result *result)
 {
 	for (size_t i = 0; i < result->n_rows; i++)
 		follower->options.sink.row (follower->options.sink.ctx, &result->rows[i]);
@@ -95,7 +95,7 @@
 static void
 handle_row (void *ctx, const struct dff_row *row)
 {
-	struct dff_follower *follower = ctx;
+	struct dff_subscription *follower = ctx;
 	follower->options.sink.row (follower->options.sink.ctx, row);
 }
 
@@ -109,9 +109,9 @@
 }
 
 static void
-handle_whole (void *ctx, const struct dff_reading_end *end)
+handle_whole (void *ctx, const struct dff_scan_result *end)
 {
-	struct dff_follower *follower = ctx;
+	struct dff_subscription *follower = ctx;
 	follower->revision = end->revision;
 	follower->ready = true;
 	if (follower->options.sink.end_snapshot != NULL)
@@ -123,7 +123,7 @@
 handle_changes (void *user, const struct dff_rows_result *result)
 {
 	int64_t begun_ms;
-	struct dff_follower *follower = call_end (user, &begun_ms);
+	struct dff_subscription *follower = call_end (user, &begun_ms);
 	if (follower == NULL)
 		return;
 	if (result->outcome == DFF_ROWS_HISTORY_GONE) {
@@ -145,13 +145,13 @@
 }
 
 static void
-follow (struct dff_follower *follower)
+follow (struct dff_subscription *follower)
 {
-	const struct dff_follower_options *options = &follower->options;
+	const struct dff_subscription_options *options = &follower->options;
 	if (follower->revision == 0) {
 		if (options->sink.begin_snapshot != NULL)
 			options->sink.begin_snapshot (options->sink.ctx);
-		dff_reading_start (follower->reading);
+		dff_scan_start (follower->reading);
 		return;
 	}
 	struct dff_rows_feed feed = {.table = options->table,
@@ -168,9 +168,9 @@
 }
 
 void
-dff_follower_nudge (struct dff_follower *follower)
+dff_subscription_wake (struct dff_subscription *follower)
 {
-	if (dff_reading_is_running (follower->reading))
+	if (dff_scan_is_running (follower->reading))
 		return;
 	if (follower->call != NULL)
 		follower->call->follower = NULL;
@@ -179,23 +179,23 @@
 }
 
 void
-dff_follower_set_wait (struct dff_follower *follower, int32_t wait_ms)
+dff_subscription_set_wait (struct dff_subscription *follower, int32_t wait_ms)
 {
 	bool shorter = wait_ms < follower->options.wait_ms;
 	follower->options.wait_ms = wait_ms;
 	if (shorter && follower->ready)
-		dff_follower_nudge (follower);
+		dff_subscription_wake (follower);
 }
 
-struct dff_follower *
-dff_follower_new (const struct dff_follower_options *options)
+struct dff_subscription *
+dff_subscription_new (const struct dff_subscription_options *options)
 {
-	struct dff_follower *follower = g_new0 (struct dff_follower, 1);
+	struct dff_subscription *follower = g_new0 (struct dff_subscription, 1);
 	follower->options = *options;
 	follower->retry = dff_timer_new (options->timers, handle_retry, follower);
 	follower->retry_ms = RETRY_MIN_MS;
 	follower->answered_ms = INT64_MIN;
-	struct dff_reading_options reading = {
+	struct dff_scan_options reading = {
 		.timers = options->timers,
 		.rows = options->rows,
 		.table = options->table,
@@ -206,29 +206,29 @@
 			 .done = handle_whole,
 			 .ctx = follower},
 	};
-	follower->reading = dff_reading_new (&reading);
+	follower->reading = dff_scan_new (&reading);
 	follow (follower);
 	return follower;
 }
 
 void
-dff_follower_free (struct dff_follower *follower)
+dff_subscription_free (struct dff_subscription *follower)
 {
 	if (follower->call != NULL)
 		follower->call->follower = NULL;
 	dff_timer_free (follower->retry);
-	dff_reading_free (follower->reading);
+	dff_scan_free (follower->reading);
 	g_free (follower);
 }
 
 bool
-dff_follower_is_ready (const struct dff_follower *follower)
+dff_subscription_is_ready (const struct dff_subscription *follower)
 {
 	return follower->ready;
 }
 
 int64_t
-dff_follower_age_ms (const struct dff_follower *follower)
+dff_subscription_age_ms (const struct dff_subscription *follower)
 {
 	if (follower->answered_ms == INT64_MIN)
 		return INT64_MAX;
--- a/rows/reading.c
+++ b/rows/reading.c
@@ -19,12 +19,12 @@
 #define SLOW_MS 1000
 
 struct call {
-	struct dff_reading *reading;
+	struct dff_scan *reading;
 	int64_t begun_ms;
 };
 
-struct dff_reading {
-	struct dff_reading_options options;
+struct dff_scan {
+	struct dff_scan_options options;
 	struct dff_timer *retry;
 	/** (nullable): the call in progress, to tell its callback that the reading is gone. */
 	struct call *call;
@@ -34,19 +34,19 @@
 	int32_t retry_ms;
 	int64_t begun_ms;
 	GString *next_key;
-	struct dff_reading_end end;
+	struct dff_scan_result end;
 };
 
 static int64_t
-now_ms (const struct dff_reading *reading)
+now_ms (const struct dff_scan *reading)
 {
 	return dff_clock_now_ms (reading->options.timers->clock);
 }
 
-static void read_page (struct dff_reading *reading);
+static void read_page (struct dff_scan *reading);
 
 static void
-retry_later (struct dff_reading *reading)
+retry_later (struct dff_scan *reading)
 {
 	reading->end.n_failed++;
 	reading->limit = MAX (reading->limit / 2, PAGE_ROWS_MIN);
@@ -56,9 +56,9 @@
 }
 
 static void
-finish (struct dff_reading *reading)
+finish (struct dff_scan *reading)
 {
-	struct dff_reading_end *end = &reading->end;
+	struct dff_scan_result *end = &reading->end;
 	end->took_ms = now_ms (reading) - reading->begun_ms;
 	reading->running = false;
 	if (end->n_failed > 0 || end->took_ms >= SLOW_MS) {
@@ -72,9 +72,9 @@
 }
 
 static void
-take_page (struct dff_reading *reading, const struct dff_rows_result *result)
+take_page (struct dff_scan *reading, const struct dff_rows_result *result)
 {
-	const struct dff_reading_sink *sink = &reading->options.sink;
+	const struct dff_scan_sink *sink = &reading->options.sink;
 	if (reading->end.n_pages == 0)
 		reading->end.revision = result->revision;
 	reading->end.n_pages++;
@@ -88,11 +88,11 @@
 handle_page (void *user, const struct dff_rows_result *result)
 {
 	g_autofree struct call *call = user;
-	struct dff_reading *reading = call->reading;
+	struct dff_scan *reading = call->reading;
 	if (reading == NULL)
 		return;
 	reading->call = NULL;
-	const struct dff_reading_sink *sink = &reading->options.sink;
+	const struct dff_scan_sink *sink = &reading->options.sink;
 	if (sink->page != NULL)
 		sink->page (sink->ctx, result, call->begun_ms);
 	if (result->outcome != DFF_ROWS_DONE) {
@@ -109,7 +109,7 @@
 }
 
 static void
-read_page (struct dff_reading *reading)
+read_page (struct dff_scan *reading)
 {
 	struct call *call = g_new0 (struct call, 1);
 	call->reading = reading;
@@ -129,10 +129,10 @@
 	read_page (ctx);
 }
 
-struct dff_reading *
-dff_reading_new (const struct dff_reading_options *options)
+struct dff_scan *
+dff_scan_new (const struct dff_scan_options *options)
 {
-	struct dff_reading *reading = g_new0 (struct dff_reading, 1);
+	struct dff_scan *reading = g_new0 (struct dff_scan, 1);
 	reading->options = *options;
 	reading->retry = dff_timer_new (options->timers, handle_retry, reading);
 	reading->next_key = g_string_new (NULL);
@@ -140,7 +140,7 @@
 }
 
 void
-dff_reading_free (struct dff_reading *reading)
+dff_scan_free (struct dff_scan *reading)
 {
 	if (reading->call != NULL)
 		reading->call->reading = NULL;
@@ -150,7 +150,7 @@
 }
 
 void
-dff_reading_start (struct dff_reading *reading)
+dff_scan_start (struct dff_scan *reading)
 {
 	g_assert (!reading->running);
 	reading->running = true;
@@ -158,13 +158,13 @@
 	reading->limit = PAGE_ROWS_MAX;
 	reading->timeout_ms = reading->options.timeout_ms;
 	reading->retry_ms = RETRY_MIN_MS;
-	reading->end = (struct dff_reading_end){0};
+	reading->end = (struct dff_scan_result){0};
 	g_string_truncate (reading->next_key, 0);
 	read_page (reading);
 }
 
 bool
-dff_reading_is_running (const struct dff_reading *reading)
+dff_scan_is_running (const struct dff_scan *reading)
 {
 	return reading->running;
 }
--- a/standin/memory_link.c
+++ b/standin/memory_link.c
@@ -84,7 +84,7 @@
 	message->to_relay = to_relay;
 	message->bytes = bytes;
 	link->n_pending++;
-	dff_virtual_loop_after (link->loop, HOP_MS, deliver, message);
+	dff_virtual_loop_schedule (link->loop, HOP_MS, deliver, message);
 }
 
 static void
--- a/standin/memory_rows.c
+++ b/standin/memory_rows.c
@@ -333,8 +333,8 @@
 	struct dff_memory_rows *rows = call->client->rows;
 	int64_t now_ms = dff_virtual_loop_now_ms (rows->loop);
 	if (call->client->faults.silent) {
-		dff_virtual_loop_after (rows->loop, MAX (call->timeout_ms - now_ms, 0),
-					end_without_answer, call);
+		dff_virtual_loop_schedule (rows->loop, MAX (call->timeout_ms - now_ms, 0),
+					   end_without_answer, call);
 		return;
 	}
 	if (call->after < rows->forgotten) {
@@ -346,7 +346,7 @@
 	if (!call->client->faults.feeds_held)
 		revision = find_changes (call, found);
 	if (found->len == 0 && now_ms < call->until_ms) {
-		dff_virtual_loop_after (rows->loop, FEED_LOOK_MS, look_for_changes, call);
+		dff_virtual_loop_schedule (rows->loop, FEED_LOOK_MS, look_for_changes, call);
 		return;
 	}
 	struct dff_rows_result result = {.outcome = DFF_ROWS_DONE,
@@ -391,8 +391,8 @@
 	effect->from = g_string_new (NULL);
 	effect->to = g_string_new (NULL);
 	effect->table = NULL;
-	dff_virtual_loop_after (rows->loop, effect_ms, apply_late, effect);
-	dff_virtual_loop_after (rows->loop, end_ms, end_without_answer, call);
+	dff_virtual_loop_schedule (rows->loop, effect_ms, apply_late, effect);
+	dff_virtual_loop_schedule (rows->loop, end_ms, end_without_answer, call);
 }
 
 static void
@@ -403,14 +403,14 @@
 	int64_t now_ms = dff_virtual_loop_now_ms (rows->loop);
 	int32_t chance = g_rand_int_range (rows->rand, 0, 1000);
 	if (faults->silent) {
-		dff_virtual_loop_after (rows->loop, call->timeout_ms - now_ms, end_without_answer,
-					call);
+		dff_virtual_loop_schedule (rows->loop, call->timeout_ms - now_ms,
+					   end_without_answer, call);
 		return;
 	}
 	if (faults->refuses) {
 		/* Refused, so that a commit is not done either. */
 		call->kind = DFF_CALL_GET;
-		dff_virtual_loop_after (rows->loop, DELAY_MS, end_without_answer, call);
+		dff_virtual_loop_schedule (rows->loop, DELAY_MS, end_without_answer, call);
 		return;
 	}
 	if (call->kind == DFF_CALL_COMMIT && chance < faults->lost_permille) {
@@ -431,11 +431,11 @@
 		delay_ms = MAX (delay_ms, faults->commit_delay_ms);
 	int64_t left_ms = call->timeout_ms - now_ms;
 	if (delay_ms <= left_ms)
-		dff_virtual_loop_after (rows->loop, delay_ms, carry_out, call);
+		dff_virtual_loop_schedule (rows->loop, delay_ms, carry_out, call);
 	else if (call->kind == DFF_CALL_COMMIT)
 		lose_answer (call, delay_ms, left_ms);
 	else
-		dff_virtual_loop_after (rows->loop, left_ms, end_without_answer, call);
+		dff_virtual_loop_schedule (rows->loop, left_ms, end_without_answer, call);
 }
 
 static struct call *
--- a/standin/memory_runner.c
+++ b/standin/memory_runner.c
@@ -47,7 +47,7 @@
 		call->kind == DFF_CALL_WATCH ? call->watch.worker.data : call->order.worker.data;
 	int64_t epoch = call->kind == DFF_CALL_WATCH ? call->watch.epoch : call->order.epoch;
 	if (strcmp (worker->id, wanted) != 0)
-		return DFF_RUNNER_OTHER_LIFE;
+		return DFF_RUNNER_OTHER_INCARNATION;
 	if (epoch < worker->epoch)
 		return DFF_RUNNER_STALE_EPOCH;
 	worker->epoch = epoch;
@@ -110,7 +110,7 @@
 	bool saved = run->what.checkpoints && run->done_ms > 0;
 	const char *checkpoint = keep_text (
 		lists, saved ? g_strdup_printf ("%" G_GINT64_FORMAT, run->done_ms) : g_strdup (""));
-	struct dff_run_open open = {
+	struct dff_run_active open = {
 		.task = dff_str_from (task),
 		.run = run->run,
 		.checkpoint = dff_str_from (checkpoint),
@@ -137,7 +137,7 @@
 	struct worker *worker = call->worker;
 	struct lists *lists = g_new0 (struct lists, 1);
 	lists->call = call;
-	lists->running = g_array_new (FALSE, FALSE, sizeof (struct dff_run_open));
+	lists->running = g_array_new (FALSE, FALSE, sizeof (struct dff_run_active));
 	lists->ended = g_array_new (FALSE, FALSE, sizeof (struct dff_run_ended));
 	lists->texts = g_ptr_array_new_with_free_func (g_free);
 	GHashTableIter iter;
@@ -150,8 +150,8 @@
 	lists->result = (struct dff_runner_result){
 		.outcome = call->outcome,
 		.clock_ms = memory_worker_clock_ms (worker),
-		.started_ms = worker->faults.hides_start ? DFF_BORN_UNTOLD : worker->born_ms,
-		.running = (const struct dff_run_open *)(void *)lists->running->data,
+		.started_ms = worker->faults.hides_start ? DFF_START_UNREPORTED : worker->born_ms,
+		.running = (const struct dff_run_active *)(void *)lists->running->data,
 		.n_running = lists->running->len,
 		.ended = (const struct dff_run_ended *)(void *)lists->ended->data,
 		.n_ended = lists->ended->len};
@@ -159,8 +159,8 @@
 		deliver_lists (lists);
 		return;
 	}
-	dff_virtual_loop_after (call->client->runner->options.loop, worker->faults.answer_ms,
-				deliver_lists, lists);
+	dff_virtual_loop_schedule (call->client->runner->options.loop, worker->faults.answer_ms,
+				   deliver_lists, lists);
 }
 
 static void
@@ -170,14 +170,15 @@
 	const struct worker *worker = call->worker;
 	int64_t now_ms = memory_runner_now_ms (call->client->runner);
 	if (worker->dead || worker->faults.drops_calls || worker->faults.drops_answers) {
-		dff_virtual_loop_after (call->client->runner->options.loop,
-					MAX (call->timeout_ms - now_ms, 0), end_unanswered, call);
+		dff_virtual_loop_schedule (call->client->runner->options.loop,
+					   MAX (call->timeout_ms - now_ms, 0), end_unanswered,
+					   call);
 		return;
 	}
 	if (call->kind == DFF_CALL_WATCH && call->outcome == DFF_RUNNER_DONE) {
 		if (worker->ends->len == 0 && now_ms < call->until_ms) {
-			dff_virtual_loop_after (call->client->runner->options.loop, LOOK_MS, answer,
-						call);
+			dff_virtual_loop_schedule (call->client->runner->options.loop, LOOK_MS,
+						   answer, call);
 			return;
 		}
 		answer_watch (call);
@@ -222,17 +223,18 @@
 	call->worker = find_by_address (runner, address);
 	if (call->worker == NULL || call->worker->dead || call->worker->faults.drops_calls ||
 	    g_hash_table_contains (call->client->unreached, call->worker->id)) {
-		dff_virtual_loop_after (runner->options.loop, MAX (call->timeout_ms - now_ms, 0),
-					end_unanswered, call);
+		dff_virtual_loop_schedule (runner->options.loop, MAX (call->timeout_ms - now_ms, 0),
+					   end_unanswered, call);
 		return;
 	}
 	struct dff_memory_worker_faults *faults = &call->worker->faults;
 	if (call->kind != DFF_CALL_WATCH && faults->late_orders > 0) {
 		faults->late_orders--;
 		struct call *late = g_memdup2 (call, sizeof (*call));
-		dff_virtual_loop_after (runner->options.loop, faults->late_ms, arrive_late, late);
-		dff_virtual_loop_after (runner->options.loop, MAX (call->timeout_ms - now_ms, 0),
-					end_unanswered, call);
+		dff_virtual_loop_schedule (runner->options.loop, faults->late_ms, arrive_late,
+					   late);
+		dff_virtual_loop_schedule (runner->options.loop, MAX (call->timeout_ms - now_ms, 0),
+					   end_unanswered, call);
 		return;
 	}
 	bool is_start = call->kind == DFF_CALL_START;
@@ -240,7 +242,7 @@
 	call->outcome = carry_out (call);
 	if (is_start && !was_there && call->outcome == DFF_RUNNER_DONE)
 		memory_worker_check_open (call->worker, &call->order);
-	dff_virtual_loop_after (runner->options.loop, WAY_MS, answer, call);
+	dff_virtual_loop_schedule (runner->options.loop, WAY_MS, answer, call);
 }
 
 static void
@@ -267,7 +269,7 @@
 		call->timeout_ms = now_ms + watch->timeout_ms;
 		call->until_ms = now_ms + watch->wait_ms;
 	}
-	dff_virtual_loop_after (client->runner->options.loop, WAY_MS, arrive, call);
+	dff_virtual_loop_schedule (client->runner->options.loop, WAY_MS, arrive, call);
 }
 
 static void
@@ -364,11 +366,11 @@
 }
 
 struct dff_memory_worker_faults *
-dff_memory_runner_add_born (struct dff_memory_runner *runner,
-			    const char *id,
-			    const char *address,
-			    int32_t accelerators,
-			    int32_t clock_permille)
+dff_memory_runner_add_with_start (struct dff_memory_runner *runner,
+				  const char *id,
+				  const char *address,
+				  int32_t accelerators,
+				  int32_t clock_permille)
 {
 	struct dff_memory_worker_faults *faults =
 		dff_memory_runner_add (runner, id, address, accelerators, clock_permille);
@@ -377,7 +379,7 @@
 }
 
 int64_t
-dff_memory_runner_born_ms (struct dff_memory_runner *runner, const char *id)
+dff_memory_runner_started_ms (struct dff_memory_runner *runner, const char *id)
 {
 	const struct worker *worker = find_by_id (runner, id);
 	return worker != NULL ? worker->born_ms : 0;
@@ -445,7 +447,7 @@
 }
 
 int32_t
-dff_memory_runner_n_open (const struct dff_memory_runner *runner)
+dff_memory_runner_n_active (const struct dff_memory_runner *runner)
 {
 	int32_t count = 0;
 	for (guint i = 0; i < runner->workers->len; i++) {
@@ -456,7 +458,7 @@
 }
 
 const char *
-dff_memory_runner_where (const struct dff_memory_runner *runner, const char *task)
+dff_memory_runner_worker_of (const struct dff_memory_runner *runner, const char *task)
 {
 	struct dff_name name = dff_name_from (task);
 	for (guint i = 0; i < runner->workers->len; i++) {
@@ -468,7 +470,7 @@
 }
 
 int32_t
-dff_memory_runner_n_lives_ended (const struct dff_memory_runner *runner, const char *task)
+dff_memory_runner_n_incarnations_ended (const struct dff_memory_runner *runner, const char *task)
 {
 	struct dff_name name = dff_name_from (task);
 	const struct history *history = g_hash_table_lookup (runner->histories, &name);
--- a/standin/memory_runner_work.c
+++ b/standin/memory_runner_work.c
@@ -152,7 +152,7 @@
 	struct dff_memory_runner *runner = worker->runner;
 	int64_t now_ms = memory_runner_now_ms (runner);
 	if (run->stopped_ms > 0 && now_ms >= run->stopped_ms) {
-		end_gang (runner, run, DFF_RUN_BROKEN);
+		end_gang (runner, run, DFF_RUN_GANG_BROKEN);
 		list_end (worker, run, DFF_RUN_STOPPED);
 		return true;
 	}
@@ -160,7 +160,7 @@
 	if (!run->begun) {
 		if (now_ms - run->placed_ms < runner->options.gang_wait_ms)
 			return false;
-		list_end (worker, run, DFF_RUN_ALONE);
+		list_end (worker, run, DFF_RUN_GANG_TIMEOUT);
 		return true;
 	}
 	if (!worker->faults.hung)
@@ -169,7 +169,7 @@
 	bool fails = run->run <= run->what.failing_runs &&
 		     run->done_ms >= run->what.duration_ms / FAILS_AFTER;
 	if (fails || worker->faults.fails) {
-		end_gang (runner, run, DFF_RUN_BROKEN);
+		end_gang (runner, run, DFF_RUN_GANG_BROKEN);
 		list_end (worker, run, DFF_RUN_FAILED);
 		return true;
 	}
@@ -196,7 +196,7 @@
 			struct run *member = g_ptr_array_index (members, i);
 			struct worker *other = worker_of (worker->runner, member);
 			if (other != worker && member->begun)
-				list_end (other, member, DFF_RUN_BROKEN);
+				list_end (other, member, DFF_RUN_GANG_BROKEN);
 		}
 	}
 }
@@ -208,7 +208,7 @@
 	break_gangs (worker);
 	g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
 	for (GList *link = runs; link != NULL; link = link->next)
-		list_end (worker, link->data, DFF_RUN_LAPSED);
+		list_end (worker, link->data, DFF_RUN_LEASE_EXPIRED);
 }
 
 void
@@ -264,7 +264,7 @@
 		for (GList *link = runs; link != NULL && !ended; link = link->next)
 			ended = work_run (worker, link->data);
 	}
-	dff_virtual_loop_after (worker->runner->options.loop, CHECK_MS, handle_check, worker);
+	dff_virtual_loop_schedule (worker->runner->options.loop, CHECK_MS, handle_check, worker);
 }
 
 static int32_t
@@ -349,7 +349,7 @@
 {
 	const struct run *present = g_hash_table_lookup (worker->runs, &order->task);
 	if (memory_worker_clock_ms (worker) >= order->deadline_ms)
-		return DFF_RUNNER_LATE;
+		return DFF_RUNNER_DEADLINE_PASSED;
 	memory_worker_renew (worker, order->deadline_ms);
 	if (present != NULL && present->run == order->run)
 		return DFF_RUNNER_DONE;
@@ -361,7 +361,7 @@
 		worker->runner->options.describe (worker->runner->options.ctx, &order->task);
 	if (accelerators_used (worker) + what.accelerators > worker->accelerators) {
 		if (!worker->runner->options.unenforced)
-			return DFF_RUNNER_NO_ROOM;
+			return DFF_RUNNER_NO_CAPACITY;
 		check_room (worker, &order->task, what.accelerators);
 	}
 	check_start (worker, &order->task, order->run);
@@ -436,5 +436,5 @@
 void
 memory_worker_begin (struct worker *worker)
 {
-	dff_virtual_loop_after (worker->runner->options.loop, CHECK_MS, handle_check, worker);
+	dff_virtual_loop_schedule (worker->runner->options.loop, CHECK_MS, handle_check, worker);
 }
--- a/standin/memory_workers.c
+++ b/standin/memory_workers.c
@@ -408,7 +408,7 @@
 }
 
 const struct dff_worker_client *
-dff_memory_workers_client (struct dff_memory_workers *workers)
+dff_memory_workers_interface (struct dff_memory_workers *workers)
 {
 	return &workers->client;
 }
--- a/standin/platform_handlers.h
+++ b/standin/platform_handlers.h
@@ -15,9 +15,9 @@
 	struct evhttp *http;
 	struct dff_name address;
 	struct dff_memory *memory;
-	/** struct dff_name to struct dff_memory_caller. */
+	/** struct dff_name to struct dff_memory_handle. */
 	GHashTable *handles;
-	struct dff_memory_caller *shared_handle;
+	struct dff_memory_handle *shared_handle;
 	/** For handles that are opened later. */
 	struct dff_memory_faults faults;
 	/** Requests whose answer is on its way, a set. */
@@ -28,7 +28,7 @@
 /** What a handler gets. */
 struct dff_platform_context {
 	struct dff_platform_server *server;
-	struct dff_memory_caller *caller;
+	struct dff_memory_handle *caller;
 	struct evhttp_request *request;
 	/** (nullable): the body when it is JSON. */
 	json_t *root;
@@ -53,7 +53,7 @@
 void dff_platform_reply_error (struct evhttp_request *request, int status, const char *detail);
 
 /** Returns: the handle of @instance, which is opened when it is new. */
-struct dff_memory_caller *dff_platform_server_handle (struct dff_platform_server *server,
+struct dff_memory_handle *dff_platform_server_handle (struct dff_platform_server *server,
 						      const struct dff_name *instance);
 
 /** Sets the faults of every handle, and of those opened later. */
--- a/standin/platform_server.c
+++ b/standin/platform_server.c
@@ -24,10 +24,10 @@
 	return dff_clock_now_ms (server->clock);
 }
 
-struct dff_memory_caller *
+struct dff_memory_handle *
 dff_platform_server_handle (struct dff_platform_server *server, const struct dff_name *instance)
 {
-	struct dff_memory_caller *caller = g_hash_table_lookup (server->handles, instance);
+	struct dff_memory_handle *caller = g_hash_table_lookup (server->handles, instance);
 	if (caller != NULL)
 		return caller;
 	if (dff_name_is_empty (instance) || g_hash_table_size (server->handles) >= MAX_HANDLES)
@@ -48,7 +48,7 @@
 	server->shared_handle->faults = *faults;
 	g_hash_table_iter_init (&iter, server->handles);
 	while (g_hash_table_iter_next (&iter, NULL, &caller))
-		((struct dff_memory_caller *)caller)->faults = *faults;
+		((struct dff_memory_handle *)caller)->faults = *faults;
 }
 
 /* Runs what is due, and wakes up when more will be. */
--- a/standin/virtual_loop.c
+++ b/standin/virtual_loop.c
@@ -127,10 +127,10 @@
 }
 
 void
-dff_virtual_loop_after (struct dff_virtual_loop *loop,
-			int64_t delay_ms,
-			dff_timer_func func,
-			void *user)
+dff_virtual_loop_schedule (struct dff_virtual_loop *loop,
+			   int64_t delay_ms,
+			   dff_timer_func func,
+			   void *user)
 {
 	insert (loop, delay_ms, func, user, NULL);
 }
--- a/standin/worker_commands.c
+++ b/standin/worker_commands.c
@@ -11,7 +11,7 @@
 	const struct dff_task *task = dff_worker_tasks_find (tasks, id);
 	memset (report, 0, sizeof (*report));
 	report->task = *id;
-	report->state = DFF_TASK_UNSEEN;
+	report->state = DFF_TASK_UNKNOWN;
 	if (task != NULL)
 		*report = task->report;
 }
@@ -127,7 +127,7 @@
 		struct dff_task *task = dff_worker_tasks_find (tasks, id);
 		if (task == NULL)
 			task = dff_worker_tasks_add (tasks, id);
-		if (dff_task_is_active (task) || task->report.state == DFF_TASK_UNSEEN)
+		if (dff_task_is_active (task) || task->report.state == DFF_TASK_UNKNOWN)
 			dff_worker_tasks_end (tasks, task);
 	}
 	report_task (tasks, id, report);
--- a/tests/backing/memory_fixture.h
+++ b/tests/backing/memory_fixture.h
@@ -9,7 +9,7 @@
 struct memory_fixture {
 	struct dff_clock_virtual time;
 	struct dff_memory *memory;
-	struct dff_memory_caller *caller;
+	struct dff_memory_handle *caller;
 	struct dff_metrics *metrics;
 };
 
--- a/tests/backing/test-memory.c
+++ b/tests/backing/test-memory.c
@@ -11,7 +11,7 @@
 struct fixture {
 	struct dff_clock_virtual clock;
 	struct dff_memory *memory;
-	struct dff_memory_caller *caller;
+	struct dff_memory_handle *caller;
 };
 
 /** The last answer of a call to the table. */
@@ -294,7 +294,7 @@
 test_one_caller_cut_off (void **state)
 {
 	struct fixture *fixture = *state;
-	struct dff_memory_caller *other = dff_memory_open (fixture->memory);
+	struct dff_memory_handle *other = dff_memory_open (fixture->memory);
 	other->faults.outage_until_ms = DFF_MEMORY_FOREVER;
 	struct answer answer = {0};
 	other->table.lookup (other->table.ctx, &(struct dff_name){"x", 1}, take_answer, &answer);
--- a/tests/capacity/test-capacity.c
+++ b/tests/capacity/test-capacity.c
@@ -106,7 +106,7 @@
 	struct dff_task_report report = completed_report ();
 	struct dff_message message = {
 		.sender = dff_name_from ("entry-1"),
-		.kind = DFF_MESSAGE_SIGHTING,
+		.kind = DFF_MESSAGE_WORKER_REPORT,
 		.worker_report = {.worker = dff_name_from ("r100-w1"),
 				  .reachable = true,
 				  .reports = &report,
--- a/tests/cell/cell_harness.h
+++ b/tests/cell/cell_harness.h
@@ -22,7 +22,7 @@
 struct harness_process {
 	bool alive;
 	bool paused;
-	struct dff_memory_caller *caller;
+	struct dff_memory_handle *caller;
 	struct dff_recorder *recorder;
 	struct dff_cell *cell;
 	struct fake_link *link;
@@ -64,7 +64,7 @@
 	int checked_notes;
 	int64_t checked_revision;
 	/** The entry that submits and cancels. */
-	struct dff_memory_caller *entry;
+	struct dff_memory_handle *entry;
 };
 
 static inline void
@@ -235,7 +235,7 @@
 {
 	for (int i = 0; i < HARNESS_PROCESSES; i++) {
 		if (harness->processes[i].alive && !harness->processes[i].paused)
-			dff_cell_hint (harness->processes[i].cell, job);
+			dff_cell_handle_job_hint (harness->processes[i].cell, job);
 	}
 }
 
--- a/tests/cell/cell_promises.h
+++ b/tests/cell/cell_promises.h
@@ -60,7 +60,7 @@
 		for (guint j = 0; reachable && j < worker->tasks->len; j++)
 			g_array_append_val (
 				reports, g_array_index (worker->tasks, struct fake_task, j).report);
-		const struct dff_worker_sighting sighting = {
+		const struct dff_worker_report sighting = {
 			.worker = worker->name,
 			.reachable = reachable,
 			.leaving = worker->leaving,
@@ -73,7 +73,7 @@
 			const struct harness_process *process = &harness->processes[j];
 			bool lost = fake_chance (&harness->fleet, harness->sighting_loss_permille);
 			if (process->alive && !process->paused && !lost)
-				dff_cell_sighting (process->cell, &sighting);
+				dff_cell_handle_worker_report (process->cell, &sighting);
 		}
 	}
 }
--- a/tests/cell/test-lease.c
+++ b/tests/cell/test-lease.c
@@ -29,7 +29,7 @@
 
 struct process {
 	struct skewed_clock clock;
-	struct dff_memory_caller *caller;
+	struct dff_memory_handle *caller;
 	struct dff_lease *lease;
 };
 
--- a/tests/cell/test-retention.c
+++ b/tests/cell/test-retention.c
@@ -319,7 +319,7 @@
 		harness_step (&harness);
 	int holder = harness_holder (&harness);
 	const struct dff_cell *cell = harness.processes[holder].cell;
-	while (!dff_recorder_is_open (harness.processes[holder].recorder)) {
+	while (!dff_recorder_is_breaker_open (harness.processes[holder].recorder)) {
 		harness.processes[holder].caller->faults.unavailable_permille = 1000;
 		harness_step (&harness);
 		assert_true (cell->retention.n_waiting <= 30);
--- a/tests/client/test-call.c
+++ b/tests/client/test-call.c
@@ -93,14 +93,14 @@
 	g_string_free (server->asked, TRUE);
 }
 
-static struct dff_caller *
+static struct dff_api_client *
 caller_on (struct event_base *base, const struct server *servers, size_t n_servers)
 {
 	DFF_AUTO (dff_connection) connection = dff_connection_new ();
 	connection->timeout_ms = TIMEOUT_MS;
 	for (size_t i = 0; i < n_servers; i++)
 		g_array_append_val (connection->servers, servers[i].address);
-	return dff_caller_new_on (connection, base);
+	return dff_api_client_new_on (connection, base);
 }
 
 struct call_case {
@@ -168,7 +168,7 @@
 		struct server servers[2];
 		server_start (&servers[0], base, test->first);
 		server_start (&servers[1], base, test->second);
-		struct dff_caller *caller = caller_on (base, servers, 2);
+		struct dff_api_client *caller = caller_on (base, servers, 2);
 		struct dff_call_request request = {
 			.method = EVHTTP_REQ_POST,
 			.path = "/v1/jobs",
@@ -185,7 +185,7 @@
 			assert_string_equal (servers[1].asked->str, "/v1/jobs key-1\n");
 		server_stop (&servers[0]);
 		server_stop (&servers[1]);
-		dff_caller_free (caller);
+		dff_api_client_free (caller);
 	}
 }
 
@@ -217,7 +217,7 @@
 		struct server servers[2];
 		server_start (&servers[0], base, first);
 		server_start (&servers[1], base, second);
-		struct dff_caller *caller = caller_on (base, servers, 2);
+		struct dff_api_client *caller = caller_on (base, servers, 2);
 		struct dff_call_request request = {
 			.method = EVHTTP_REQ_POST,
 			.path = "/v1/jobs",
@@ -232,7 +232,7 @@
 		assert_int_equal (servers[1].said_first, cases[i].said_first);
 		server_stop (&servers[0]);
 		server_stop (&servers[1]);
-		dff_caller_free (caller);
+		dff_api_client_free (caller);
 	}
 }
 
@@ -247,14 +247,14 @@
 	struct server servers[2];
 	server_start (&servers[0], base, steps);
 	server_start (&servers[1], base, steps);
-	struct dff_caller *caller = caller_on (base, servers, 2);
+	struct dff_api_client *caller = caller_on (base, servers, 2);
 	server_stop (&servers[0]);
 	struct dff_call_request request = {.method = EVHTTP_REQ_PUT, .path = "/v1/pool"};
 	DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
 	assert_int_equal (response->status, 200);
 	assert_int_equal (servers[1].n_asked, 1);
 	server_stop (&servers[1]);
-	dff_caller_free (caller);
+	dff_api_client_free (caller);
 }
 
 struct result_case {
@@ -294,7 +294,7 @@
 		struct event_base *base = event_base_new ();
 		struct server server;
 		server_start (&server, base, test->steps);
-		struct dff_caller *caller = caller_on (base, &server, 1);
+		struct dff_api_client *caller = caller_on (base, &server, 1);
 		struct dff_name job = dff_name_from ("demo.1");
 		DFF_AUTO (dff_call_response)
 		response = dff_result_fetch (caller, &job, test->wait);
@@ -302,7 +302,7 @@
 		assert_int_equal (dff_result_report (response, &job), test->exit_code);
 		assert_int_equal (server.n_asked, server.n_steps);
 		server_stop (&server);
-		dff_caller_free (caller);
+		dff_api_client_free (caller);
 	}
 }
 
@@ -333,12 +333,12 @@
 		struct event_base *base = event_base_new ();
 		struct server server;
 		server_start (&server, base, batch_cases[i].steps);
-		struct dff_caller *caller = caller_on (base, &server, 1);
+		struct dff_api_client *caller = caller_on (base, &server, 1);
 		struct dff_name batch = dff_name_from ("demo.b");
 		assert_int_equal (dff_batch_wait (caller, &batch), batch_cases[i].exit_code);
 		assert_int_equal (server.n_asked, server.n_steps);
 		server_stop (&server);
-		dff_caller_free (caller);
+		dff_api_client_free (caller);
 	}
 }
 
--- a/tests/client/test-tls.c
+++ b/tests/client/test-tls.c
@@ -120,7 +120,7 @@
 		connection->timeout_ms = TIMEOUT_MS;
 		const char *trusted = tls_cases[i].trusted ? own.path : other.path;
 		assert_true (dff_connection_set_tls (connection, trusted));
-		struct dff_caller *caller = dff_caller_new_on (connection, base);
+		struct dff_api_client *caller = dff_api_client_new_on (connection, base);
 		struct dff_call_request request = {.method = EVHTTP_REQ_GET, .path = "/v1/pool"};
 		DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
 		assert_int_equal (response->status, tls_cases[i].status);
@@ -128,7 +128,7 @@
 		assert_int_equal (n_asked, tls_cases[i].status == 200);
 
 		evhttp_free (http);
-		dff_caller_free (caller);
+		dff_api_client_free (caller);
 		SSL_CTX_free (context);
 		identity_clear (&own);
 		identity_clear (&other);
--- a/tests/core/test-bad-workers.c
+++ b/tests/core/test-bad-workers.c
@@ -120,7 +120,7 @@
 	case DFF_COMMAND_START_TASK:
 		start (run, command);
 		break;
-	case DFF_COMMAND_RECORD_END:
+	case DFF_COMMAND_RECORD_OUTCOME:
 		run->n_completed += command->outcome == DFF_OUTCOME_COMPLETED;
 		run->n_failed += command->outcome == DFF_OUTCOME_FAILED;
 		tell (run, DFF_EVENT_OUTCOME_RECORDED, command);
--- a/tests/core/test-blamed-jobs.c
+++ b/tests/core/test-blamed-jobs.c
@@ -127,7 +127,7 @@
 		for (int32_t j = 0; j < cases[i].gang; j++)
 			tell (&fixture, "j", 1, j, DFF_EVENT_TASK_LOST);
 		const struct dff_command *over =
-			next_command (&fixture, "j", DFF_COMMAND_RECORD_END);
+			next_command (&fixture, "j", DFF_COMMAND_RECORD_OUTCOME);
 		assert_int_equal (over != NULL, cases[i].ends);
 		if (over != NULL) {
 			assert_int_equal (over->outcome, DFF_OUTCOME_FAILED);
@@ -146,7 +146,7 @@
 	struct fixture fixture;
 	begin (&fixture, BLAME_LIMIT);
 	submit (&fixture, "j", 1, 1, BLAME_LIMIT);
-	const struct dff_command *over = next_command (&fixture, "j", DFF_COMMAND_RECORD_END);
+	const struct dff_command *over = next_command (&fixture, "j", DFF_COMMAND_RECORD_OUTCOME);
 	assert_non_null (over);
 	assert_int_equal (over->outcome, DFF_OUTCOME_FAILED);
 	end (&fixture);
--- a/tests/core/test-core-golden.c
+++ b/tests/core/test-core-golden.c
@@ -32,7 +32,7 @@
 	[DFF_COMMAND_RELEASE_TASK] = "release",
 	[DFF_COMMAND_CHECKPOINT_TASK] = "checkpoint",
 	[DFF_COMMAND_STOP_TASK] = "stop",
-	[DFF_COMMAND_RECORD_END] = "record_end",
+	[DFF_COMMAND_RECORD_OUTCOME] = "record_end",
 	[DFF_COMMAND_RECORD_RETRY] = "record_retry",
 };
 
@@ -41,7 +41,7 @@
 	[DFF_COMMAND_START_TASK] = DFF_EVENT_TASK_STARTED,
 	[DFF_COMMAND_CHECKPOINT_TASK] = DFF_EVENT_TASK_CHECKPOINTED,
 	[DFF_COMMAND_STOP_TASK] = DFF_EVENT_TASK_STOPPED,
-	[DFF_COMMAND_RECORD_END] = DFF_EVENT_OUTCOME_RECORDED,
+	[DFF_COMMAND_RECORD_OUTCOME] = DFF_EVENT_OUTCOME_RECORDED,
 };
 
 static void
@@ -61,9 +61,9 @@
 	if (command->placements != NULL)
 		g_string_append (session->out, "]");
 	else if (command->type != DFF_COMMAND_RECORD_RETRY &&
-		 command->type != DFF_COMMAND_RECORD_END)
+		 command->type != DFF_COMMAND_RECORD_OUTCOME)
 		g_string_append_printf (session->out, ",\"member\":%d", command->member);
-	if (command->type == DFF_COMMAND_RECORD_END)
+	if (command->type == DFF_COMMAND_RECORD_OUTCOME)
 		g_string_append_printf (session->out, ",\"outcome\":\"%s\",\"reason\":\"%s\"",
 					dff_outcome_name (command->outcome), command->reason);
 	g_string_append (session->out, "}\n");
--- a/tests/core/test-lifecycle.c
+++ b/tests/core/test-lifecycle.c
@@ -170,7 +170,7 @@
 	static const char letters[] = {
 		[DFF_COMMAND_RECORD_START] = 'R', [DFF_COMMAND_START_TASK] = 'S',
 		[DFF_COMMAND_RELEASE_TASK] = 'G', [DFF_COMMAND_CHECKPOINT_TASK] = 'C',
-		[DFF_COMMAND_STOP_TASK] = 'T',    [DFF_COMMAND_RECORD_END] = 'E',
+		[DFF_COMMAND_STOP_TASK] = 'T',    [DFF_COMMAND_RECORD_OUTCOME] = 'E',
 		[DFF_COMMAND_RECORD_RETRY] = 'Y',
 	};
 	return letters[type];
@@ -209,7 +209,7 @@
 				     .job = command->job,
 				     .attempt = command->attempt};
 	dff_core_handle_event (run->core, &recorded, run->now_ms);
-	assert_int_equal (dff_core_job_phase (run->core, &recorded.job), DFF_JOB_UNKNOWN);
+	assert_int_equal (dff_core_job_phase (run->core, &recorded.job), DFF_JOB_PHASE_UNKNOWN);
 }
 
 static void
--- a/tests/core/test-pace.c
+++ b/tests/core/test-pace.c
@@ -67,7 +67,7 @@
 static void
 tell_pace (struct pool *pool, int worker, uint64_t step, double whole_ms)
 {
-	struct dff_event event = {.type = DFF_EVENT_TASK_PACE,
+	struct dff_event event = {.type = DFF_EVENT_TASK_DURATION,
 				  .worker = dff_name_printf ("w%d", worker),
 				  .peer_group = step,
 				  .duration_ms = (int64_t)whole_ms};
@@ -183,7 +183,7 @@
 	open_pool (&unseen);
 	see_steps (&pool, &unlike);
 	for (int i = 0; i < WORKERS; i++) {
-		struct dff_event event = {.type = DFF_EVENT_WORKER_RENEWED,
+		struct dff_event event = {.type = DFF_EVENT_WORKER_RESTARTED,
 					  .worker = dff_name_printf ("w%d", i)};
 		dff_core_handle_event (pool.core, &event, pool.now_ms);
 	}
--- a/tests/core/test-property.c
+++ b/tests/core/test-property.c
@@ -294,7 +294,7 @@
 	case DFF_COMMAND_RECORD_RETRY:
 		row->open = false;
 		return;
-	case DFF_COMMAND_RECORD_END:
+	case DFF_COMMAND_RECORD_OUTCOME:
 		on_record_end (world, command);
 		return;
 	}
@@ -331,7 +331,7 @@
 	for (guint i = 0; i < world->order->len; i++) {
 		const struct row *row = g_ptr_array_index (world->order, i);
 		enum dff_job_phase phase = dff_core_job_phase (world->core, &row->spec.id);
-		if (!row->ended && phase == DFF_JOB_UNKNOWN)
+		if (!row->ended && phase == DFF_JOB_PHASE_UNKNOWN)
 			fail_msg ("job lost: %s", row->spec.id.data);
 	}
 	assert_int_equal (stats.queued + stats.starting + stats.running + stats.stopping +
@@ -415,11 +415,11 @@
 		bool runs = task != NULL && task->alive && task->ran;
 		g_array_append_val (running, runs);
 	}
-	struct dff_recovered recovered = {.attempt = row->last_attempt,
-					  .open = row->open,
-					  .cancelled = row->cancelled,
-					  .placements = row->placements,
-					  .running = running};
+	struct dff_recovered_attempt recovered = {.attempt = row->last_attempt,
+						  .open = row->open,
+						  .cancelled = row->cancelled,
+						  .placements = row->placements,
+						  .running = running};
 	struct dff_event event = {
 		.type = DFF_EVENT_JOB_RECOVERED, .spec = &row->spec, .recovered = &recovered};
 	dff_core_handle_event (world->core, &event, world->now_ms);
--- a/tests/core/test-reclaim.c
+++ b/tests/core/test-reclaim.c
@@ -135,7 +135,7 @@
 		run->preempted++;
 		answer_later (run, DFF_EVENT_TASK_STOPPED, command);
 		break;
-	case DFF_COMMAND_RECORD_END:
+	case DFF_COMMAND_RECORD_OUTCOME:
 		answer_later (run, DFF_EVENT_OUTCOME_RECORDED, command);
 		break;
 	default:
--- a/tests/core/test-starving-gang.c
+++ b/tests/core/test-starving-gang.c
@@ -70,7 +70,7 @@
 		if (!gang)
 			plan_end (run, &command->job);
 		break;
-	case DFF_COMMAND_RECORD_END:
+	case DFF_COMMAND_RECORD_OUTCOME:
 		tell (run, DFF_EVENT_OUTCOME_RECORDED, &command->job, 0);
 		break;
 	default:
--- a/tests/core/test-wants.c
+++ b/tests/core/test-wants.c
@@ -246,7 +246,7 @@
 		g_autoptr (GString) none = site_pass (&site, 0);
 		assert_string_equal (none->str, "");
 		struct dff_name stopped = dff_name_from (cases[i].stopped);
-		assert_int_equal (dff_core_job_phase (site.core, &stopped), DFF_JOB_STOPPING);
+		assert_int_equal (dff_core_job_phase (site.core, &stopped), DFF_JOB_PHASE_STOPPING);
 		site_close (&site);
 	}
 }
--- a/tests/daemon/test-daemon-steps.c
+++ b/tests/daemon/test-daemon-steps.c
@@ -244,7 +244,7 @@
 	dff_daemon_continue_drain (daemon, began_ms + GRACE_MS + 2);
 	event_base_loop (harness->base, EVLOOP_NONBLOCK);
 	assert_true (event_base_got_exit (harness->base));
-	assert_false (dff_daemon_was_cut_off (daemon));
+	assert_false (dff_daemon_was_aborted (daemon));
 	end (&fixture);
 }
 
@@ -267,9 +267,9 @@
 	dff_daemon_drain (daemon);
 	int64_t began_ms = harness->clock.now_ms;
 	dff_daemon_continue_drain (daemon, began_ms + LIMIT_MS);
-	assert_false (dff_daemon_was_cut_off (daemon));
+	assert_false (dff_daemon_was_aborted (daemon));
 	dff_daemon_continue_drain (daemon, began_ms + LIMIT_MS + 1);
-	assert_true (dff_daemon_was_cut_off (daemon));
+	assert_true (dff_daemon_was_aborted (daemon));
 	harness_client_free (in_flight);
 	end (&fixture);
 }
@@ -310,7 +310,7 @@
 			 1, 2 * DFF_DAEMON_WATCHED_JOBS_MAX);
 	for (int i = 0; i < n_jobs; i++) {
 		const struct dff_name job = dff_name_printf ("job.%d", i);
-		dff_daemon_tell_job_ended (daemon, &job, DFF_OUTCOME_COMPLETED);
+		dff_daemon_notify_job_ended (daemon, &job, DFF_OUTCOME_COMPLETED);
 	}
 	assert_int_equal (g_hash_table_size (daemon->job_watchers), 0);
 	assert_int_equal (g_hash_table_size (daemon->older_job_watchers), 0);
--- a/tests/daemon/test-drain-step.c
+++ b/tests/daemon/test-drain-step.c
@@ -30,7 +30,7 @@
 		{"grace over, idle", {3000, 3000, 0}, true, true, DFF_DRAIN_END},
 		{"no limit: waits for days", {400000000, 3000, 0}, false, true, DFF_DRAIN_WAIT},
 		{"within the limit", {60000, 3000, 60000}, false, true, DFF_DRAIN_WAIT},
-		{"limit over", {60001, 3000, 60000}, false, true, DFF_DRAIN_CUT_OFF},
+		{"limit over", {60001, 3000, 60000}, false, true, DFF_DRAIN_ABORT},
 		{"limit over, idle", {60001, 3000, 60000}, true, true, DFF_DRAIN_END},
 		{"limit shorter than the grace", {2000, 3000, 1000}, false, false, DFF_DRAIN_WAIT},
 		{"no grace", {0, 0, 0}, true, true, DFF_DRAIN_END},
--- a/tests/daemon/test-pool-follower.c
+++ b/tests/daemon/test-pool-follower.c
@@ -18,7 +18,7 @@
 
 struct fixture {
 	struct memory_fixture site;
-	struct dff_pool_follower *follower;
+	struct dff_pool_watch *follower;
 	/** What the follower sees: the caller's table, with its rows counted. */
 	struct dff_table table;
 	int64_t rows_read;
@@ -89,7 +89,7 @@
 	memory_fixture_init (&fixture->site);
 	fixture->table =
 		(struct dff_table){.get = counted_get, .scan = counted_scan, .ctx = fixture};
-	struct dff_pool_follower_options options = {
+	struct dff_pool_watch_options options = {
 		.table = &fixture->table,
 		.clock = &fixture->site.time.clock,
 		.metrics = fixture->site.metrics,
@@ -97,7 +97,7 @@
 		.in_force = handle_in_force,
 		.ctx = fixture,
 	};
-	fixture->follower = dff_pool_follower_new (&options);
+	fixture->follower = dff_pool_watch_new (&options);
 	*state = fixture;
 	return 0;
 }
@@ -107,7 +107,7 @@
 {
 	struct fixture *fixture = *state;
 	memory_fixture_close (&fixture->site);
-	dff_pool_follower_free (fixture->follower);
+	dff_pool_watch_free (fixture->follower);
 	memory_fixture_clear (&fixture->site);
 	g_free (fixture);
 	return 0;
@@ -117,7 +117,7 @@
 tick (void *user)
 {
 	struct fixture *fixture = user;
-	dff_pool_follower_tick (fixture->follower);
+	dff_pool_watch_tick (fixture->follower);
 }
 
 static void
@@ -136,7 +136,7 @@
 static void
 commit_pool (struct fixture *fixture, int64_t generation)
 {
-	struct dff_memory_caller *operator= dff_memory_open (fixture->site.memory);
+	struct dff_memory_handle *operator= dff_memory_open (fixture->site.memory);
 	g_autoptr (GString) value = dff_pool_row_encode (generation, dff_str_from (POOL));
 	struct dff_table_write write = {.key = dff_str_from (DFF_POOL_ROW_KEY),
 					.value = {value->str, value->len}};
@@ -173,11 +173,10 @@
 		{0, POOL, false, 5}, {-1, POOL, false, 5}, {6, POOL, true, 6},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
-		bool taken = dff_pool_follower_offer (fixture->follower, cases[i].generation, 0,
-						      dff_str_from (cases[i].text));
+		bool taken = dff_pool_watch_offer (fixture->follower, cases[i].generation, 0,
+						   dff_str_from (cases[i].text));
 		assert_int_equal (taken, cases[i].taken);
-		assert_int_equal (dff_pool_follower_generation (fixture->follower),
-				  cases[i].in_force);
+		assert_int_equal (dff_pool_watch_generation (fixture->follower), cases[i].in_force);
 	}
 	commit_pool (fixture, 4);
 	run_for (fixture, 5 * POLL_MS);
@@ -214,12 +213,12 @@
 	struct fixture *fixture = *state;
 	commit_pool (fixture, 4);
 	int64_t revision = row_revision (fixture);
-	assert_false (dff_pool_follower_offer (fixture->follower, 4, revision, dff_str_from ("{")));
+	assert_false (dff_pool_watch_offer (fixture->follower, 4, revision, dff_str_from ("{")));
 	run_for (fixture, 2 * POLL_MS);
 	assert_int_equal (fixture->rows_read, 1);
 	commit_pool (fixture, 5);
 	revision = row_revision (fixture);
-	assert_true (dff_pool_follower_offer (fixture->follower, 5, revision, dff_str_from (POOL)));
+	assert_true (dff_pool_watch_offer (fixture->follower, 5, revision, dff_str_from (POOL)));
 	run_for (fixture, 5 * POLL_MS);
 	assert_int_equal (fixture->rows_read, 1);
 	commit_pool (fixture, 6);
--- a/tests/entry/harness.c
+++ b/tests/entry/harness.c
@@ -69,7 +69,7 @@
 job_ended (void *ctx, const struct dff_name *job, enum dff_outcome outcome)
 {
 	const struct harness_process *process = ctx;
-	dff_entry_job_ended (process->entry, job, outcome);
+	dff_entry_handle_job_ended (process->entry, job, outcome);
 }
 
 static void
--- a/tests/entry/harness.h
+++ b/tests/entry/harness.h
@@ -35,10 +35,10 @@
 	struct dff_settings *settings;
 	struct dff_metrics *metrics;
 	struct dff_tracer *tracer;
-	struct dff_memory_caller *platform;
+	struct dff_memory_handle *platform;
 	/** What the entry itself reads and keeps; has the faults of @platform, and outlives a
 	 * killed process, so that late answers come to an entry that is gone. */
-	struct dff_memory_caller *reads;
+	struct dff_memory_handle *reads;
 	struct dff_recorder *recorder;
 	struct dff_peer *peer;
 	struct dff_cell *cell;
@@ -60,7 +60,7 @@
 	struct event_base *base;
 	struct dff_clock_virtual clock;
 	struct dff_memory *memory;
-	struct dff_memory_caller *holder;
+	struct dff_memory_handle *holder;
 	struct dff_worker_client workers;
 	struct harness_process processes[HARNESS_PROCESSES];
 	/** Elements: struct harness_answer *, for the next requests; then workers echo. */
--- a/tests/entry/test-assembly.c
+++ b/tests/entry/test-assembly.c
@@ -122,13 +122,13 @@
 	static const struct span chunks[] = {{0, 4}, {4, 4}, {8, 8}};
 	DFF_AUTO (dff_assembly) assembly = assembly_of (chunks, G_N_ELEMENTS (chunks));
 	struct dff_str result;
-	assert_int_equal (add (assembly, 2, 0, false), DFF_CHUNK_TAKEN);
-	assert_int_equal (add (assembly, 0, 1, false), DFF_CHUNK_DAMAGED);
+	assert_int_equal (add (assembly, 2, 0, false), DFF_CHUNK_ACCEPTED);
+	assert_int_equal (add (assembly, 0, 1, false), DFF_CHUNK_CORRUPT);
 	assert_int_equal (add (assembly, 2, 0, false), DFF_CHUNK_DUPLICATE);
-	assert_int_equal (add (assembly, 0, 0, true), DFF_CHUNK_DAMAGED);
-	assert_int_equal (add (assembly, 0, 0, false), DFF_CHUNK_TAKEN);
+	assert_int_equal (add (assembly, 0, 0, true), DFF_CHUNK_CORRUPT);
+	assert_int_equal (add (assembly, 0, 0, false), DFF_CHUNK_ACCEPTED);
 	assert_false (dff_assembly_finish (assembly, &result));
-	assert_int_equal (add (assembly, 1, 0, false), DFF_CHUNK_TAKEN);
+	assert_int_equal (add (assembly, 1, 0, false), DFF_CHUNK_ACCEPTED);
 	assert_true (dff_assembly_is_complete (assembly));
 	assert_true (dff_assembly_finish (assembly, &result));
 	assert_int_equal (result.len, WHOLE_LEN);
@@ -154,8 +154,8 @@
 	assert_non_null (assembly);
 	struct dff_str result;
 	struct dff_str second = {other + 8, 8};
-	assert_int_equal (add (assembly, 0, 0, false), DFF_CHUNK_TAKEN);
-	assert_int_equal (dff_assembly_add (assembly, 1, second), DFF_CHUNK_TAKEN);
+	assert_int_equal (add (assembly, 0, 0, false), DFF_CHUNK_ACCEPTED);
+	assert_int_equal (dff_assembly_add (assembly, 1, second), DFF_CHUNK_ACCEPTED);
 	assert_true (dff_assembly_is_complete (assembly));
 	assert_false (dff_assembly_finish (assembly, &result));
 }
--- a/tests/entry/test-job-json.c
+++ b/tests/entry/test-job-json.c
@@ -16,7 +16,7 @@
 };
 
 static struct dff_job_row *
-parse (const char *text, struct dff_job_fault *fault)
+parse (const char *text, struct dff_job_rejection *fault)
 {
 	struct dff_name team = dff_name_from ("casework");
 	struct dff_name region = dff_name_from ("sk-central");
@@ -58,7 +58,7 @@
 		 "max_attempts"},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
-		struct dff_job_fault fault;
+		struct dff_job_rejection fault;
 		struct dff_job_row *row = parse (cases[i].text, &fault);
 		if (row != NULL)
 			fail_msg ("accepted: %s", cases[i].text);
@@ -66,7 +66,7 @@
 		assert_string_equal (fault.code, cases[i].code);
 		if (strstr (fault.detail, cases[i].detail) == NULL)
 			fail_msg ("%s: %s", cases[i].text, fault.detail);
-		dff_job_fault_clear (&fault);
+		dff_job_rejection_clear (&fault);
 	}
 }
 
@@ -74,20 +74,20 @@
 test_deep_nesting_is_refused (void **state)
 {
 	(void)state;
-	struct dff_job_fault fault;
+	struct dff_job_rejection fault;
 	g_autoptr (GString) text = g_string_new ("{\"service\":\"s\",\"payload\":{\"a\":");
 	for (int i = 0; i < 100000; i++)
 		g_string_append_c (text, '[');
 	assert_null (parse (text->str, &fault));
 	assert_string_equal (fault.code, "malformed_json");
-	dff_job_fault_clear (&fault);
+	dff_job_rejection_clear (&fault);
 }
 
 static void
 test_presets (void **state)
 {
 	(void)state;
-	struct dff_job_fault fault;
+	struct dff_job_rejection fault;
 	DFF_AUTO (dff_job_row) row = parse ("{\"service\":\"s\"}", &fault);
 	assert_non_null (row);
 	assert_int_equal (row->spec.gang, 1);
@@ -103,7 +103,7 @@
 test_same_submission (void **state)
 {
 	(void)state;
-	struct dff_job_fault fault;
+	struct dff_job_rejection fault;
 	DFF_AUTO (dff_job_row) a = parse ("{\"service\":\"s\",\"payload\":{\"x\":1}}", &fault);
 	DFF_AUTO (dff_job_row) b = parse ("{\"payload\":{\"x\":1},\"service\":\"s\"}", &fault);
 	DFF_AUTO (dff_job_row) c = parse ("{\"service\":\"s\",\"payload\":{\"x\":2}}", &fault);
--- a/tests/entry/test-sessions.c
+++ b/tests/entry/test-sessions.c
@@ -186,7 +186,7 @@
 set_store (struct session *session, char **words)
 {
 	for (int i = 0; i < HARNESS_PROCESSES; i++) {
-		struct dff_memory_caller *platform = session->harness->processes[i].platform;
+		struct dff_memory_handle *platform = session->harness->processes[i].platform;
 		struct dff_memory_faults *faults = &platform->faults;
 		if (session->harness->processes[i].entry == NULL)
 			continue;
--- a/tests/entry/test-slots.c
+++ b/tests/entry/test-slots.c
@@ -48,8 +48,8 @@
 take (struct dff_slots *slots, int64_t now_ms)
 {
 	static struct dff_slot slot;
-	switch (dff_slots_take (slots, now_ms, &slot)) {
-	case DFF_SLOT_TAKEN:
+	switch (dff_slots_acquire (slots, now_ms, &slot)) {
+	case DFF_SLOT_ACQUIRED:
 		return slot.worker.data;
 	case DFF_SLOT_BUSY:
 		return "busy";
@@ -122,7 +122,7 @@
 	struct dff_name w1 = dff_name_from ("w1");
 	struct dff_instance listed[] = {worker ("w1", "a", false), worker ("w2", "a", true),
 					worker ("w3", "b", false)};
-	dff_slots_worker_leaving (slots, &w1, 0);
+	dff_slots_handle_worker_leaving (slots, &w1, 0);
 	dff_slots_set_instances (slots, listed, 3);
 	for (int i = 0; i < 2; i++)
 		assert_string_equal (take (slots, 0), "w3");
@@ -146,8 +146,8 @@
 	struct dff_instance listed[] = {worker ("w1", "a", false)};
 	struct dff_grant grants[] = {grant ("w1", 2)};
 	int64_t said_ms = 100;
-	int64_t late_ms = said_ms + DFF_SLOTS_LEAVING_STANDS_MS;
-	dff_slots_worker_leaving (slots, &w1, said_ms);
+	int64_t late_ms = said_ms + DFF_SLOTS_LEAVING_HOLDDOWN_MS;
+	dff_slots_handle_worker_leaving (slots, &w1, said_ms);
 	dff_slots_set_instances (slots, listed, 1);
 	/* Sent before the holder heard of it. */
 	dff_slots_set_grants (slots, 5, grants, 1, late_ms - 1, late_ms + EXPIRES_MS);
@@ -178,14 +178,14 @@
 	(void)state;
 	struct dff_retry_budget budget;
 	dff_retry_budget_init (&budget);
-	while (dff_retry_budget_take (&budget)) {
+	while (dff_retry_budget_withdraw (&budget)) {
 	}
 	for (int i = 0; i < 9; i++)
 		dff_retry_budget_deposit (&budget);
-	assert_false (dff_retry_budget_take (&budget));
+	assert_false (dff_retry_budget_withdraw (&budget));
 	dff_retry_budget_deposit (&budget);
-	assert_true (dff_retry_budget_take (&budget));
-	assert_false (dff_retry_budget_take (&budget));
+	assert_true (dff_retry_budget_withdraw (&budget));
+	assert_false (dff_retry_budget_withdraw (&budget));
 }
 
 int
--- a/tests/fleet/test-evacuations.c
+++ b/tests/fleet/test-evacuations.c
@@ -67,10 +67,10 @@
 		dff_evacuations_note_unreadable (evacuations, dff_str_from ("evacuate/"), 7);
 		return;
 	case DFF_STEP_BEGIN:
-		dff_evacuations_begin (evacuations);
+		dff_evacuations_begin_snapshot (evacuations);
 		return;
 	default:
-		dff_evacuations_whole (evacuations);
+		dff_evacuations_end_snapshot (evacuations);
 		return;
 	}
 }
--- a/tests/fleet/test-in-force.c
+++ b/tests/fleet/test-in-force.c
@@ -23,7 +23,7 @@
 	struct dff_memory_rows_client *client;
 	struct dff_metrics *metrics;
 	struct dff_rows_health *health;
-	struct dff_in_force *in_force;
+	struct dff_operator_state *in_force;
 	int64_t version;
 	size_t n_evacuated;
 };
@@ -60,7 +60,7 @@
 	};
 	fixture->health = dff_rows_health_new (&health);
 	dff_memory_rows_put (fixture->rows, DFF_TABLE_CONFIG, DFF_KEY_CONFIG, dff_str_from (FIRST));
-	struct dff_in_force_options options = {
+	struct dff_operator_state_options options = {
 		.timers = dff_virtual_loop_timers (fixture->loop),
 		.rows = dff_rows_health_interface (fixture->health),
 		.metrics = fixture->metrics,
@@ -69,7 +69,7 @@
 		.evacuations_changed = handle_evacuated,
 		.ctx = fixture,
 	};
-	fixture->in_force = dff_in_force_new (&options);
+	fixture->in_force = dff_operator_state_new (&options);
 	dff_virtual_loop_run (fixture->loop, 100);
 	assert_int_equal (fixture->version, 3);
 }
@@ -77,7 +77,7 @@
 static void
 fixture_close (struct fixture *fixture)
 {
-	dff_in_force_free (fixture->in_force);
+	dff_operator_state_free (fixture->in_force);
 	/* Calls in progress end by themselves; probes go on, and are answered from now on. */
 	dff_memory_rows_client_faults (fixture->client)->silent = false;
 	dff_virtual_loop_run (fixture->loop, 30000);
@@ -115,7 +115,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct fixture fixture;
 		fixture_open (&fixture, cases[i].bound_ms);
-		dff_in_force_set_deciding (fixture.in_force, cases[i].deciding);
+		dff_operator_state_set_holding (fixture.in_force, cases[i].deciding);
 		dff_virtual_loop_run (fixture.loop, 3000);
 		int64_t before = n_questions (&fixture);
 		dff_virtual_loop_run (fixture.loop, 20000);
@@ -124,13 +124,13 @@
 				     dff_str_from (SECOND));
 		dff_virtual_loop_run (fixture.loop, 50);
 		assert_int_equal (fixture.version, 8);
-		assert_true (dff_in_force_is_fresh (fixture.in_force));
+		assert_true (dff_operator_state_is_fresh (fixture.in_force));
 		dff_memory_rows_client_faults (fixture.client)->silent = true;
 		dff_virtual_loop_run (fixture.loop, cases[i].stale_ms - 600);
-		assert_non_null (dff_in_force_config (fixture.in_force));
+		assert_non_null (dff_operator_state_config (fixture.in_force));
 		dff_virtual_loop_run (fixture.loop, 700);
-		assert_null (dff_in_force_config (fixture.in_force));
-		assert_false (dff_in_force_is_fresh (fixture.in_force));
+		assert_null (dff_operator_state_config (fixture.in_force));
+		assert_false (dff_operator_state_is_fresh (fixture.in_force));
 		fixture_close (&fixture);
 	}
 }
@@ -143,11 +143,11 @@
 	(void)state;
 	struct fixture fixture;
 	fixture_open (&fixture, 60000);
-	dff_in_force_set_deciding (fixture.in_force, false);
+	dff_operator_state_set_holding (fixture.in_force, false);
 	dff_virtual_loop_run (fixture.loop, 9000);
-	dff_in_force_set_deciding (fixture.in_force, true);
+	dff_operator_state_set_holding (fixture.in_force, true);
 	dff_virtual_loop_run (fixture.loop, 600);
-	assert_in_range (dff_in_force_evacuations_age_ms (fixture.in_force), 0, 600);
+	assert_in_range (dff_operator_state_evacuations_age_ms (fixture.in_force), 0, 600);
 	dff_memory_rows_put (fixture.rows, DFF_TABLE_CONFIG, "evacuate/dc", dff_str_from ("{}"));
 	dff_virtual_loop_run (fixture.loop, 50);
 	assert_int_equal (fixture.n_evacuated, 1);
--- a/tests/front/test-intake.c
+++ b/tests/front/test-intake.c
@@ -64,9 +64,9 @@
 }
 
 static void
-end_hop (struct hop *hop, enum dff_rows_outcome outcome, enum dff_intake_receiver receiver)
+end_hop (struct hop *hop, enum dff_rows_outcome outcome, enum dff_intake_delivery receiver)
 {
-	struct dff_intake_forwarded forwarded = {.delivery = receiver, .outcome = outcome};
+	struct dff_intake_forward_result forwarded = {.delivery = receiver, .outcome = outcome};
 	if (receiver == DFF_INTAKE_MISDIRECTED)
 		forwarded.holder = hop->fixture->next_gatherer;
 	hop->done (hop->user, &forwarded);
@@ -78,7 +78,7 @@
 static void
 handle_taken (void *user, const struct dff_rows_result *result)
 {
-	end_hop (user, result->outcome, DFF_INTAKE_TAKEN);
+	end_hop (user, result->outcome, DFF_INTAKE_DELIVERED);
 }
 
 static void
@@ -89,11 +89,11 @@
 				     .value = dff_str_from (hop->value),
 				     .timeout_ms = hop->timeout_ms};
 	if (hop->fixture->gatherer_gone)
-		end_hop (hop, DFF_ROWS_NOT_DONE, DFF_INTAKE_UNREACHED);
+		end_hop (hop, DFF_ROWS_NOT_DONE, DFF_INTAKE_UNREACHABLE);
 	else if (hop->misdirected)
 		end_hop (hop, DFF_ROWS_NOT_DONE, DFF_INTAKE_MISDIRECTED);
 	else
-		dff_intake_take (hop->fixture->processes[0].intake, &row, handle_taken, hop);
+		dff_intake_write (hop->fixture->processes[0].intake, &row, handle_taken, hop);
 }
 
 static void
@@ -115,7 +115,7 @@
 			    .misdirected = misdirected,
 			    .done = done,
 			    .user = user};
-	dff_virtual_loop_after (process->fixture->loop, 1, arrive, hop);
+	dff_virtual_loop_schedule (process->fixture->loop, 1, arrive, hop);
 }
 
 static void
@@ -149,7 +149,7 @@
 	process->fixture->n_recorded++;
 	struct record *record = g_new0 (struct record, 1);
 	*record = (struct record){.done = done, .user = user};
-	dff_virtual_loop_after (process->fixture->loop, 1, end_record, record);
+	dff_virtual_loop_schedule (process->fixture->loop, 1, end_record, record);
 	return true;
 }
 
@@ -179,7 +179,7 @@
 			.record_ctx = process};
 		process->intake = dff_intake_new (&options);
 		struct dff_name gatherer = dff_name_from ("p0");
-		dff_intake_set_gatherer (process->intake, &gatherer, i == 0);
+		dff_intake_set_holder_address (process->intake, &gatherer, i == 0);
 	}
 }
 
@@ -472,8 +472,8 @@
 		for (int i = 0; i < PROCESSES; i++) {
 			faults_of (&fixture, i)->commit_delay_ms = VERY_SLOW_MS;
 			if (!cases[c].told_before)
-				dff_intake_set_gatherer (fixture.processes[i].intake, &nobody,
-							 false);
+				dff_intake_set_holder_address (fixture.processes[i].intake, &nobody,
+							       false);
 		}
 		for (int i = 0; i < N_HELD; i++) {
 			write_row (&fixture, i % PROCESSES, key_of (i, key), &outcomes[i]);
@@ -485,8 +485,8 @@
 			struct dff_name first = dff_name_from ("p0");
 			fixture.records = true;
 			for (int i = 0; i < PROCESSES; i++)
-				dff_intake_set_gatherer (fixture.processes[i].intake, &first,
-							 i == 0);
+				dff_intake_set_holder_address (fixture.processes[i].intake, &first,
+							       i == 0);
 		}
 		dff_virtual_loop_run (fixture.loop, TIMEOUT_MS);
 		for (int i = 0; i < N_HELD; i++) {
--- a/tests/graph/test-graph.c
+++ b/tests/graph/test-graph.c
@@ -39,7 +39,7 @@
 offer (struct dff_progress *progress, const struct dff_plan *plan, int64_t now_ms, int64_t *next_ms)
 {
 	g_autoptr (GArray) units = g_array_new (FALSE, FALSE, sizeof (struct dff_unit));
-	*next_ms = dff_progress_offer (progress, plan, now_ms, units);
+	*next_ms = dff_progress_take_ready (progress, plan, now_ms, units);
 	GString *names = g_string_new (NULL);
 	for (guint i = 0; i < units->len; i++) {
 		struct dff_name name =
@@ -57,7 +57,7 @@
 	int32_t index)
 {
 	struct dff_unit unit = {.occurrence = occurrence, .step = step, .index = index};
-	dff_progress_finish (progress, plan, &unit);
+	dff_progress_mark_done (progress, plan, &unit);
 }
 
 static void
@@ -193,18 +193,18 @@
 	progress->state = DFF_JOB_STATE_RUNNING;
 	finish (progress, plan, 0, 0, 2);
 	struct dff_task *task = dff_progress_task (progress, 0, 0, 0);
-	task->state = DFF_TASK_ASSIGNED;
+	task->state = DFF_PROGRESS_TASK_ASSIGNED;
 	task->run = 4;
 	task->failures = 1;
 	task->worker = dff_name_from ("i-7f3a91c2");
 	struct dff_unit unit = {.index = 0};
-	dff_progress_save (progress, plan, &unit, dff_str_from ("00000bb8\"7a21d94b"));
+	dff_progress_save_checkpoint (progress, plan, &unit, dff_str_from ("00000bb8\"7a21d94b"));
 	g_autoptr (GString) text = dff_progress_encode (progress);
 	struct dff_str value = {text->str, text->len};
 	DFF_AUTO (dff_progress) same = dff_progress_decode (plan, value);
 	assert_non_null (same);
 	const struct dff_task *read = dff_progress_task (same, 0, 0, 0);
-	assert_int_equal (read->state, DFF_TASK_ASSIGNED);
+	assert_int_equal (read->state, DFF_PROGRESS_TASK_ASSIGNED);
 	assert_int_equal (read->run, 4);
 	assert_int_equal (read->failures, 1);
 	assert_string_equal (read->worker.data, "i-7f3a91c2");
@@ -238,12 +238,12 @@
 		DFF_AUTO (dff_progress) progress = dff_progress_new (plan);
 		for (int32_t j = 0; j < 3; j++) {
 			struct dff_task *task = dff_progress_task (progress, 0, 0, j);
-			task->state = DFF_TASK_ASSIGNED;
+			task->state = DFF_PROGRESS_TASK_ASSIGNED;
 			task->run = 1;
 		}
 		for (int32_t j = 0; j < 3 && cases[i].failing[j] >= 0; j++) {
 			struct dff_unit unit = {.index = cases[i].gang ? -1 : cases[i].failing[j]};
-			dff_progress_note_failed (progress, plan, &unit, cases[i].failing[j]);
+			dff_progress_mark_failed (progress, plan, &unit, cases[i].failing[j]);
 		}
 		g_autoptr (GString) text = dff_progress_encode (progress);
 		DFF_AUTO (dff_progress)
@@ -254,7 +254,8 @@
 			bool fails = false;
 			for (int32_t k = 0; k < 3; k++)
 				fails |= cases[i].failing[k] == j;
-			assert_int_equal (task->state, fails ? DFF_TASK_FAILED : DFF_TASK_ASSIGNED);
+			assert_int_equal (task->state, fails ? DFF_PROGRESS_TASK_FAILED
+							     : DFF_PROGRESS_TASK_ASSIGNED);
 		}
 	}
 }
@@ -276,28 +277,29 @@
 		struct dff_unit unit = {.index = -1};
 		for (int32_t j = 0; j < 2; j++) {
 			struct dff_task *task = dff_progress_task (progress, 0, 0, j);
-			task->state = DFF_TASK_ASSIGNED;
+			task->state = DFF_PROGRESS_TASK_ASSIGNED;
 			task->run = 1;
 		}
-		assert_true (dff_progress_note_lost (progress, &unit, 1));
-		assert_false (dff_progress_note_lost (progress, &unit, 1));
+		assert_true (dff_progress_mark_lost (progress, &unit, 1));
+		assert_false (dff_progress_mark_lost (progress, &unit, 1));
 		dff_progress_task (progress, 0, 0, 1)->blame = cases[i].blame;
 		dff_progress_task (progress, 0, 0, 1)->startup_blame = cases[i].blame / 2;
 		if (cases[i].checkpoint != NULL)
-			dff_progress_save (progress, plan, &unit,
-					   dff_str_from (cases[i].checkpoint));
+			dff_progress_save_checkpoint (progress, plan, &unit,
+						      dff_str_from (cases[i].checkpoint));
 		g_autoptr (GString) text = dff_progress_encode (progress);
 		DFF_AUTO (dff_progress)
 		same = dff_progress_decode (plan, (struct dff_str){text->str, text->len});
 		const struct dff_task *task = dff_progress_task (same, 0, 0, 1);
-		assert_int_equal (task->state, DFF_TASK_LOST);
-		assert_true (dff_task_state_is_open (task->state));
+		assert_int_equal (task->state, DFF_PROGRESS_TASK_LOST);
+		assert_true (dff_progress_task_state_is_open (task->state));
 		assert_int_equal (task->blame, cases[i].blame);
 		assert_int_equal (task->startup_blame, cases[i].blame / 2);
 		assert_int_equal (g_strcmp0 (task->checkpoint, cases[i].checkpoint), 0);
-		assert_int_equal (dff_progress_blame (same, plan, &unit), cases[i].blame);
-		assert_false (dff_progress_note_lost (same, &unit, 1));
-		assert_int_equal (dff_progress_task (same, 0, 0, 0)->state, DFF_TASK_ASSIGNED);
+		assert_int_equal (dff_progress_max_blame (same, plan, &unit), cases[i].blame);
+		assert_false (dff_progress_mark_lost (same, &unit, 1));
+		assert_int_equal (dff_progress_task (same, 0, 0, 0)->state,
+				  DFF_PROGRESS_TASK_ASSIGNED);
 	}
 }
 
@@ -316,7 +318,7 @@
 	for (int32_t i = 0; i < plan->occurrences * DFF_STEP_TASKS_MAX; i++) {
 		struct dff_task *task = dff_progress_task (progress, i / DFF_STEP_TASKS_MAX, 0,
 							   i % DFF_STEP_TASKS_MAX);
-		task->state = DFF_TASK_ASSIGNED;
+		task->state = DFF_PROGRESS_TASK_ASSIGNED;
 		task->run = 12;
 		task->worker = dff_name_printf ("i-7f3a91c2%d", i % 350);
 		task->checkpoint = g_strdup ("00000bb87a21d94b");
@@ -339,8 +341,8 @@
 	add_step (plan, 3, true, -1);
 	DFF_AUTO (dff_progress) progress = dff_progress_new (plan);
 	struct dff_unit unit = {.index = -1};
-	dff_progress_save (progress, plan, &unit, dff_str_from ("c1"));
-	dff_progress_save (progress, plan, &unit, dff_str_from ("c2"));
+	dff_progress_save_checkpoint (progress, plan, &unit, dff_str_from ("c1"));
+	dff_progress_save_checkpoint (progress, plan, &unit, dff_str_from ("c2"));
 	for (int32_t i = 0; i < 3; i++)
 		assert_string_equal (dff_progress_task (progress, 0, 0, i)->checkpoint, "c2");
 }
--- a/tests/holder/site.c
+++ b/tests/holder/site.c
@@ -20,12 +20,14 @@
 __lsan_default_suppressions (void) // NOLINT(readability-identifier-naming)
 {
 	/* Where the contexts are made: in the holder, in readings and followers, in fronts. */
-	return "leak:lease_work\nleak:take\nleak:judge_row\nleak:send_commit\nleak:read_page\n"
-	       "leak:dff_reading_start\nleak:handle_retry\nleak:handle_page\n"
+	return "leak:lease_work\nleak:^take\nleak:intake\nleak:dff_core_take\nleak:handle_taken\n"
+	       "leak:jobs_take_in\nleak:lives_take\nleak:take_over\n"
+	       "leak:judge_row\nleak:send_commit\nleak:read_page\n"
+	       "leak:dff_scan_start\nleak:handle_retry\nleak:handle_page\n"
 	       "leak:lease_ask_former\nleak:ask_changes\nleak:inbox_work\nleak:read_job\n"
 	       "leak:send_watch\nleak:order_call_new\nleak:send_order\nleak:follow\n"
-	       "leak:request_new\nleak:request_retry\nleak:ask_presence\nleak:dff_"
-	       "front_\n";
+	       "leak:subscription\nleak:request_new\nleak:request_retry\nleak:ask_presence\n"
+	       "leak:dff_front_\n";
 }
 
 /** Time of day at the start, ms since 1970, and on the machines' clock. */
@@ -104,9 +106,9 @@
 }
 
 struct presence {
-	dff_holder_presence_func done;
+	dff_holder_probe_func done;
 	void *user;
-	enum dff_holder_presence presence;
+	enum dff_holder_probe_result presence;
 	struct site_process *asker;
 	int32_t lives;
 };
@@ -124,8 +126,8 @@
 ask_presence (void *ctx,
 	      const struct dff_name *address,
 	      const struct dff_name *instance,
-	      const struct dff_holder_question *question,
-	      dff_holder_presence_func done,
+	      const struct dff_holder_probe *question,
+	      dff_holder_probe_func done,
 	      void *user)
 {
 	struct site_process *asker = ctx;
@@ -137,16 +139,16 @@
 	presence->asker = asker;
 	presence->lives = asker->lives;
 	if (asked->unheard) {
-		presence->presence = DFF_HOLDER_UNHEARD;
-		dff_virtual_loop_after (site->loop, 300, answer_presence, presence);
+		presence->presence = DFF_HOLDER_PROBE_TIMED_OUT;
+		dff_virtual_loop_schedule (site->loop, 300, answer_presence, presence);
 		return;
 	}
-	presence->presence = DFF_HOLDER_REFUSED;
+	presence->presence = DFF_HOLDER_PROBE_REFUSED;
 	if (asked->alive)
-		presence->presence = DFF_HOLDER_REPLACED;
+		presence->presence = DFF_HOLDER_PROBE_REPLACED;
 	if (asked->alive && dff_name_equal (&asked->instance, instance))
-		presence->presence = dff_holder_answer_presence (asked->holder, question);
-	dff_virtual_loop_after (site->loop, 2, answer_presence, presence);
+		presence->presence = dff_holder_answer_probe (asked->holder, question);
+	dff_virtual_loop_schedule (site->loop, 2, answer_presence, presence);
 }
 
 static bool
@@ -168,8 +170,8 @@
 {
 	struct site_process *process = ctx;
 	if (process->requests != NULL)
-		dff_follower_nudge (process->requests);
-	dff_holder_note_store_heard (process->holder);
+		dff_subscription_wake (process->requests);
+	dff_holder_handle_store_recovered (process->holder);
 }
 
 static void
@@ -200,13 +202,13 @@
 static void
 handle_requests_begin (void *ctx)
 {
-	dff_evacuations_begin (((struct site_process *)ctx)->evacuations);
+	dff_evacuations_begin_snapshot (((struct site_process *)ctx)->evacuations);
 }
 
 static void
 handle_requests_whole (void *ctx)
 {
-	dff_evacuations_whole (((struct site_process *)ctx)->evacuations);
+	dff_evacuations_end_snapshot (((struct site_process *)ctx)->evacuations);
 }
 
 static void
@@ -220,8 +222,8 @@
 evacuations_age_ms (void *ctx)
 {
 	const struct site_process *process = ctx;
-	return process->requests != NULL && dff_follower_is_ready (process->requests)
-		       ? dff_follower_age_ms (process->requests)
+	return process->requests != NULL && dff_subscription_is_ready (process->requests)
+		       ? dff_subscription_age_ms (process->requests)
 		       : INT64_MAX;
 }
 
@@ -232,7 +234,7 @@
 		.metrics = process->metrics, .changed = handle_evacuated, .ctx = process};
 	if (process->evacuations == NULL)
 		process->evacuations = dff_evacuations_new (&options);
-	struct dff_follower_options follower = {
+	struct dff_subscription_options follower = {
 		.timers = dff_virtual_loop_timers (site->loop),
 		.rows = dff_rows_health_interface (process->health),
 		.table = DFF_TABLE_CONFIG,
@@ -243,14 +245,14 @@
 			 .end_snapshot = handle_requests_whole,
 			 .ctx = process},
 	};
-	process->requests = dff_follower_new (&follower);
+	process->requests = dff_subscription_new (&follower);
 }
 
 void
 site_deafen (struct site *site, int process, bool deaf)
 {
 	struct site_process *deafened = &site->processes[process];
-	g_clear_pointer (&deafened->requests, dff_follower_free);
+	g_clear_pointer (&deafened->requests, dff_subscription_free);
 	if (!deaf)
 		follow_requests (site, deafened);
 }
@@ -293,7 +295,7 @@
 	dff_holder_set_teams (process->holder, &team, 1);
 	struct dff_name service = dff_name_from ("service");
 	if (site->unguarded)
-		dff_holder_set_unguarded (process->holder, &service, 1);
+		dff_holder_set_unenforced (process->holder, &service, 1);
 }
 
 void
@@ -334,7 +336,7 @@
 	process->alive = false;
 	dff_memory_rows_client_end (process->rows);
 	dff_memory_runner_client_end (process->runner);
-	g_clear_pointer (&process->requests, dff_follower_free);
+	g_clear_pointer (&process->requests, dff_subscription_free);
 	dff_holder_free (process->holder);
 	if (site->relays)
 		site_relays_kill (process);
--- a/tests/holder/site.h
+++ b/tests/holder/site.h
@@ -56,7 +56,7 @@
 	struct dff_holder *holder;
 	struct dff_front *front;
 	/** With evacuations: what operators put in force, as this process knows it. */
-	struct dff_follower *requests;
+	struct dff_subscription *requests;
 	struct dff_evacuations *evacuations;
 	/** With links: what goes through the process that decides, and which that is. */
 	struct dff_intake *intake;
--- a/tests/holder/site_links.c
+++ b/tests/holder/site_links.c
@@ -20,8 +20,8 @@
 	dff_front_state_func state_done;
 	void *user;
 	bool answered;
-	struct dff_intake_forwarded forwarded;
-	struct dff_holder_sight sight;
+	struct dff_intake_forward_result forwarded;
+	struct dff_holder_job_state sight;
 };
 
 static struct dff_virtual_loop *
@@ -39,8 +39,8 @@
 	hop->target = &asker->site->processes[asker->decider.data[1] - '0'];
 	hop->job = *job;
 	hop->user = user;
-	hop->forwarded = (struct dff_intake_forwarded){.delivery = DFF_INTAKE_UNREACHED,
-						       .outcome = DFF_ROWS_UNKNOWN};
+	hop->forwarded = (struct dff_intake_forward_result){.delivery = DFF_INTAKE_UNREACHABLE,
+							    .outcome = DFF_ROWS_UNKNOWN};
 	g_ptr_array_add (asker->site->hops, hop);
 	return hop;
 }
@@ -72,16 +72,16 @@
 {
 	struct hop *hop = user;
 	hop->forwarded.outcome = result->outcome;
-	hop->forwarded.delivery = DFF_INTAKE_TAKEN;
-	dff_virtual_loop_after (loop_of (hop), WAY_MS, deliver, hop);
+	hop->forwarded.delivery = DFF_INTAKE_DELIVERED;
+	dff_virtual_loop_schedule (loop_of (hop), WAY_MS, deliver, hop);
 }
 
 static void
-handle_sight (void *user, const struct dff_holder_sight *sight)
+handle_sight (void *user, const struct dff_holder_job_state *sight)
 {
 	struct hop *hop = user;
 	hop->sight = *sight;
-	dff_virtual_loop_after (loop_of (hop), WAY_MS, deliver, hop);
+	dff_virtual_loop_schedule (loop_of (hop), WAY_MS, deliver, hop);
 }
 
 static void
@@ -90,25 +90,25 @@
 	struct hop *hop = user;
 	if (!hop->target->alive) {
 		hop->forwarded.outcome = DFF_ROWS_NOT_DONE;
-		dff_virtual_loop_after (loop_of (hop), WAY_MS, deliver, hop);
+		dff_virtual_loop_schedule (loop_of (hop), WAY_MS, deliver, hop);
 		return;
 	}
 	if (hop->state_done != NULL) {
-		dff_holder_look (hop->target->holder, &hop->job, handle_sight, hop);
+		dff_holder_query_state (hop->target->holder, &hop->job, handle_sight, hop);
 		return;
 	}
-	if (!dff_intake_is_gatherer (hop->target->intake)) {
-		hop->forwarded = (struct dff_intake_forwarded){
+	if (!dff_intake_is_holder (hop->target->intake)) {
+		hop->forwarded = (struct dff_intake_forward_result){
 			.delivery = DFF_INTAKE_MISDIRECTED,
 			.outcome = DFF_ROWS_NOT_DONE,
-			.holder = *dff_intake_gatherer (hop->target->intake)};
-		dff_virtual_loop_after (loop_of (hop), WAY_MS, deliver, hop);
+			.holder = *dff_intake_holder_address (hop->target->intake)};
+		dff_virtual_loop_schedule (loop_of (hop), WAY_MS, deliver, hop);
 		return;
 	}
 	struct dff_intake_row row = {.key = {hop->job.data, hop->job.len},
 				     .value = {hop->value->str, hop->value->len},
 				     .timeout_ms = hop->timeout_ms};
-	dff_intake_take (hop->target->intake, &row, handle_row_answer, hop);
+	dff_intake_write (hop->target->intake, &row, handle_row_answer, hop);
 }
 
 static void
@@ -125,8 +125,8 @@
 	hop->value = g_string_new_len (row->value.data, (gssize)row->value.len);
 	hop->timeout_ms = row->timeout_ms;
 	hop->row_done = done;
-	dff_virtual_loop_after (loop_of (hop), WAY_MS, arrive, hop);
-	dff_virtual_loop_after (loop_of (hop), row->timeout_ms + ROW_MARGIN_MS, deliver, hop);
+	dff_virtual_loop_schedule (loop_of (hop), WAY_MS, arrive, hop);
+	dff_virtual_loop_schedule (loop_of (hop), row->timeout_ms + ROW_MARGIN_MS, deliver, hop);
 }
 
 static bool
@@ -137,8 +137,8 @@
 		return false;
 	struct hop *hop = hop_new (process, job, user);
 	hop->state_done = done;
-	dff_virtual_loop_after (loop_of (hop), WAY_MS, arrive, hop);
-	dff_virtual_loop_after (loop_of (hop), ASK_TIMEOUT_MS, deliver, hop);
+	dff_virtual_loop_schedule (loop_of (hop), WAY_MS, arrive, hop);
+	dff_virtual_loop_schedule (loop_of (hop), ASK_TIMEOUT_MS, deliver, hop);
 	return true;
 }
 
@@ -162,7 +162,7 @@
 writes_elsewhere (void *ctx)
 {
 	const struct site_process *process = ctx;
-	return dff_intake_writes_elsewhere (process->intake);
+	return dff_intake_writes_forwarded (process->intake);
 }
 
 /* Everything goes through the process that decides, as in a store that is always slow. */
@@ -184,7 +184,7 @@
 note_lost (void *ctx)
 {
 	const struct site_process *process = ctx;
-	dff_holder_note_decider_lost (process->holder);
+	dff_holder_handle_holder_lost (process->holder);
 }
 
 static void
@@ -195,7 +195,7 @@
 	if (self)
 		process->decider =
 			dff_name_printf ("p%d", (int)(process - process->site->processes));
-	dff_intake_set_gatherer (process->intake, address, self);
+	dff_intake_set_holder_address (process->intake, address, self);
 }
 
 void
--- a/tests/holder/site_workers.c
+++ b/tests/holder/site_workers.c
@@ -18,7 +18,7 @@
 {
 	char address[32], rack[16];
 	int leaving, remaining_ms, accelerators = SITE_ACCELERATORS;
-	gint64 born_ms = DFF_BORN_UNTOLD;
+	gint64 born_ms = DFF_START_UNREPORTED;
 	g_autofree char *text = g_strndup (row->value.data, row->value.len);
 	*upstream = (struct dff_upstream){.remaining_ms = -1};
 	if (sscanf (text, "%31s %15s %d %d %d %" G_GINT64_FORMAT, address, rack, &leaving,
@@ -50,7 +50,7 @@
 	g_autofree char *value = g_strdup_printf (
 		"%s r%d %d %d %d %" G_GINT64_FORMAT, address.data, index / SITE_PER_RACK, leaving,
 		remaining_ms, site->accelerators[index],
-		dff_memory_runner_born_ms (site->runner, id.data));
+		dff_memory_runner_started_ms (site->runner, id.data));
 	dff_memory_rows_put (site->rows, DFF_TABLE_UPSTREAMS, id.data, dff_str_from (value));
 }
 
@@ -65,8 +65,8 @@
 			put_worker (site, i, entry->leaving, entry->remaining_ms);
 	}
 	if (!site->closing)
-		dff_virtual_loop_after (site->loop, SITE_ENTRY_EVERY_MS, site_workers_write_entries,
-					site);
+		dff_virtual_loop_schedule (site->loop, SITE_ENTRY_EVERY_MS,
+					   site_workers_write_entries, site);
 }
 
 void
@@ -137,10 +137,11 @@
 	int32_t clock_permille = 1000 - index * 4;
 	site->accelerators[index] = accelerators;
 	site->workers[index] =
-		site->same_ids ? dff_memory_runner_add_born (site->runner, id.data, address.data,
-							     accelerators, clock_permille)
-			       : dff_memory_runner_add (site->runner, id.data, address.data,
-							accelerators, clock_permille);
+		site->same_ids
+			? dff_memory_runner_add_with_start (site->runner, id.data, address.data,
+							    accelerators, clock_permille)
+			: dff_memory_runner_add (site->runner, id.data, address.data, accelerators,
+						 clock_permille);
 	site_list_worker (site, index, true, false);
 	close_worker (site, index);
 }
@@ -207,9 +208,9 @@
 			      .life = site->worker_lives[index],
 			      .id = dff_name_from (id)};
 	site->entries[crash.index].listed = false;
-	dff_virtual_loop_after (site->loop, SITE_ENTRY_LAPSE_MS, lapse_entry,
-				g_memdup2 (&crash, sizeof (crash)));
+	dff_virtual_loop_schedule (site->loop, SITE_ENTRY_LAPSE_MS, lapse_entry,
+				   g_memdup2 (&crash, sizeof (crash)));
 	if (site->back_ms > 0)
-		dff_virtual_loop_after (site->loop, site->back_ms, return_crashed,
-					g_memdup2 (&crash, sizeof (crash)));
+		dff_virtual_loop_schedule (site->loop, site->back_ms, return_crashed,
+					   g_memdup2 (&crash, sizeof (crash)));
 }
--- a/tests/holder/test-holder-crashes.c
+++ b/tests/holder/test-holder-crashes.c
@@ -115,7 +115,7 @@
 	site_run (&site, 10000);
 	g_autofree char *task = g_strdup_printf ("%s.0.0.%d", at->id, at->count - 1);
 	/* To be given up, a job needs a task under which two workers have crashed. */
-	assert_in_range (dff_memory_runner_n_lives_ended (site.runner, task), 2, STARTS_MAX);
+	assert_in_range (dff_memory_runner_n_incarnations_ended (site.runner, task), 2, STARTS_MAX);
 	assert_in_range (dff_memory_runner_n_starts (site.runner, task), 2, STARTS_MAX);
 	site_close (&site);
 }
@@ -166,7 +166,7 @@
 wait_for_run (struct site *site, const char *task, int other)
 {
 	for (int i = 0; i < WAIT_MS / 10; i++) {
-		const char *where = dff_memory_runner_where (site->runner, task);
+		const char *where = dff_memory_runner_worker_of (site->runner, task);
 		if (where != NULL && where[1] - '0' != other)
 			return where[1] - '0';
 		site_run (site, 10);
--- a/tests/holder/test-holder-ends.c
+++ b/tests/holder/test-holder-ends.c
@@ -13,7 +13,7 @@
 faults_of (struct site *site, const char *job, const char *task)
 {
 	g_autofree char *name = g_strconcat (job, task, NULL);
-	const char *where = dff_memory_runner_where (site->runner, name);
+	const char *where = dff_memory_runner_worker_of (site->runner, name);
 	assert_non_null (where);
 	return site->workers[where[1] - '0'];
 }
@@ -23,9 +23,9 @@
 run_until_failed (struct site *site, const char *job)
 {
 	g_autofree char *name = g_strconcat (job, FAILING_TASK, NULL);
-	for (int i = 0; i < 3000 && dff_memory_runner_where (site->runner, name) == NULL; i++)
+	for (int i = 0; i < 3000 && dff_memory_runner_worker_of (site->runner, name) == NULL; i++)
 		site_run (site, 1);
-	for (int i = 0; i < 3000 && dff_memory_runner_where (site->runner, name) != NULL; i++)
+	for (int i = 0; i < 3000 && dff_memory_runner_worker_of (site->runner, name) != NULL; i++)
 		site_run (site, 1);
 }
 
--- a/tests/holder/test-holder-lives.c
+++ b/tests/holder/test-holder-lives.c
@@ -119,7 +119,7 @@
 	if (!at->hides_birth)
 		check_worker_is_used (&site);
 	site_run (&site, 15000);
-	assert_int_equal (dff_memory_runner_n_open (site.runner), 0);
+	assert_int_equal (dff_memory_runner_n_active (site.runner), 0);
 	site_close (&site);
 }
 
@@ -273,11 +273,11 @@
 		int64_t running_ms = 0;
 		for (int j = 0; j < 200; j++) {
 			site_run (&site, 100);
-			bool runs = dff_memory_runner_n_open (site.runner) > 0;
+			bool runs = dff_memory_runner_n_active (site.runner) > 0;
 			running_ms = runs ? running_ms + 100 : 0;
 			assert_in_range (running_ms, 0, LATE_START_MAX_MS);
 		}
-		assert_int_equal (dff_memory_runner_n_open (site.runner), 0);
+		assert_int_equal (dff_memory_runner_n_active (site.runner), 0);
 		site_close (&site);
 	}
 }
--- a/tests/holder/test-holder-rooms.c
+++ b/tests/holder/test-holder-rooms.c
@@ -26,19 +26,19 @@
 	int32_t n_all = SITE_WORKERS * SITE_ACCELERATORS;
 	site_submit (&site, 0, site_plan ("1", n_all, false, 1));
 	site_run (&site, 500);
-	int32_t n_running = dff_memory_runner_n_open (site.runner);
+	int32_t n_running = dff_memory_runner_n_active (site.runner);
 	assert_in_range (n_running, n_all / 2, n_all);
 	resize_all (&site, 2);
 	site_run (&site, KNOWN_MS);
 	site_submit (&site, 0, site_plan ("7", n_all, false, 1));
 	site_run (&site, 1000);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "7"), 0);
-	assert_int_equal (dff_memory_runner_n_open (site.runner), n_running);
+	assert_int_equal (dff_memory_runner_n_active (site.runner), n_running);
 	site_run (&site, 10000);
-	assert_in_range (dff_memory_runner_n_open (site.runner), 1, 2 * SITE_WORKERS);
+	assert_in_range (dff_memory_runner_n_active (site.runner), 1, 2 * SITE_WORKERS);
 	resize_all (&site, SITE_ACCELERATORS);
 	site_run (&site, 8000);
-	assert_in_range (dff_memory_runner_n_open (site.runner), n_all / 2, n_all);
+	assert_in_range (dff_memory_runner_n_active (site.runner), n_all / 2, n_all);
 	site_close (&site);
 }
 
@@ -66,7 +66,7 @@
 	site_run (&site, KNOWN_MS);
 	site_submit (&site, 0, site_plan ("7", SITE_WORKERS * SITE_ACCELERATORS, false, 1));
 	site_run (&site, 4000);
-	assert_in_range (dff_memory_runner_n_open (site.runner), SITE_ACCELERATORS,
+	assert_in_range (dff_memory_runner_n_active (site.runner), SITE_ACCELERATORS,
 			 SITE_ACCELERATORS + SITE_WORKERS - 1);
 	site_close (&site);
 }
--- a/tests/holder/test-holder-seeds.c
+++ b/tests/holder/test-holder-seeds.c
@@ -449,7 +449,7 @@
 {
 	for (int i = 0; i < TASKS_MAX; i++) {
 		g_autofree char *task = g_strdup_printf ("%s.0.0.%d", id, i);
-		if (dff_memory_runner_n_lives_ended (play->site.runner, task) >= 2)
+		if (dff_memory_runner_n_incarnations_ended (play->site.runner, task) >= 2)
 			return true;
 	}
 	return false;
@@ -511,7 +511,7 @@
 	for (guint i = 0; i < play.site.accepted->len; i++)
 		check_end (&play, seed, g_ptr_array_index (play.site.accepted, i));
 	site_run (&play.site, 20000);
-	assert_int_equal (dff_memory_runner_n_open (play.site.runner), 0);
+	assert_int_equal (dff_memory_runner_n_active (play.site.runner), 0);
 	const char *violation = dff_memory_runner_violation (play.site.runner);
 	if (violation != NULL)
 		fail_msg ("seed %u: %s", seed, violation);
--- a/tests/holder/test-holder-store.c
+++ b/tests/holder/test-holder-store.c
@@ -186,7 +186,7 @@
 	for (int i = 0; i < 5; i++) {
 		int64_t before = n_readings (&site, 0);
 		for (int j = 0; j < 4; j++) {
-			dff_holder_note_decider_lost (site.processes[0].holder);
+			dff_holder_handle_holder_lost (site.processes[0].holder);
 			site_run (&site, 100);
 		}
 		assert_in_range (n_readings (&site, 0) - before, 1, 2);
@@ -420,7 +420,7 @@
 	assert_string_equal (site_state (&site, 2, "1"), "cancelled");
 	site_run (&site, 1000);
 	assert_int_equal (dff_memory_rows_count (site.rows, DFF_TABLE_INBOX), 0);
-	assert_int_equal (dff_memory_runner_n_open (site.runner), 0);
+	assert_int_equal (dff_memory_runner_n_active (site.runner), 0);
 	site_close (&site);
 }
 
@@ -472,9 +472,9 @@
 	site_submit (&site, 0, site_plan ("1", 4, false, 1));
 	site_run (&site, 300);
 	int holder = site_holder (&site);
-	dff_holder_resign (site.processes[holder].holder);
+	dff_holder_step_down (site.processes[holder].holder);
 	site_run (&site, 800);
-	assert_true (dff_holder_has_resigned (site.processes[holder].holder));
+	assert_true (dff_holder_has_stepped_down (site.processes[holder].holder));
 	assert_int_not_equal (site_holder (&site), holder);
 	assert_int_not_equal (site_holder (&site), -1);
 	assert_int_not_equal (site_until (&site, "1", "completed", 9000), -1);
@@ -493,7 +493,7 @@
 	site_open (&site);
 	site_submit (&site, 0, site_plan ("7", 1, false, 1));
 	site_run (&site, 400);
-	const char *where = dff_memory_runner_where (site.runner, "7.0.0.0");
+	const char *where = dff_memory_runner_worker_of (site.runner, "7.0.0.0");
 	assert_non_null (where);
 	int reached = where[1] - '0';
 	int first = site_holder (&site);
--- a/tests/holder/test-holder-submissions.c
+++ b/tests/holder/test-holder-submissions.c
@@ -65,7 +65,7 @@
 	assert_int_equal (site_submit (&site, other, site_plan ("a", 1, false, 1)), DFF_FRONT_OK);
 	site_run (&site, 200);
 	assert_string_equal (site_state (&site, other, "a"), "running");
-	while (dff_memory_runner_n_open (site.runner) > 0)
+	while (dff_memory_runner_n_active (site.runner) > 0)
 		site_run (&site, 1);
 	int64_t begun_ms = dff_virtual_loop_now_ms (site.loop);
 	assert_string_equal (site_state (&site, other, "a"), "completed");
@@ -89,7 +89,7 @@
 	assert_int_equal (site_submit (&site, other, site_plan ("a", 1, false, 1)), DFF_FRONT_OK);
 	site_run (&site, 800);
 	faults_of (&site, holder)->silent = true;
-	while (dff_memory_runner_n_open (site.runner) > 0)
+	while (dff_memory_runner_n_active (site.runner) > 0)
 		site_run (&site, 1);
 	/* Heard by now, and not on record. */
 	site_run (&site, 20);
--- a/tests/holder/test-holder-workers.c
+++ b/tests/holder/test-holder-workers.c
@@ -212,11 +212,11 @@
 	/* Seven of eight accelerators each, so that the members are on two workers. */
 	site_submit (&site, 0, site_plan ("5", 2, true, 7));
 	site_run (&site, 2500);
-	int lost = dff_memory_runner_where (site.runner, "5.0.0.0")[1] - '0';
+	int lost = dff_memory_runner_worker_of (site.runner, "5.0.0.0")[1] - '0';
 	for (int i = 0; i < SITE_WORKERS; i++)
 		site.workers[i]->drops_answers = true;
 	site_run (&site, 1000);
-	assert_null (dff_memory_runner_where (site.runner, "5.0.0.0"));
+	assert_null (dff_memory_runner_worker_of (site.runner, "5.0.0.0"));
 	site_reborn_worker (&site, lost);
 	/* By now the other life has answered, and the other member is to be stopped. */
 	site_run (&site, 1500);
@@ -251,7 +251,7 @@
 		assert_int_not_equal (site_until (&site, "5", "completed", 20000), -1);
 		assert_string_equal (site_state (&site, 0, "1c"), "cancelled");
 		site_run (&site, 8000);
-		assert_int_equal (dff_memory_runner_n_open (site.runner), 0);
+		assert_int_equal (dff_memory_runner_n_active (site.runner), 0);
 		site_close (&site);
 	}
 }
@@ -323,7 +323,7 @@
 		site_run (&site, 600);
 		const char *where = NULL;
 		g_autofree char *task = g_strdup_printf ("%s.0.0.0", cases[i].id);
-		where = dff_memory_runner_where (site.runner, task);
+		where = dff_memory_runner_worker_of (site.runner, task);
 		assert_non_null (where);
 		int worker = where[1] - '0';
 		site_announce_leaving (&site, worker, cases[i].remaining_ms);
--- a/tests/peer/fake_transport.c
+++ b/tests/peer/fake_transport.c
@@ -96,11 +96,11 @@
 {
 	struct fake_node *node = ctx;
 	node->watches++;
-	dff_peer_send_ended (node->peer, watcher, job, DFF_OUTCOME_COMPLETED);
+	dff_peer_send_job_ended (node->peer, watcher, job, DFF_OUTCOME_COMPLETED);
 }
 
 static void
-sighting (void *ctx, const struct dff_worker_sighting *sighting)
+sighting (void *ctx, const struct dff_worker_report *sighting)
 {
 	((struct fake_node *)ctx)->sightings++;
 	((struct fake_node *)ctx)->whole_sightings += sighting->complete;
--- a/tests/peer/test-message.c
+++ b/tests/peer/test-message.c
@@ -15,12 +15,12 @@
 static void
 fill_body (struct dff_message *message)
 {
-	static struct dff_member_report others[DFF_HEARTBEAT_OTHERS_MAX];
+	static struct dff_member_report others[DFF_HEARTBEAT_PEERS_MAX];
 	static struct dff_task_report reports[3];
 	static struct dff_grant grants[3];
 	struct dff_name name = dff_name_from ("entry-1");
 	for (size_t i = 0; i < G_N_ELEMENTS (others); i++)
-		others[i] = (struct dff_member_report){name, 2, 9, DFF_LIFE_SUSPECT};
+		others[i] = (struct dff_member_report){name, 2, 9, DFF_LIVENESS_SUSPECT};
 	for (size_t i = 0; i < G_N_ELEMENTS (reports); i++) {
 		reports[i].task = (struct dff_task_id){name, 1, (int32_t)i};
 		reports[i].result_length = INT64_MAX;
@@ -49,9 +49,9 @@
 	case DFF_MESSAGE_JOB_ENDED:
 		message->job_ended = (struct dff_job_end){name, DFF_OUTCOME_UNKNOWN};
 		break;
-	case DFF_MESSAGE_SIGHTING:
+	case DFF_MESSAGE_WORKER_REPORT:
 		message->worker_report =
-			(struct dff_worker_sighting){name, true, true, 5, reports, 3};
+			(struct dff_worker_report){name, true, true, 5, reports, 3};
 		break;
 	case DFF_MESSAGE_GRANTS:
 		message->grants = (struct dff_grant_set){9, 1, 5000, 999000, 3, grants, 3};
@@ -176,7 +176,7 @@
 		{"negative epoch", DFF_MESSAGE_GRANTS, bad_epoch},
 		{"negative age", DFF_MESSAGE_GRANTS, bad_age},
 		{"grants in a renewal", DFF_MESSAGE_GRANTS, grants_in_a_renewal},
-		{"negative silence", DFF_MESSAGE_SIGHTING, bad_silence},
+		{"negative silence", DFF_MESSAGE_WORKER_REPORT, bad_silence},
 		{"last incarnation", DFF_MESSAGE_HEARTBEAT, bad_incarnation},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
@@ -257,7 +257,7 @@
 	int64_t *malformed =
 		dff_metrics_counter (network->nodes[2].metrics, "dff_peer_malformed_total", "");
 	g_autoptr (GByteArray) bytes = encoded (DFF_MESSAGE_JOB_HINT);
-	g_byte_array_set_size (bytes, DFF_MESSAGE_MAX + 1);
+	g_byte_array_set_size (bytes, DFF_MESSAGE_MAX_BYTES + 1);
 	receive (&network->nodes[2], bytes->data, bytes->len);
 	assert_int_equal (*malformed, 1);
 }
--- a/tests/peer/test-peer.c
+++ b/tests/peer/test-peer.c
@@ -91,15 +91,15 @@
 	struct dff_task_report reports[2] = {{.state = DFF_TASK_RUNNING, .ran = true}};
 	reports[0].task.job = job;
 	reports[1].task.job = job;
-	struct dff_worker_sighting sighting = {.reachable = true, .reports = reports};
+	struct dff_worker_report sighting = {.reachable = true, .reports = reports};
 	sighting.worker = dff_name_from ("worker-1");
 	sighting.n_reports = 2;
 	make_holder (holder, 1);
 	fake_network_run (network, 200);
-	dff_peer_send_hint (entry->peer, &job);
-	dff_peer_send_watch (entry->peer, &job);
-	dff_peer_send_sighting (entry->peer, &sighting);
-	dff_peer_send_hint (holder->peer, &job);
+	dff_peer_send_job_hint (entry->peer, &job);
+	dff_peer_send_job_watch (entry->peer, &job);
+	dff_peer_send_worker_report (entry->peer, &sighting);
+	dff_peer_send_job_hint (holder->peer, &job);
 	fake_network_run (network, 200);
 	assert_int_equal (holder->hints, 2);
 	assert_int_equal (holder->watches, 1);
@@ -118,9 +118,9 @@
 	DFF_AUTO (fake_network) network = started (2);
 	make_holder (&network->nodes[0], 1);
 	fake_network_run (network, 200);
-	struct dff_worker_sighting sighting = {
+	struct dff_worker_report sighting = {
 		.worker = dff_name_from ("worker-1"), .reachable = true, .complete = true};
-	dff_peer_send_sighting (network->nodes[1].peer, &sighting);
+	dff_peer_send_worker_report (network->nodes[1].peer, &sighting);
 	fake_network_run (network, 200);
 	assert_int_equal (network->nodes[0].whole_sightings, 1);
 }
@@ -132,9 +132,9 @@
 {
 	(void)state;
 	DFF_AUTO (fake_network) network = started (9);
-	struct dff_worker_sighting sighting = {
+	struct dff_worker_report sighting = {
 		.worker = dff_name_from ("worker-1"), .reachable = true, .leaving = true};
-	dff_peer_send_sighting (network->nodes[4].peer, &sighting);
+	dff_peer_send_worker_report (network->nodes[4].peer, &sighting);
 	fake_network_run (network, 200);
 	for (int i = 0; i < 9; i++)
 		assert_int_equal (network->nodes[i].leaving_sightings, i == 4 ? 0 : 1);
@@ -150,13 +150,13 @@
 	DFF_AUTO (fake_network) network = started (3);
 	struct dff_name job = dff_name_from ("job-1");
 	for (int i = 0; i < 300; i++)
-		dff_peer_send_hint (network->nodes[1].peer, &job);
+		dff_peer_send_job_hint (network->nodes[1].peer, &job);
 	fake_network_run (network, 1000);
 	make_holder (&network->nodes[1], 1);
 	fake_network_run (network, 200);
 	assert_int_equal (network->nodes[1].hints, 256);
 	dff_peer_set_state (network->nodes[1].peer, true, false, 0);
-	dff_peer_send_hint (network->nodes[1].peer, &job);
+	dff_peer_send_job_hint (network->nodes[1].peer, &job);
 	fake_network_run (network, 6000);
 	make_holder (&network->nodes[0], 2);
 	fake_network_run (network, 1000);
--- a/tests/peer/test-reports.c
+++ b/tests/peer/test-reports.c
@@ -20,22 +20,23 @@
 	int32_t incarnation;
 	/** Added to the number of heartbeats that entry-0 knows of. */
 	int32_t later;
-	enum dff_life life;
+	enum dff_liveness life;
 	enum dff_member_state state;
 };
 
 static const struct report_case cases[] = {
-	{"accused, but heard here", 0, 1, 0, DFF_LIFE_DEAD, DFF_MEMBER_ALIVE},
-	{"suspected, but heard here", 0, 1, 5, DFF_LIFE_SUSPECT, DFF_MEMBER_ALIVE},
-	{"accused by one that never heard it", 5000, 0, 0, DFF_LIFE_DEAD, DFF_MEMBER_SUSPECT},
-	{"silent, and still suspect", 5000, 1, -2, DFF_LIFE_ALIVE, DFF_MEMBER_SUSPECT},
-	{"silent here, heard elsewhere", 5000, 1, 3, DFF_LIFE_ALIVE, DFF_MEMBER_ALIVE},
-	{"silent here, and dead elsewhere", 5000, 1, 0, DFF_LIFE_DEAD, DFF_MEMBER_DEAD},
-	{"dead for one that lost two heartbeats", 5000, 1, -2, DFF_LIFE_DEAD, DFF_MEMBER_DEAD},
-	{"dead for one that lost many", 5000, 1, -5, DFF_LIFE_DEAD, DFF_MEMBER_SUSPECT},
-	{"dead, a late sign of life", 9000, 1, MUCH_LATER, DFF_LIFE_ALIVE, DFF_MEMBER_DEAD},
-	{"dead, refuted", 9000, 2, 1, DFF_LIFE_ALIVE, DFF_MEMBER_ALIVE},
-	{"dead, suspect in a later incarnation", 9000, 2, 1, DFF_LIFE_SUSPECT, DFF_MEMBER_SUSPECT},
+	{"accused, but heard here", 0, 1, 0, DFF_LIVENESS_DEAD, DFF_MEMBER_ALIVE},
+	{"suspected, but heard here", 0, 1, 5, DFF_LIVENESS_SUSPECT, DFF_MEMBER_ALIVE},
+	{"accused by one that never heard it", 5000, 0, 0, DFF_LIVENESS_DEAD, DFF_MEMBER_SUSPECT},
+	{"silent, and still suspect", 5000, 1, -2, DFF_LIVENESS_ALIVE, DFF_MEMBER_SUSPECT},
+	{"silent here, heard elsewhere", 5000, 1, 3, DFF_LIVENESS_ALIVE, DFF_MEMBER_ALIVE},
+	{"silent here, and dead elsewhere", 5000, 1, 0, DFF_LIVENESS_DEAD, DFF_MEMBER_DEAD},
+	{"dead for one that lost two heartbeats", 5000, 1, -2, DFF_LIVENESS_DEAD, DFF_MEMBER_DEAD},
+	{"dead for one that lost many", 5000, 1, -5, DFF_LIVENESS_DEAD, DFF_MEMBER_SUSPECT},
+	{"dead, a late sign of life", 9000, 1, MUCH_LATER, DFF_LIVENESS_ALIVE, DFF_MEMBER_DEAD},
+	{"dead, refuted", 9000, 2, 1, DFF_LIVENESS_ALIVE, DFF_MEMBER_ALIVE},
+	{"dead, suspect in a later incarnation", 9000, 2, 1, DFF_LIVENESS_SUSPECT,
+	 DFF_MEMBER_SUSPECT},
 };
 
 /* Heartbeats that the others have from entry-2: one a second, and one when it was asked to start.
--- a/tests/peer/test-shares.c
+++ b/tests/peer/test-shares.c
@@ -50,7 +50,7 @@
 	static const size_t sizes[] = {0, 1, 2, N_MEMBERS};
 	for (size_t i = 0; i < G_N_ELEMENTS (sizes); i++) {
 		g_autoptr (GPtrArray) shares =
-			dff_grants_share (workers, N_WORKERS, members, sizes[i]);
+			dff_grants_assign (workers, N_WORKERS, members, sizes[i]);
 		assert_int_equal (shares->len, sizes[i]);
 		for (int worker = 0; worker < N_WORKERS; worker++) {
 			int32_t total = 0;
@@ -65,9 +65,9 @@
 test_leave_moves_only_its_slots (void **state)
 {
 	(void)state;
-	g_autoptr (GPtrArray) with = dff_grants_share (workers, N_WORKERS, members, N_MEMBERS);
+	g_autoptr (GPtrArray) with = dff_grants_assign (workers, N_WORKERS, members, N_MEMBERS);
 	g_autoptr (GPtrArray) without =
-		dff_grants_share (workers, N_WORKERS, members, N_MEMBERS - 1);
+		dff_grants_assign (workers, N_WORKERS, members, N_MEMBERS - 1);
 	for (int worker = 0; worker < N_WORKERS; worker++) {
 		int32_t gained = 0;
 		for (guint member = 0; member < N_MEMBERS - 1; member++) {
@@ -87,8 +87,8 @@
 	struct dff_grant_member reversed[N_MEMBERS];
 	for (int i = 0; i < N_MEMBERS; i++)
 		reversed[i] = members[N_MEMBERS - 1 - i];
-	g_autoptr (GPtrArray) one = dff_grants_share (workers, N_WORKERS, members, N_MEMBERS);
-	g_autoptr (GPtrArray) other = dff_grants_share (workers, N_WORKERS, reversed, N_MEMBERS);
+	g_autoptr (GPtrArray) one = dff_grants_assign (workers, N_WORKERS, members, N_MEMBERS);
+	g_autoptr (GPtrArray) other = dff_grants_assign (workers, N_WORKERS, reversed, N_MEMBERS);
 	for (guint member = 0; member < N_MEMBERS; member++) {
 		for (int worker = 0; worker < N_WORKERS; worker++)
 			assert_int_equal (slots_of (one, member, worker),
@@ -100,7 +100,7 @@
 test_same_data_centre_is_preferred (void **state)
 {
 	(void)state;
-	g_autoptr (GPtrArray) shares = dff_grants_share (workers, N_WORKERS, members, N_MEMBERS);
+	g_autoptr (GPtrArray) shares = dff_grants_assign (workers, N_WORKERS, members, N_MEMBERS);
 	int32_t same = 0;
 	for (guint member = 0; member < N_MEMBERS; member++) {
 		for (int worker = 0; worker < N_WORKERS; worker++) {
@@ -126,7 +126,7 @@
 	int watched[N_WORKERS] = {0};
 	for (int i = 0; i < N_MEMBERS; i++) {
 		g_autoptr (GArray) share = g_array_new (FALSE, FALSE, sizeof (guint));
-		dff_watch_share (&watchers[i], watchers, N_MEMBERS, names, N_WORKERS, share);
+		dff_watch_assign (&watchers[i], watchers, N_MEMBERS, names, N_WORKERS, share);
 		for (guint j = 0; j < share->len; j++)
 			watched[g_array_index (share, guint, j)]++;
 	}
@@ -157,7 +157,7 @@
 		g_autoptr (GArray) all = g_array_new (FALSE, FALSE, sizeof (member));
 		g_autoptr (GArray) out = g_array_new (FALSE, FALSE, sizeof (struct dff_name));
 		g_array_append_val (all, member);
-		dff_watch_share_members (all, &here, out);
+		dff_watch_collect_members (all, &here, out);
 		assert_int_equal (out->len, cases[i].counts);
 	}
 }
--- a/tests/platform/test-decode.c
+++ b/tests/platform/test-decode.c
@@ -81,10 +81,10 @@
 		int64_t remaining_ms;
 		int64_t born_ms;
 	} cases[] = {
-		{"\"ready\"", false, -1, DFF_BORN_UNTOLD},
-		{"\"draining\",\"remaining_ms\":1800", true, 1800, DFF_BORN_UNTOLD},
+		{"\"ready\"", false, -1, DFF_START_UNREPORTED},
+		{"\"draining\",\"remaining_ms\":1800", true, 1800, DFF_START_UNREPORTED},
 		{"\"ready\",\"born\":1790000000123", false, -1, 1790000000123},
-		{"\"ready\",\"born\":\"today\"", false, -1, DFF_BORN_UNREADABLE},
+		{"\"ready\",\"born\":\"today\"", false, -1, DFF_START_UNREADABLE},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		g_autofree char *text = g_strdup_printf (
--- a/tests/platform/test-http.c
+++ b/tests/platform/test-http.c
@@ -246,10 +246,10 @@
 		{200, "{\"clock_ms\":482113}", false, DFF_RUNNER_DONE},
 		{409, "{\"clock_ms\":1,\"reason\":\"fence\"}", false, DFF_RUNNER_STALE_EPOCH},
 		{409, "{\"clock_ms\":1,\"reason\":\"old\"}", false, DFF_RUNNER_OLD_RUN},
-		{409, "{\"clock_ms\":1,\"reason\":\"late\"}", false, DFF_RUNNER_LATE},
-		{409, "{\"clock_ms\":1,\"reason\":\"room\"}", false, DFF_RUNNER_NO_ROOM},
+		{409, "{\"clock_ms\":1,\"reason\":\"late\"}", false, DFF_RUNNER_DEADLINE_PASSED},
+		{409, "{\"clock_ms\":1,\"reason\":\"room\"}", false, DFF_RUNNER_NO_CAPACITY},
 		{409, "{\"clock_ms\":1,\"reason\":\"new\"}", false, DFF_RUNNER_INVALID},
-		{421, "", false, DFF_RUNNER_OTHER_LIFE},
+		{421, "", false, DFF_RUNNER_OTHER_INCARNATION},
 		{503, "", false, DFF_RUNNER_UNHEALTHY},
 		{400, "", false, DFF_RUNNER_INVALID},
 		{500, "", false, DFF_RUNNER_UNKNOWN},
@@ -346,14 +346,14 @@
 		int64_t born_ms;
 	} cases[] = {
 		{"{\"clock_ms\":1,\"born\":1790000000123}", 1790000000123},
-		{"{\"clock_ms\":1}", DFF_BORN_UNTOLD},
-		{"{\"clock_ms\":1,\"born\":null}", DFF_BORN_UNREADABLE},
-		{"{\"clock_ms\":1,\"born\":\"1790000000123\"}", DFF_BORN_UNREADABLE},
-		{"{\"clock_ms\":1,\"born\":1790000000123.5}", DFF_BORN_UNREADABLE},
-		{"{\"clock_ms\":1,\"born\":-5}", DFF_BORN_UNREADABLE},
-		{"{\"clock_ms\":1,\"born\":0}", DFF_BORN_UNREADABLE},
-		{"{\"clock_ms\":1,\"born\":[1]}", DFF_BORN_UNREADABLE},
-		{"[]", DFF_BORN_UNTOLD},
+		{"{\"clock_ms\":1}", DFF_START_UNREPORTED},
+		{"{\"clock_ms\":1,\"born\":null}", DFF_START_UNREADABLE},
+		{"{\"clock_ms\":1,\"born\":\"1790000000123\"}", DFF_START_UNREADABLE},
+		{"{\"clock_ms\":1,\"born\":1790000000123.5}", DFF_START_UNREADABLE},
+		{"{\"clock_ms\":1,\"born\":-5}", DFF_START_UNREADABLE},
+		{"{\"clock_ms\":1,\"born\":0}", DFF_START_UNREADABLE},
+		{"{\"clock_ms\":1,\"born\":[1]}", DFF_START_UNREADABLE},
+		{"[]", DFF_START_UNREPORTED},
 	};
 	struct server server;
 	server_open (&server);
--- a/tests/pool/test-pool.c
+++ b/tests/pool/test-pool.c
@@ -273,7 +273,7 @@
 	assert_int_equal (copy->racks->len, 2);
 	assert_true (rack->workers->len > 0);
 	assert_non_null (dff_pool_find_team (copy, &name));
-	assert_int_equal (dff_pool_adjacent_unit (copy), 12);
+	assert_int_equal (dff_pool_largest_rack_shape (copy), 12);
 	dff_pool_free (copy);
 }
 
@@ -293,7 +293,7 @@
 		DFF_AUTO (dff_pool)
 		pool = dff_pool_parse (dff_str_from (cases[i].text), "p", NULL, NULL);
 		assert_non_null (pool);
-		assert_int_equal (dff_pool_adjacent_unit (pool), cases[i].unit);
+		assert_int_equal (dff_pool_largest_rack_shape (pool), cases[i].unit);
 	}
 }
 
@@ -325,7 +325,7 @@
 		assert_non_null (pool);
 		const struct dff_rack *rack = &g_array_index (pool->racks, struct dff_rack, 0);
 		assert_int_equal (dff_pool_request_slots (pool, rack), cases[i].granted);
-		assert_int_equal (dff_pool_slots_set_aside (pool, rack), cases[i].set_aside);
+		assert_int_equal (dff_pool_dedicated_slots (pool, rack), cases[i].set_aside);
 	}
 }
 
--- a/tests/record/recorder_fixture.c
+++ b/tests/record/recorder_fixture.c
@@ -67,7 +67,7 @@
 	writer->calls++;
 	writer->outcome = outcome;
 	writer->revision = revision;
-	if (outcome == DFF_RECORD_DONE)
+	if (outcome == DFF_RECORD_COMMITTED)
 		g_string_append_printf (writer->fixture->done_order, "%s ", writer->key);
 }
 
--- a/tests/record/recorder_fixture.h
+++ b/tests/record/recorder_fixture.h
@@ -17,7 +17,7 @@
 	struct dff_clock_virtual clock;
 	struct dff_metrics *metrics;
 	struct dff_memory *memory;
-	struct dff_memory_caller *caller;
+	struct dff_memory_handle *caller;
 	struct dff_recorder *recorder;
 	/** Keys of confirmed writes, in order of their callbacks. */
 	GString *done_order;
--- a/tests/record/test-recorder-faults.c
+++ b/tests/record/test-recorder-faults.c
@@ -24,13 +24,21 @@
 		enum dff_record_outcome outcome;
 		int commits;
 	} cases[] = {
-		{"took-effect", {.lose_answers = 1}, 0, DFF_RECORD_DONE, 1},
-		{"took-effect-give-up", {.lose_answers = 1}, 10, DFF_RECORD_DONE, 1},
-		{"absent", {.lost_writes = 1}, 0, DFF_RECORD_DONE, 2},
-		{"absent-give-up", {.lost_writes = 1}, 10, DFF_RECORD_NOT_DONE, 1},
-		{"late", {.late_writes = 1, .late_ms = 300}, 0, DFF_RECORD_DONE, 2},
-		{"late-give-up", {.late_writes = 1, .late_ms = 300}, 10, DFF_RECORD_NOT_DONE, 1},
-		{"late-before-lookup", {.late_writes = 1, .late_ms = 5}, 10, DFF_RECORD_DONE, 1},
+		{"took-effect", {.lose_answers = 1}, 0, DFF_RECORD_COMMITTED, 1},
+		{"took-effect-give-up", {.lose_answers = 1}, 10, DFF_RECORD_COMMITTED, 1},
+		{"absent", {.lost_writes = 1}, 0, DFF_RECORD_COMMITTED, 2},
+		{"absent-give-up", {.lost_writes = 1}, 10, DFF_RECORD_NOT_COMMITTED, 1},
+		{"late", {.late_writes = 1, .late_ms = 300}, 0, DFF_RECORD_COMMITTED, 2},
+		{"late-give-up",
+		 {.late_writes = 1, .late_ms = 300},
+		 10,
+		 DFF_RECORD_NOT_COMMITTED,
+		 1},
+		{"late-before-lookup",
+		 {.late_writes = 1, .late_ms = 5},
+		 10,
+		 DFF_RECORD_COMMITTED,
+		 1},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct recorder_writer writer;
@@ -40,7 +48,7 @@
 		recorder_write (fixture, &writer, cases[i].key, "v", cases[i].key, 0,
 				cases[i].give_up_ms);
 		recorder_run (fixture, 1000);
-		bool done = cases[i].outcome == DFF_RECORD_DONE;
+		bool done = cases[i].outcome == DFF_RECORD_COMMITTED;
 		assert_int_equal (writer.calls, 1);
 		assert_int_equal (writer.outcome, cases[i].outcome);
 		assert_true (recorder_row_is (fixture, cases[i].key, done ? "v" : NULL));
@@ -70,7 +78,7 @@
 	fixture->caller->faults.lose_permille = 0;
 	recorder_run (fixture, 6000);
 	assert_int_equal (writer.calls, 1);
-	assert_int_equal (writer.outcome, DFF_RECORD_DONE);
+	assert_int_equal (writer.outcome, DFF_RECORD_COMMITTED);
 	assert_true (recorder_row_is (fixture, "k", "v"));
 }
 
@@ -85,22 +93,22 @@
 	for (int i = 0; i < 4; i++)
 		recorder_write (fixture, &writers[i], keys[i], "v", NULL, 0, i == 3 ? 5000 : 0);
 	recorder_run (fixture, 100);
-	assert_true (dff_recorder_is_open (fixture->recorder));
+	assert_true (dff_recorder_is_breaker_open (fixture->recorder));
 	assert_true (dff_recorder_retry_after_s (fixture->recorder) >= 1);
 	/* A caller waits for the last one: it is told at once, not when its time is over. */
 	assert_int_equal (writers[3].calls, 1);
-	assert_int_equal (writers[3].outcome, DFF_RECORD_NOT_DONE);
+	assert_int_equal (writers[3].outcome, DFF_RECORD_NOT_COMMITTED);
 	recorder_write (fixture, &late, "late", "v", NULL, 0, 5000);
 	recorder_run (fixture, TICK_MS);
 	assert_int_equal (late.calls, 1);
-	assert_int_equal (late.outcome, DFF_RECORD_NOT_DONE);
+	assert_int_equal (late.outcome, DFF_RECORD_NOT_COMMITTED);
 	recorder_run (fixture, 9000);
 	assert_int_equal (writers[0].calls, 0);
 	/* The breaker's tries back off: 200 ms doubling to 5 s, each between half and all of it. */
 	int64_t tries = *dff_metrics_counter (fixture->metrics, "dff_record_lookups_total", "");
 	assert_in_range (tries, 4, 9);
 	recorder_run (fixture, 7000);
-	assert_false (dff_recorder_is_open (fixture->recorder));
+	assert_false (dff_recorder_is_breaker_open (fixture->recorder));
 	assert_string_equal (fixture->done_order->str, "a b c ");
 	assert_true (recorder_row_is (fixture, "d", NULL));
 	assert_true (recorder_row_is (fixture, "late", NULL));
@@ -120,14 +128,14 @@
 	recorder_run (fixture, 10);
 	recorder_write (fixture, &waiting, "a", "w", NULL, 0, 4900);
 	recorder_run (fixture, 4000);
-	assert_true (dff_recorder_is_open (fixture->recorder));
+	assert_true (dff_recorder_is_breaker_open (fixture->recorder));
 	assert_int_equal (writer.calls, 0);
-	assert_int_equal (waiting.outcome, DFF_RECORD_NOT_DONE);
+	assert_int_equal (waiting.outcome, DFF_RECORD_NOT_COMMITTED);
 	recorder_run (fixture, 6000);
 	assert_int_equal (writer.calls, 1);
-	assert_int_equal (writer.outcome, DFF_RECORD_DONE);
+	assert_int_equal (writer.outcome, DFF_RECORD_COMMITTED);
 	assert_true (recorder_row_is (fixture, "a", "v"));
-	assert_false (dff_recorder_is_open (fixture->recorder));
+	assert_false (dff_recorder_is_breaker_open (fixture->recorder));
 }
 
 /* Symptom: a caller is told "not run", and the job runs. Sequence: the caller's time is over while
@@ -140,14 +148,18 @@
 		const char *key;
 		int64_t run_ms;
 		struct dff_memory_faults faults;
-		enum dff_abandon abandon;
+		enum dff_abandon_outcome abandon;
 		bool written;
 	} cases[] = {
-		{"waiting", 0, {0}, DFF_ABANDON_NOT_DONE, false},
+		{"waiting", 0, {0}, DFF_ABANDON_NOT_COMMITTED, false},
 		{"sent", 10, {.delay_min_ms = 50}, DFF_ABANDON_UNKNOWN, true},
 		{"unresolved", 10, {.lost_writes = 1}, DFF_ABANDON_UNKNOWN, false},
-		{"refused", 5, {.outage_until_ms = 1}, DFF_ABANDON_NOT_DONE, false},
-		{"in-outage", 100, {.outage_until_ms = INT64_MAX}, DFF_ABANDON_NOT_DONE, false},
+		{"refused", 5, {.outage_until_ms = 1}, DFF_ABANDON_NOT_COMMITTED, false},
+		{"in-outage",
+		 100,
+		 {.outage_until_ms = INT64_MAX},
+		 DFF_ABANDON_NOT_COMMITTED,
+		 false},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct recorder_writer writer;
@@ -171,7 +183,7 @@
 abandon_other (void *user, enum dff_record_outcome outcome, int64_t revision)
 {
 	struct recorder_writer *other = user;
-	assert_int_equal (outcome, DFF_RECORD_DONE);
+	assert_int_equal (outcome, DFF_RECORD_COMMITTED);
 	assert_int_equal (revision, 1);
 	assert_int_equal (dff_recorder_abandon (other->fixture->recorder, other->ticket),
 			  DFF_ABANDON_UNKNOWN);
--- a/tests/record/test-recorder-http.c
+++ b/tests/record/test-recorder-http.c
@@ -158,13 +158,13 @@
 	struct fixture *fixture = user;
 	int done = 0;
 	for (int i = 0; i < N_WRITES; i++)
-		done += fixture->writers[i].outcome == DFF_RECORD_DONE;
+		done += fixture->writers[i].outcome == DFF_RECORD_COMMITTED;
 	assert_int_equal (result->n_rows, done);
 	for (size_t i = 0; i < result->n_rows; i++) {
 		const struct dff_table_row *row = &result->rows[i];
 		g_autofree char *index = g_strndup (row->key.data + 2, row->key.len - 2);
 		const struct writer *writer = &fixture->writers[g_ascii_strtoull (index, NULL, 10)];
-		assert_int_equal (writer->outcome, DFF_RECORD_DONE);
+		assert_int_equal (writer->outcome, DFF_RECORD_COMMITTED);
 		assert_int_equal (writer->revision, row->revision);
 	}
 	fixture->n_called++;
--- a/tests/record/test-recorder-seeds.c
+++ b/tests/record/test-recorder-seeds.c
@@ -42,7 +42,7 @@
 	enum dff_record_outcome outcome;
 	int64_t revision;
 	bool abandoned;
-	enum dff_abandon abandon;
+	enum dff_abandon_outcome abandon;
 };
 
 struct run {
@@ -50,9 +50,9 @@
 	struct dff_clock_virtual clock;
 	struct dff_metrics *metrics;
 	struct dff_memory *memory;
-	struct dff_memory_caller *caller;
+	struct dff_memory_handle *caller;
 	/** Takes the epoch away; without faults. */
-	struct dff_memory_caller *rival;
+	struct dff_memory_handle *rival;
 	struct dff_recorder *recorder;
 	struct writer writers[N_WRITES];
 	int n_writers;
@@ -230,14 +230,14 @@
 	bool exists = dff_memory_peek (run->memory, dff_str_from (writer->key), &row);
 	if (writer->abandoned) {
 		assert_int_equal (writer->calls, 0);
-		if (writer->abandon == DFF_ABANDON_NOT_DONE && writer->kind != DFF_WRITE_CHAIN)
+		if (writer->abandon == DFF_ABANDON_NOT_COMMITTED && writer->kind != DFF_WRITE_CHAIN)
 			assert_false (exists);
 		return;
 	}
 	assert_int_equal (writer->calls, 1);
 	if (writer->kind == DFF_WRITE_CHAIN)
 		return;
-	assert_int_equal (exists, writer->outcome == DFF_RECORD_DONE);
+	assert_int_equal (exists, writer->outcome == DFF_RECORD_COMMITTED);
 	if (exists)
 		assert_int_equal (writer->revision, row.revision);
 	if (writer->kind == DFF_WRITE_HOPELESS)
@@ -254,7 +254,7 @@
 may_be_last (const struct writer *writer)
 {
 	return writer->abandoned ? writer->abandon == DFF_ABANDON_UNKNOWN
-				 : writer->outcome == DFF_RECORD_DONE;
+				 : writer->outcome == DFF_RECORD_COMMITTED;
 }
 
 static void
@@ -274,7 +274,7 @@
 		if (is_row)
 			return;
 		/* A confirmed write can be followed only by what came after it. */
-		assert_false (!writer->abandoned && writer->outcome == DFF_RECORD_DONE);
+		assert_false (!writer->abandoned && writer->outcome == DFF_RECORD_COMMITTED);
 	}
 	assert_false (exists);
 }
@@ -291,7 +291,7 @@
 test_seeds (void **state)
 {
 	(void)state;
-	int counts[DFF_RECORD_NOT_DONE + 1] = {0};
+	int counts[DFF_RECORD_NOT_COMMITTED + 1] = {0};
 	for (guint32 seed = 0; seed < N_SEEDS; seed++) {
 		struct run *run = run_new (seed);
 		play (run);
@@ -308,8 +308,8 @@
 	/* The schedules must bring about every outcome, else they prove little. */
 	for (size_t i = 0; i < G_N_ELEMENTS (counts); i++)
 		assert_true (counts[i] > N_SEEDS);
-	print_message ("done %d, conflict %d, not done %d\n", counts[DFF_RECORD_DONE],
-		       counts[DFF_RECORD_CONFLICT], counts[DFF_RECORD_NOT_DONE]);
+	print_message ("done %d, conflict %d, not done %d\n", counts[DFF_RECORD_COMMITTED],
+		       counts[DFF_RECORD_CONFLICT], counts[DFF_RECORD_NOT_COMMITTED]);
 }
 
 int
--- a/tests/record/test-recorder.c
+++ b/tests/record/test-recorder.c
@@ -20,7 +20,7 @@
 	recorder_run (fixture, 20);
 	for (int i = 0; i < MAX_ROWS; i++) {
 		assert_int_equal (writers[i].calls, 1);
-		assert_int_equal (writers[i].outcome, DFF_RECORD_DONE);
+		assert_int_equal (writers[i].outcome, DFF_RECORD_COMMITTED);
 		assert_int_equal (writers[i].revision, 1);
 	}
 	assert_int_equal (dff_memory_counts (fixture->memory).commits, 1);
@@ -59,13 +59,14 @@
 	recorder_write (fixture, &writers[2], "c", "v", "c", 0, 0);
 	recorder_write (fixture, &writers[3], "d", "v", "x", 9, 0);
 	recorder_run (fixture, 100);
-	static const enum dff_record_outcome outcomes[] = {DFF_RECORD_DONE, DFF_RECORD_CONFLICT,
-							   DFF_RECORD_DONE, DFF_RECORD_CONFLICT};
+	static const enum dff_record_outcome outcomes[] = {
+		DFF_RECORD_COMMITTED, DFF_RECORD_CONFLICT, DFF_RECORD_COMMITTED,
+		DFF_RECORD_CONFLICT};
 	for (int i = 0; i < 4; i++) {
 		assert_int_equal (writers[i].calls, 1);
 		assert_int_equal (writers[i].outcome, outcomes[i]);
 		assert_true (recorder_row_is (fixture, writers[i].key,
-					      outcomes[i] == DFF_RECORD_DONE ? "v" : NULL));
+					      outcomes[i] == DFF_RECORD_COMMITTED ? "v" : NULL));
 	}
 	assert_int_equal (dff_memory_counts (fixture->memory).commits, 2);
 	assert_int_equal (dff_memory_counts (fixture->memory).gets, 1);
@@ -142,7 +143,7 @@
 		recorder_write (fixture, &writers[i], "k", "v", NULL, 0, 0);
 	dff_recorder_tick (fixture->recorder);
 	assert_int_equal (writers[MAX_WAITING].calls, 1);
-	assert_int_equal (writers[MAX_WAITING].outcome, DFF_RECORD_NOT_DONE);
+	assert_int_equal (writers[MAX_WAITING].outcome, DFF_RECORD_NOT_COMMITTED);
 	for (int i = 1; i < MAX_WAITING; i++)
 		assert_int_equal (writers[i].calls, 0);
 }
@@ -163,14 +164,14 @@
 		recorder_write (fixture, &writers[i], keys[i], "v", NULL, 0, 0);
 	recorder_run (fixture, 2000);
 	for (int i = 0; i < 3; i++)
-		assert_int_equal (writers[i].outcome, DFF_RECORD_DONE);
+		assert_int_equal (writers[i].outcome, DFF_RECORD_COMMITTED);
 	int64_t opened =
 		*dff_metrics_counter (fixture->metrics, "dff_record_breaker_opened_total", "");
 	int64_t commits = dff_memory_counts (fixture->memory).commits;
 	for (int i = 0; i < 20; i++) {
 		recorder_write (fixture, &writers[3], keys[3], "v", NULL, 0, 100);
 		recorder_run (fixture, 1000);
-		assert_int_equal (writers[3].outcome, DFF_RECORD_DONE);
+		assert_int_equal (writers[3].outcome, DFF_RECORD_COMMITTED);
 	}
 	assert_int_equal (
 		*dff_metrics_counter (fixture->metrics, "dff_record_breaker_opened_total", ""),
@@ -178,7 +179,7 @@
 	assert_in_range (dff_memory_counts (fixture->memory).commits - commits, 22, 30);
 	assert_int_equal (refused.calls, 0);
 	assert_int_equal (dff_recorder_abandon (fixture->recorder, refused.ticket),
-			  DFF_ABANDON_NOT_DONE);
+			  DFF_ABANDON_NOT_COMMITTED);
 }
 
 static void
@@ -193,12 +194,12 @@
 	recorder_write (fixture, &too_large, "huge", huge, NULL, 0, 0);
 	dff_recorder_tick (fixture->recorder);
 	assert_int_equal (too_large.calls, 1);
-	assert_int_equal (too_large.outcome, DFF_RECORD_NOT_DONE);
+	assert_int_equal (too_large.outcome, DFF_RECORD_NOT_COMMITTED);
 	for (int i = 0; i < 5; i++)
 		recorder_write (fixture, &writers[i], keys[i], large, NULL, 0, 0);
 	recorder_run (fixture, 200);
 	for (int i = 0; i < 5; i++)
-		assert_int_equal (writers[i].outcome, DFF_RECORD_DONE);
+		assert_int_equal (writers[i].outcome, DFF_RECORD_COMMITTED);
 	/* 256 KiB a transaction hold two of them. */
 	assert_int_equal (dff_memory_counts (fixture->memory).commits, 3);
 }
--- a/tests/relay/test-relay.c
+++ b/tests/relay/test-relay.c
@@ -275,7 +275,7 @@
 	(void)state;
 	struct fixture fixture;
 	open_fixture (&fixture);
-	dff_memory_runner_add_born (fixture.runner, "again", "10.0.9.1:1", 8, 1000);
+	dff_memory_runner_add_with_start (fixture.runner, "again", "10.0.9.1:1", 8, 1000);
 	const struct dff_runner *runner = dff_dispatch_interface (fixture.dispatch);
 	struct dff_run_watch watch = {.worker = dff_name_from ("again"),
 				      .address = dff_name_from ("10.0.9.1:1"),
@@ -292,7 +292,7 @@
 		assert_in_range (outcome.clock_ms, 1, 200);
 		dff_memory_runner_kill (fixture.runner, "again");
 		born_ms = dff_virtual_loop_now_ms (fixture.loop);
-		dff_memory_runner_add_born (fixture.runner, "again", "10.0.9.1:1", 8, 1000);
+		dff_memory_runner_add_with_start (fixture.runner, "again", "10.0.9.1:1", 8, 1000);
 	}
 	close_fixture (&fixture);
 }
--- a/tests/rows/test-reading.c
+++ b/tests/rows/test-reading.c
@@ -16,12 +16,12 @@
 	struct dff_virtual_loop *loop;
 	struct dff_memory_rows *rows;
 	struct dff_memory_rows_client *client;
-	struct dff_reading *reading;
+	struct dff_scan *reading;
 	/** Key to the number of times that it was reported. */
 	GHashTable *seen;
 	int n_pages;
 	int n_whole;
-	struct dff_reading_end end;
+	struct dff_scan_result end;
 };
 
 static void
@@ -43,7 +43,7 @@
 }
 
 static void
-handle_whole (void *ctx, const struct dff_reading_end *end)
+handle_whole (void *ctx, const struct dff_scan_result *end)
 {
 	struct fixture *fixture = ctx;
 	fixture->n_whole++;
@@ -62,7 +62,7 @@
 		g_autofree char *key = g_strdup_printf ("k%05d", i);
 		dff_memory_rows_put (fixture->rows, TABLE, key, dff_str_from ("value"));
 	}
-	struct dff_reading_options options = {
+	struct dff_scan_options options = {
 		.timers = dff_virtual_loop_timers (fixture->loop),
 		.rows = dff_memory_rows_client_interface (fixture->client),
 		.table = TABLE,
@@ -72,13 +72,13 @@
 			 .done = handle_whole,
 			 .ctx = fixture},
 	};
-	fixture->reading = dff_reading_new (&options);
+	fixture->reading = dff_scan_new (&options);
 }
 
 static void
 fixture_close (struct fixture *fixture)
 {
-	dff_reading_free (fixture->reading);
+	dff_scan_free (fixture->reading);
 	dff_virtual_loop_run (fixture->loop, 10000);
 	dff_memory_rows_free (fixture->rows);
 	dff_virtual_loop_free (fixture->loop);
@@ -107,10 +107,10 @@
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct fixture fixture;
 		fixture_open (&fixture, cases[i].n_rows);
-		dff_reading_start (fixture.reading);
-		assert_true (dff_reading_is_running (fixture.reading));
+		dff_scan_start (fixture.reading);
+		assert_true (dff_scan_is_running (fixture.reading));
 		dff_virtual_loop_run (fixture.loop, 1000);
-		assert_false (dff_reading_is_running (fixture.reading));
+		assert_false (dff_scan_is_running (fixture.reading));
 		assert_int_equal (fixture.n_whole, 1);
 		assert_int_equal (fixture.end.n_rows, cases[i].n_rows);
 		assert_int_equal (fixture.end.n_pages, cases[i].n_pages);
@@ -130,7 +130,7 @@
 	struct fixture fixture;
 	fixture_open (&fixture, 1200);
 	dff_memory_rows_client_faults (fixture.client)->row_us = 4000;
-	dff_reading_start (fixture.reading);
+	dff_scan_start (fixture.reading);
 	dff_virtual_loop_run (fixture.loop, 15000);
 	assert_int_equal (fixture.n_whole, 1);
 	assert_in_range (fixture.end.n_failed, 1, 3);
@@ -146,7 +146,7 @@
 	(void)state;
 	struct fixture fixture;
 	fixture_open (&fixture, 1200);
-	dff_reading_start (fixture.reading);
+	dff_scan_start (fixture.reading);
 	while (fixture.n_pages < 1)
 		dff_virtual_loop_run (fixture.loop, 1);
 	dff_memory_rows_client_faults (fixture.client)->silent = true;
@@ -168,7 +168,7 @@
 	struct fixture fixture;
 	fixture_open (&fixture, 10);
 	dff_memory_rows_client_faults (fixture.client)->refuses = true;
-	dff_reading_start (fixture.reading);
+	dff_scan_start (fixture.reading);
 	dff_virtual_loop_run (fixture.loop, 4000);
 	assert_in_range (fixture.n_pages, 8, 14);
 	dff_memory_rows_client_faults (fixture.client)->refuses = false;
@@ -183,19 +183,19 @@
 	(void)state;
 	struct fixture fixture;
 	fixture_open (&fixture, 1200);
-	dff_reading_start (fixture.reading);
+	dff_scan_start (fixture.reading);
 	dff_virtual_loop_run (fixture.loop, 1);
-	g_clear_pointer (&fixture.reading, dff_reading_free);
+	g_clear_pointer (&fixture.reading, dff_scan_free);
 	dff_virtual_loop_run (fixture.loop, 5000);
 	assert_int_equal (fixture.n_pages, 0);
-	struct dff_reading_options options = {
+	struct dff_scan_options options = {
 		.timers = dff_virtual_loop_timers (fixture.loop),
 		.rows = dff_memory_rows_client_interface (fixture.client),
 		.table = TABLE,
 		.timeout_ms = 400,
 		.sink = {.row = handle_row, .done = handle_whole, .ctx = &fixture},
 	};
-	fixture.reading = dff_reading_new (&options);
+	fixture.reading = dff_scan_new (&options);
 	fixture_close (&fixture);
 }
 
--- a/tests/upstream/test-http-worker.c
+++ b/tests/upstream/test-http-worker.c
@@ -29,7 +29,7 @@
 	bool leaving;
 	/** The stand-in worker's side, where there is one. */
 	struct dff_memory *memory;
-	struct dff_memory_caller *caller;
+	struct dff_memory_handle *caller;
 	struct dff_standin_worker *standin;
 	struct dff_worker_server *server;
 };
@@ -50,7 +50,7 @@
 	options.command_timeout_ms = COMMAND_TIMEOUT_MS;
 	options.renew_timeout_ms = COMMAND_TIMEOUT_MS;
 	fixture->worker = dff_http_worker_new (&options);
-	fixture->client = dff_http_worker_client (fixture->worker);
+	fixture->client = dff_http_worker_interface (fixture->worker);
 }
 
 static void
@@ -96,7 +96,7 @@
 {
 	struct fixture *fixture = user;
 	fixture->outcome = result->outcome;
-	fixture->state = result->n_reports == 0 ? DFF_TASK_UNSEEN : result->reports[0].state;
+	fixture->state = result->n_reports == 0 ? DFF_TASK_UNKNOWN : result->reports[0].state;
 	event_base_loopbreak (fixture->base);
 }
 
@@ -223,7 +223,7 @@
 	assert_int_equal (fixture.state, DFF_TASK_HELD);
 	start (&fixture, 1);
 	assert_int_equal (fixture.outcome, DFF_WORKER_REFUSED);
-	assert_int_equal (fixture.state, DFF_TASK_UNSEEN);
+	assert_int_equal (fixture.state, DFF_TASK_UNKNOWN);
 	struct dff_task_id task = {dff_name_from ("sk.a"), 1, 0};
 	fixture.client->release (fixture.client->ctx, &fixture.address, &task, 1, called, &fixture);
 	event_base_dispatch (fixture.base);
--- a/tests/upstream/test-run-log.c
+++ b/tests/upstream/test-run-log.c
@@ -55,7 +55,7 @@
 	dff_clock_virtual_init (&clock, 1000);
 	struct dff_memory_options memory_options = {.clock = &clock.clock, .seed = 1};
 	DFF_AUTO (dff_memory) memory = dff_memory_new (&memory_options);
-	struct dff_memory_caller *handle = dff_memory_open (memory);
+	struct dff_memory_handle *handle = dff_memory_open (memory);
 	g_autofree char *directory = g_dir_make_tmp ("run-log-XXXXXX", NULL);
 	g_autofree char *path = g_build_filename (directory, "runs", NULL);
 	struct dff_run_log *log = dff_run_log_open (path, NULL);
--- a/tests/upstream/test-watcher.c
+++ b/tests/upstream/test-watcher.c
@@ -37,7 +37,7 @@
 struct fixture {
 	struct dff_clock_virtual clock;
 	struct dff_memory *memory;
-	struct dff_memory_caller *caller;
+	struct dff_memory_handle *caller;
 	struct dff_memory_workers *workers;
 	struct dff_metrics *metrics;
 	struct dff_watcher *watcher;
@@ -49,7 +49,7 @@
 };
 
 static void
-sighted (void *ctx, const struct dff_worker_sighting *sighting)
+sighted (void *ctx, const struct dff_worker_report *sighting)
 {
 	struct fixture *fixture = ctx;
 	if (fixture->lose_sightings > 0) {
@@ -69,7 +69,7 @@
 	seen->silent_ms = sighting->silent_ms;
 	seen->at_ms = fixture->clock.now_ms;
 	if (sighting->complete)
-		seen->task = DFF_TASK_UNSEEN;
+		seen->task = DFF_TASK_UNKNOWN;
 	for (size_t i = 0; i < sighting->n_reports; i++)
 		seen->task = sighting->reports[i].state;
 }
@@ -79,7 +79,7 @@
 {
 	struct dff_watcher_options options;
 	dff_watcher_options_init (&options);
-	options.workers = dff_memory_workers_client (fixture->workers);
+	options.workers = dff_memory_workers_interface (fixture->workers);
 	options.clock = &fixture->clock.clock;
 	options.metrics = fixture->metrics;
 	options.seed = seed;
@@ -162,7 +162,7 @@
 	g_autoptr (GArray) reports = g_array_new (FALSE, TRUE, sizeof (struct dff_task_report));
 	dff_worker_tasks_query (
 		dff_memory_workers_tasks (fixture->workers, &fixture->share[0].address), reports);
-	return reports->len == 0 ? DFF_TASK_UNSEEN
+	return reports->len == 0 ? DFF_TASK_UNKNOWN
 				 : g_array_index (reports, struct dff_task_report, 0).state;
 }
 
@@ -273,7 +273,7 @@
 	fixture.lose_sightings = 1;
 	run (&fixture, 2 * INTERVAL_MS);
 	assert_int_equal (fixture.lose_sightings, 0);
-	assert_int_equal (fixture.seen[0].task, DFF_TASK_UNSEEN);
+	assert_int_equal (fixture.seen[0].task, DFF_TASK_UNKNOWN);
 	/* Due after RETELL_MS and its jitter, told with the renewal after that. */
 	run (&fixture, RETELL_MS + 2 * INTERVAL_MS);
 	assert_int_equal (fixture.seen[0].task, DFF_TASK_RUNNING);
@@ -366,7 +366,7 @@
 		run (&fixture, 2 * INTERVAL_MS);
 		assert_true (fixture.seen[0].sightings > told);
 		assert_true (fixture.seen[0].whole);
-		assert_int_equal (fixture.seen[0].task, DFF_TASK_UNSEEN);
+		assert_int_equal (fixture.seen[0].task, DFF_TASK_UNKNOWN);
 		fixture_clear (&fixture);
 	}
 }
@@ -385,7 +385,7 @@
 		faults (&fixture)->delay_ms = 300;
 		run (&fixture, RETELL_MS + 4 * INTERVAL_MS + offset_ms);
 		fixture.seen[0] = (struct seen){0};
-		dff_watcher_tell_all (fixture.watcher);
+		dff_watcher_report_all (fixture.watcher);
 		run (&fixture, 3 * INTERVAL_MS);
 		assert_int_equal (fixture.seen[0].sightings, 1);
 		assert_true (fixture.seen[0].whole);
--- a/tests/upstream/test-worker-tasks.c
+++ b/tests/upstream/test-worker-tasks.c
@@ -175,7 +175,7 @@
 	 false,
 	 {
 		 {0, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
-		 {0, DFF_OP_START, 1, 1, 0, REFUSED, DFF_TASK_UNSEEN, false},
+		 {0, DFF_OP_START, 1, 1, 0, REFUSED, DFF_TASK_UNKNOWN, false},
 		 {1, DFF_OP_STOP, 1, 0, 0, OK, DFF_TASK_STOPPED, true},
 		 {1, DFF_OP_START, 1, 1, 0, OK, DFF_TASK_RUNNING, true},
 		 {1, DFF_OP_END},
@@ -189,7 +189,7 @@
 	 {
 		 {0, DFF_OP_START, 1, 0, 6, OK, DFF_TASK_RUNNING, true},
 		 {0, DFF_OP_STOP, 1, 0, 5, REFUSED, DFF_TASK_RUNNING, true},
-		 {0, DFF_OP_START, 2, 0, 5, REFUSED, DFF_TASK_UNSEEN, false},
+		 {0, DFF_OP_START, 2, 0, 5, REFUSED, DFF_TASK_UNKNOWN, false},
 		 {0, DFF_OP_STOP, 1, 0, 7, OK, DFF_TASK_STOPPED, true},
 		 {0, DFF_OP_END},
 	 }},
@@ -207,7 +207,7 @@
 	 {
 		 {0, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
 		 {1, DFF_OP_LEAVE, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
-		 {1, DFF_OP_START, 2, 0, 0, REFUSED, DFF_TASK_UNSEEN, false},
+		 {1, DFF_OP_START, 2, 0, 0, REFUSED, DFF_TASK_UNKNOWN, false},
 		 {1, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
 		 {100, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
 		 {100, DFF_OP_END},
@@ -333,7 +333,7 @@
 static struct dff_task_report
 look_at (struct fixture *fixture, int32_t attempt, int32_t member)
 {
-	struct dff_task_report found = {.state = DFF_TASK_UNSEEN};
+	struct dff_task_report found = {.state = DFF_TASK_UNKNOWN};
 	g_autoptr (GArray) reports = g_array_new (FALSE, TRUE, sizeof (struct dff_task_report));
 	dff_worker_tasks_query (dff_standin_worker_tasks (fixture->worker), reports);
 	for (guint i = 0; i < reports->len; i++) {
--- a/tests/upstream/worker_fixture.h
+++ b/tests/upstream/worker_fixture.h
@@ -9,7 +9,7 @@
 struct fixture {
 	struct dff_clock_virtual clock;
 	struct dff_memory *memory;
-	struct dff_memory_caller *caller;
+	struct dff_memory_handle *caller;
 	struct dff_standin_worker *worker;
 	enum dff_worker_outcome outcome;
 };
--- a/upstream/http_worker.c
+++ b/upstream/http_worker.c
@@ -388,7 +388,7 @@
 }
 
 const struct dff_worker_client *
-dff_http_worker_client (struct dff_http_worker *worker)
+dff_http_worker_interface (struct dff_http_worker *worker)
 {
 	return &worker->client;
 }
--- a/upstream/life.c
+++ b/upstream/life.c
@@ -1,16 +1,16 @@
 #include "upstream/life.h"
 
 bool
-dff_born_is_told (int64_t born_ms)
+dff_start_is_known (int64_t born_ms)
 {
-	return born_ms > DFF_BORN_UNTOLD;
+	return born_ms > DFF_START_UNREPORTED;
 }
 
-enum dff_life_order
-dff_life_compare (int64_t born_ms, const struct dff_life *known)
+enum dff_incarnation_order
+dff_incarnation_compare (int64_t born_ms, const struct dff_incarnation *known)
 {
-	if (!dff_born_is_told (born_ms) || !dff_born_is_told (known->started_ms) ||
+	if (!dff_start_is_known (born_ms) || !dff_start_is_known (known->started_ms) ||
 	    born_ms == known->started_ms)
-		return DFF_LIFE_SAME;
-	return born_ms < known->started_ms ? DFF_LIFE_EARLIER : DFF_LIFE_LATER;
+		return DFF_INCARNATION_SAME;
+	return born_ms < known->started_ms ? DFF_INCARNATION_EARLIER : DFF_INCARNATION_LATER;
 }
--- a/upstream/watcher.c
+++ b/upstream/watcher.c
@@ -118,7 +118,7 @@
 }
 
 static void
-tell (struct watched *worker, struct dff_worker_sighting *sighting)
+tell (struct watched *worker, struct dff_worker_report *sighting)
 {
 	struct dff_watcher *watcher = worker->watcher;
 	worker->told = true;
@@ -165,7 +165,7 @@
 tell_answer (struct watched *worker, const struct dff_worker_result *result)
 {
 	size_t n_left = result->n_reports;
-	struct dff_worker_sighting piece = {
+	struct dff_worker_report piece = {
 		.reachable = true,
 		.leaving = result->leaving,
 		.reports = result->reports,
@@ -245,7 +245,7 @@
 	bool flipped = !worker->told || worker->told_reachable;
 	if (!flipped && silent_ms < worker->told_silent_ms + silence_step_ms (worker))
 		return;
-	struct dff_worker_sighting sighting = {
+	struct dff_worker_report sighting = {
 		.reachable = false,
 		.leaving = worker->told_leaving,
 		.silent_ms = silent_ms,
@@ -359,7 +359,7 @@
 }
 
 void
-dff_watcher_tell_all (struct dff_watcher *watcher)
+dff_watcher_report_all (struct dff_watcher *watcher)
 {
 	for (guint i = 0; i < watcher->order->len; i++) {
 		struct watched *worker = g_ptr_array_index (watcher->order, i);
--- a/upstream/worker_wire.c
+++ b/upstream/worker_wire.c
@@ -10,7 +10,7 @@
 #define MAX_WAIT_MS 60000
 
 static const char *const state_names[] = {
-	[DFF_TASK_UNSEEN] = "unseen",   [DFF_TASK_HELD] = "held",
+	[DFF_TASK_UNKNOWN] = "unseen",  [DFF_TASK_HELD] = "held",
 	[DFF_TASK_RUNNING] = "running", [DFF_TASK_COMPLETED] = "completed",
 	[DFF_TASK_FAILED] = "failed",   [DFF_TASK_STOPPED] = "stopped",
 	[DFF_TASK_REFUSED] = "refused",
