--- a/bench/slopes/watching.c
+++ b/bench/slopes/watching.c
@@ -6,7 +6,7 @@
 #include "bench/slopes/slopes.h"
 #include "common/event_loop.h"
 #include "peer/message.h"
-#include "peer/watch_share.h"
+#include "peer/watch_assignment.h"
 #include "standin/worker_server.h"
 #include "upstream/http_worker.h"
 #include "upstream/watcher.h"
--- a/daemon/daemon_private.h
+++ b/daemon/daemon_private.h
@@ -12,7 +12,7 @@
 #include "common/metrics.h"
 #include "common/trace.h"
 #include "daemon/daemon.h"
-#include "daemon/pool_follower.h"
+#include "daemon/pool_watch.h"
 #include "entry/entry.h"
 #include "peer/peer.h"
 #include "peer/zmq_transport.h"
--- a/daemon/pool_follower.c
+++ b/daemon/pool_watch.c
@@ -1,4 +1,4 @@
-#include "daemon/pool_follower.h"
+#include "daemon/pool_watch.h"
 
 #include <inttypes.h>
 
--- a/daemon/shares.c
+++ b/daemon/shares.c
@@ -3,7 +3,7 @@
 #include "common/rendezvous.h"
 #include "daemon/daemon_private.h"
 #include "peer/grant.h"
-#include "peer/watch_share.h"
+#include "peer/watch_assignment.h"
 
 /* A grant outlives several rounds of renewal, so that a lost message or a change of holder costs
  * nobody its slots. */
--- a/entry/admission.c
+++ b/entry/admission.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "common/digest.h"
-#include "entry/private.h"
+#include "entry/entry_private.h"
 #include "entry/reply.h"
 
 /** Bytes of an Idempotency-Key at the most. */
--- a/entry/answer.c
+++ b/entry/answer.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "common/digest.h"
-#include "entry/private.h"
+#include "entry/entry_private.h"
 
 #define PROBLEM_TYPE "application/problem+json"
 /** Workers answer in JSON (docs/BACKING.md). */
--- a/entry/auth.c
+++ b/entry/auth.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "common/digest.h"
-#include "entry/private.h"
+#include "entry/entry_private.h"
 #include "entry/reply.h"
 
 #define BEARER "Bearer "
--- a/entry/batch_read.c
+++ b/entry/batch_read.c
@@ -3,9 +3,9 @@
 #include "cell/job_row.h"
 #include "entry/batch.h"
 #include "entry/cancel_wave.h"
+#include "entry/entry_private.h"
 #include "entry/job_fetch.h"
 #include "entry/job_json.h"
-#include "entry/private.h"
 #include "entry/reply.h"
 #include "entry/route.h"
 
--- a/entry/batch_submit.c
+++ b/entry/batch_submit.c
@@ -4,9 +4,9 @@
 #include "common/log.h"
 #include "entry/admission.h"
 #include "entry/batch.h"
+#include "entry/entry_private.h"
 #include "entry/job_fetch.h"
 #include "entry/job_json.h"
-#include "entry/private.h"
 #include "entry/record.h"
 #include "entry/reply.h"
 
--- a/entry/call.c
+++ b/entry/call.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <sys/queue.h>
 
-#include "entry/private.h"
+#include "entry/entry_private.h"
 
 static void
 begin_span (struct dff_call *call)
--- a/entry/cancel_wave.c
+++ b/entry/cancel_wave.c
@@ -2,7 +2,7 @@
 
 #include "cell/job_row.h"
 #include "common/log.h"
-#include "entry/private.h"
+#include "entry/entry_private.h"
 #include "entry/record.h"
 #include "entry/reply.h"
 
--- a/entry/delivery.c
+++ b/entry/delivery.c
@@ -2,7 +2,7 @@
 
 #include "common/log.h"
 #include "entry/assembly.h"
-#include "entry/private.h"
+#include "entry/entry_private.h"
 #include "entry/reply.h"
 
 /** A result is put together in memory before its first byte goes out; bytes at the most. */
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "common/http_listen.h"
-#include "entry/private.h"
+#include "entry/entry_private.h"
 #include "entry/reply.h"
 #include "entry/route.h"
 
--- a/entry/job_fetch.c
+++ b/entry/job_fetch.c
@@ -1,7 +1,7 @@
 #include "entry/job_fetch.h"
 
 #include "common/log.h"
-#include "entry/private.h"
+#include "entry/entry_private.h"
 #include "entry/reply.h"
 
 struct value_fetch {
--- a/entry/job_read.c
+++ b/entry/job_read.c
@@ -1,6 +1,6 @@
+#include "entry/entry_private.h"
 #include "entry/job_fetch.h"
 #include "entry/job_json.h"
-#include "entry/private.h"
 #include "entry/reply.h"
 #include "entry/route.h"
 
--- a/entry/pool_admin.c
+++ b/entry/pool_admin.c
@@ -1,8 +1,8 @@
 #include <string.h>
 
 #include "common/log.h"
+#include "entry/entry_private.h"
 #include "entry/job_fetch.h"
-#include "entry/private.h"
 #include "entry/record.h"
 #include "entry/reply.h"
 #include "entry/route.h"
--- a/entry/record.c
+++ b/entry/record.c
@@ -1,6 +1,6 @@
 #include "entry/record.h"
 
-#include "entry/private.h"
+#include "entry/entry_private.h"
 #include "entry/reply.h"
 
 struct pending_write {
--- a/entry/reply.c
+++ b/entry/reply.c
@@ -1,7 +1,7 @@
 #include "entry/reply.h"
 
 #include "common/digest.h"
-#include "entry/private.h"
+#include "entry/entry_private.h"
 
 struct status {
 	int code;
--- a/entry/request_private.h
+++ b/entry/request_private.h
@@ -7,7 +7,7 @@
 
 #include "common/digest.h"
 #include "entry/answer.h"
-#include "entry/private.h"
+#include "entry/entry_private.h"
 #include "entry/retry_budget.h"
 #include "entry/slots.h"
 
--- a/entry/result.c
+++ b/entry/result.c
@@ -2,8 +2,8 @@
 
 #include "cell/job_row.h"
 #include "entry/delivery.h"
+#include "entry/entry_private.h"
 #include "entry/job_fetch.h"
-#include "entry/private.h"
 #include "entry/reply.h"
 #include "entry/route.h"
 
--- a/entry/status.c
+++ b/entry/status.c
@@ -1,4 +1,4 @@
-#include "entry/private.h"
+#include "entry/entry_private.h"
 #include "entry/reply.h"
 #include "entry/route.h"
 
--- a/fleet/in_force.c
+++ b/fleet/operator_state.c
@@ -1,4 +1,4 @@
-#include "fleet/in_force.h"
+#include "fleet/operator_state.h"
 
 #include <glib.h>
 #include <inttypes.h>
@@ -7,7 +7,7 @@
 #include "fleet/evacuations.h"
 #include "holder/tables.h"
 #include "platform/decode.h"
-#include "rows/follower.h"
+#include "rows/subscription.h"
 
 /** How long the store holds an answer back, ms: by the process that decides, and by others at the
  * least and at the most. */
--- a/fleet/presence.c
+++ b/fleet/probe_link.c
@@ -1,4 +1,4 @@
-#include "fleet/presence.h"
+#include "fleet/probe_link.h"
 
 #include <event2/buffer.h>
 #include <event2/keyvalq_struct.h>
--- a/holder/holder_tables.h
+++ b/holder/holder_tables.h
@@ -5,8 +5,8 @@
 #include "graph/progress.h"
 #include "holder/holder.h"
 #include "holder/tables.h"
-#include "rows/follower.h"
-#include "rows/reading.h"
+#include "rows/scan.h"
+#include "rows/subscription.h"
 
 /* What a holder knows: its workers, the runs on them, its jobs and their units, and its own state,
  * by the file that each part of it belongs to. */
--- a/include/platform/life.h
+++ b/include/platform/incarnation.h
@@ -4,7 +4,7 @@
 #include <jansson.h>
 #include <stdint.h>
 
-#include "upstream/life.h"
+#include "upstream/incarnation.h"
 
 /** dff_platform_read_started_ms:
  * @object: (nullable): what a worker says of itself, or its answer
--- a/include/upstream/runner.h
+++ b/include/upstream/runner.h
@@ -7,7 +7,7 @@
 
 #include "common/str.h"
 #include "pool/pool.h"
-#include "upstream/life.h"
+#include "upstream/incarnation.h"
 
 /*
  * Workers that run tasks under one lease each. A task's runs are numbered; a worker does nothing
--- a/peer/watch_share.c
+++ b/peer/watch_assignment.c
@@ -1,4 +1,4 @@
-#include "peer/watch_share.h"
+#include "peer/watch_assignment.h"
 
 #include "common/rendezvous.h"
 #include "peer/peer.h"
--- a/rows/reading.c
+++ b/rows/scan.c
@@ -1,4 +1,4 @@
-#include "rows/reading.h"
+#include "rows/scan.h"
 
 #include <inttypes.h>
 
--- a/rows/follower.c
+++ b/rows/subscription.c
@@ -1,10 +1,10 @@
-#include "rows/follower.h"
+#include "rows/subscription.h"
 
 #include <glib.h>
 #include <inttypes.h>
 
 #include "common/log.h"
-#include "rows/reading.h"
+#include "rows/scan.h"
 
 /** Pause after a call that failed, doubled up to the limit, ms: a store that is down is not to be
  * asked in a tight loop, and its return is to be noticed within half a second. */
--- a/tests/capacity/test-capacity.c
+++ b/tests/capacity/test-capacity.c
@@ -10,7 +10,7 @@
 #include "bench/peer_traffic.h"
 #include "core/core_private.h"
 #include "peer/message.h"
-#include "peer/watch_share.h"
+#include "peer/watch_assignment.h"
 #include "tests/cell/cell_promises.h"
 #include "upstream/worker_wire.h"
 
--- a/tests/daemon/test-daemon-steps.c
+++ b/tests/daemon/test-daemon-steps.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #include "daemon/daemon_private.h"
-#include "entry/private.h"
+#include "entry/entry_private.h"
 #include "tests/entry/harness.h"
 
 /* Steps of the daemon on the parts of the entry's harness: two processes, two workers with three
--- a/tests/daemon/test-pool-follower.c
+++ b/tests/daemon/test-pool-follower.c
@@ -5,7 +5,7 @@
 
 #include <cmocka.h>
 
-#include "daemon/pool_follower.h"
+#include "daemon/pool_watch.h"
 #include "pool/pool_row.h"
 #include "tests/backing/memory_fixture.h"
 
--- a/tests/fleet/test-in-force.c
+++ b/tests/fleet/test-in-force.c
@@ -5,7 +5,7 @@
 #include <cmocka.h>
 #include <string.h>
 
-#include "fleet/in_force.h"
+#include "fleet/operator_state.h"
 #include "holder/tables.h"
 #include "rows/health.h"
 #include "standin/memory_rows.h"
--- a/tests/peer/test-shares.c
+++ b/tests/peer/test-shares.c
@@ -6,7 +6,7 @@
 #include <cmocka.h>
 
 #include "peer/grant.h"
-#include "peer/watch_share.h"
+#include "peer/watch_assignment.h"
 
 #define N_MEMBERS 9
 #define N_WORKERS 50
--- a/tests/rows/test-reading.c
+++ b/tests/rows/test-reading.c
@@ -4,7 +4,7 @@
 
 #include <cmocka.h>
 
-#include "rows/reading.h"
+#include "rows/scan.h"
 #include "standin/memory_rows.h"
 
 /* A table read whole, from a store with faults. */
--- a/upstream/life.c
+++ b/upstream/incarnation.c
@@ -1,4 +1,4 @@
-#include "upstream/life.h"
+#include "upstream/incarnation.h"
 
 bool
 dff_start_is_known (int64_t born_ms)
