--- a/bench/slopes/watching.c
+++ b/bench/slopes/watching.c
@@ -6,7 +6,7 @@
 #include "bench/slopes/slopes.h"
 #include "common/event_loop.h"
 #include "peer/message.h"
-#include "peer/watch_share.h"
+#include "peer/watch_assignment.h"
 #include "standin/worker_server.h"
 #include "upstream/http_worker.h"
 #include "upstream/watcher.h"
@@ -27,7 +27,7 @@
 	struct event_base *base;
 	struct dff_metrics *metrics;
 	struct dff_memory *memory;
-	struct dff_memory_caller *store;
+	struct dff_memory_handle *store;
 	struct dff_standin_worker *worker;
 	struct dff_worker_server *server;
 	struct relay *relay;
@@ -38,7 +38,7 @@
 };
 
 static void
-ignore_sighting (void *ctx, const struct dff_worker_sighting *sighting)
+ignore_sighting (void *ctx, const struct dff_worker_report *sighting)
 {
 	(void)ctx;
 	(void)sighting;
@@ -93,11 +93,11 @@
 	watch->workers = dff_http_worker_new (&workers);
 	struct dff_watcher_options options;
 	dff_watcher_options_init (&options);
-	options.workers = dff_http_worker_client (watch->workers);
+	options.workers = dff_http_worker_interface (watch->workers);
 	options.clock = dff_clock_system ();
 	options.metrics = watch->metrics;
 	options.seed = 1;
-	options.sighted = ignore_sighting;
+	options.report = ignore_sighting;
 	watch->watcher = dff_watcher_new (&options);
 }
 
@@ -224,11 +224,11 @@
 	slopes_add (slopes, &answer, n, (double)body->len);
 	struct dff_message message = {
 		.sender = dff_name_from ("entry-1"),
-		.kind = DFF_MESSAGE_SIGHTING,
-		.sighting = {.worker = dff_name_from ("r100-w1"),
-			     .reachable = true,
-			     .reports = data,
-			     .n_reports = reports->len},
+		.kind = DFF_MESSAGE_WORKER_REPORT,
+		.worker_report = {.worker = dff_name_from ("r100-w1"),
+				  .reachable = true,
+				  .reports = data,
+				  .n_reports = reports->len},
 	};
 	GByteArray *bytes = dff_message_encode (&message);
 	slopes_add (slopes, &sighting, n, bytes->len);
--- a/cell/records.c
+++ b/cell/records.c
@@ -233,7 +233,7 @@
 		return;
 	}
 	if (!epoch_is_ours (cell, result)) {
-		dff_lease_depose (cell->lease);
+		dff_lease_mark_fenced (cell->lease);
 		return;
 	}
 	g_autoptr (GString) key = dff_job_row_key (&job->row->spec.id);
@@ -273,13 +273,13 @@
 		return;
 	const struct dff_cell_write *write = g_queue_peek_head (&job->writes);
 	switch (outcome) {
-	case DFF_RECORD_DONE:
+	case DFF_RECORD_COMMITTED:
 		write_done (cell, job, revision);
 		break;
 	case DFF_RECORD_CONFLICT:
 		reread (cell, job);
 		break;
-	case DFF_RECORD_NOT_DONE:
+	case DFF_RECORD_NOT_COMMITTED:
 		if (write->type == DFF_CELL_WRITE_START)
 			refuse_start (cell, job);
 		else
@@ -313,7 +313,7 @@
 		.n_conditions = G_N_ELEMENTS (conditions),
 		.writes = &table_write,
 		.n_writes = 1,
-		.give_up_ms = write->type == DFF_CELL_WRITE_START ? START_GIVE_UP_MS : 0,
+		.queue_timeout_ms = write->type == DFF_CELL_WRITE_START ? START_GIVE_UP_MS : 0,
 	};
 	struct dff_cell_call *call = dff_cell_call_begin (cell, DFF_CELL_CALL_WRITE);
 	call->task.job = job->row->spec.id;
--- a/daemon/watch_isolation.c
+++ b/daemon/watch_isolation.c
@@ -10,7 +10,7 @@
 	for (guint i = 0; i < members->len; i++) {
 		const struct dff_member *member = &g_array_index (members, struct dff_member, i);
 		if (!dff_name_equal (&member->instance.id, &daemon->settings->instance))
-			last_ms = MAX (last_ms, member->heard_ms);
+			last_ms = MAX (last_ms, member->heartbeat_received_ms);
 	}
 	return last_ms;
 }
@@ -23,7 +23,7 @@
 {
 	const struct dff_isolation isolation = {
 		.started_ms = daemon->started_ms,
-		.store_ms = dff_pool_follower_answered_ms (daemon->follower),
+		.store_ms = dff_pool_watch_last_answer_ms (daemon->follower),
 		.has_peers = dff_peer_members (daemon->peer)->len > 1,
 		.peer_ms = last_peer_ms (daemon),
 		.timeout_ms = daemon->settings->isolated_after_ms,
--- a/entry/attempt.c
+++ b/entry/attempt.c
@@ -280,7 +280,7 @@
 {
 	struct dff_request *request = user;
 	request->recording = false;
-	if (outcome == DFF_RECORD_DONE)
+	if (outcome == DFF_RECORD_COMMITTED)
 		row_written (request, revision);
 	else
 		row_not_written (request, outcome);
@@ -312,7 +312,7 @@
 		.n_conditions = 1,
 		.writes = &change,
 		.n_writes = 1,
-		.give_up_ms = (int32_t)MAX (1, timeout_ms),
+		.queue_timeout_ms = (int32_t)MAX (1, timeout_ms),
 	};
 	request->state = DFF_REQUEST_RECORDING;
 	request->recording = true;
--- a/entry/delivery.c
+++ b/entry/delivery.c
@@ -2,7 +2,7 @@
 
 #include "common/log.h"
 #include "entry/assembly.h"
-#include "entry/private.h"
+#include "entry/entry_private.h"
 #include "entry/reply.h"
 
 /** A result is put together in memory before its first byte goes out; bytes at the most. */
@@ -170,7 +170,7 @@
 static bool
 take_chunk (struct delivery *delivery, size_t index, struct dff_str data)
 {
-	if (dff_assembly_add (delivery->assembly, index, data) == DFF_CHUNK_DAMAGED)
+	if (dff_assembly_add (delivery->assembly, index, data) == DFF_CHUNK_CORRUPT)
 		return false;
 	read_chunks (delivery);
 	return true;
--- a/entry/record.c
+++ b/entry/record.c
@@ -1,6 +1,6 @@
 #include "entry/record.h"
 
-#include "entry/private.h"
+#include "entry/entry_private.h"
 #include "entry/reply.h"
 
 struct pending_write {
@@ -45,9 +45,9 @@
 recorded (void *user, enum dff_record_outcome outcome, int64_t revision)
 {
 	static const enum dff_entry_record_outcome outcomes[] = {
-		[DFF_RECORD_DONE] = DFF_ENTRY_RECORD_DONE,
+		[DFF_RECORD_COMMITTED] = DFF_ENTRY_RECORD_DONE,
 		[DFF_RECORD_CONFLICT] = DFF_ENTRY_RECORD_CONFLICT,
-		[DFF_RECORD_NOT_DONE] = DFF_ENTRY_RECORD_NOT_DONE,
+		[DFF_RECORD_NOT_COMMITTED] = DFF_ENTRY_RECORD_NOT_DONE,
 	};
 	finish (user, outcomes[outcome], revision);
 }
@@ -60,11 +60,11 @@
 {
 	struct pending_write *pending = user;
 	pending->timeout = NULL;
-	enum dff_abandon abandon =
+	enum dff_abandon_outcome abandon =
 		dff_recorder_abandon (pending->entry->options.recorder, pending->ticket);
 	finish (pending,
-		abandon == DFF_ABANDON_NOT_DONE ? DFF_ENTRY_RECORD_NOT_DONE
-						: DFF_ENTRY_RECORD_UNKNOWN,
+		abandon == DFF_ABANDON_NOT_COMMITTED ? DFF_ENTRY_RECORD_NOT_DONE
+						     : DFF_ENTRY_RECORD_UNKNOWN,
 		0);
 }
 
@@ -82,7 +82,7 @@
 	}
 	struct pending_write *pending = g_new0 (struct pending_write, 1);
 	struct dff_record_write bounded = *write;
-	bounded.give_up_ms = timeout_ms;
+	bounded.queue_timeout_ms = timeout_ms;
 	pending->entry = dff_entry_ref (entry);
 	pending->done = done;
 	pending->user = user;
@@ -218,7 +218,7 @@
 {
 	if (dff_refuse_draining (call))
 		return true;
-	if (!dff_recorder_is_open (call->entry->options.recorder))
+	if (!dff_recorder_is_breaker_open (call->entry->options.recorder))
 		return false;
 	dff_reply_record_failed (call, DFF_ENTRY_RECORD_NOT_DONE);
 	return true;
--- a/fleet/relays.c
+++ b/fleet/relays.c
@@ -150,7 +150,7 @@
 	struct dff_fleet_relays *relays = ctx;
 	drop_stream (relays);
 	pause_connecting (relays);
-	relays->options.decider_lost (relays->options.ctx);
+	relays->options.holder_lost (relays->options.ctx);
 }
 
 static void
@@ -166,7 +166,7 @@
 }
 
 void
-dff_fleet_relays_follow (void *ctx, const struct dff_name *address, int32_t n_relays)
+dff_fleet_relays_connect (void *ctx, const struct dff_name *address, int32_t n_relays)
 {
 	struct dff_fleet_relays *relays = ctx;
 	if (n_relays == 0 || relays->leaving || dff_name_is_empty (address)) {
@@ -185,7 +185,7 @@
 }
 
 void
-dff_fleet_relays_want (void *ctx, int32_t n_relays)
+dff_fleet_relays_set_limit (void *ctx, int32_t n_relays)
 {
 	struct dff_fleet_relays *relays = ctx;
 	dff_dispatch_set_limit (relays->dispatch, n_relays);
@@ -218,8 +218,8 @@
 	struct dff_relay_options relay = {.timers = options->timers,
 					  .metrics = options->metrics,
 					  .runner = options->direct,
-					  .name = options->life,
-					  .silent = options->decider_lost,
+					  .name = options->incarnation,
+					  .holder_silent = options->holder_lost,
 					  .ctx = options->ctx};
 	relays->relay = dff_relay_new (&relay);
 	relays->listener =
--- a/include/cell/cell.h
+++ b/include/cell/cell.h
@@ -84,11 +84,11 @@
 void dff_cell_set_rank (struct dff_cell *cell, int32_t rank);
 
 /** A job row was written by an entry (accepted, or cancellation requested): read it now. */
-void dff_cell_hint (struct dff_cell *cell, const struct dff_name *job);
+void dff_cell_handle_job_hint (struct dff_cell *cell, const struct dff_name *job);
 
 /** What a watcher saw at a worker: whether it answers, whether it says it is leaving, what changed.
  */
-struct dff_worker_sighting {
+struct dff_worker_report {
 	struct dff_name worker;
 	bool reachable;
 	bool leaving;
@@ -99,11 +99,12 @@
 	/** @reports are all the tasks the worker knew when it answered: one that is missing was not
 	 * seen by it, or was lost when it started anew. To be confirmed by a query or a stop, as a
 	 * start may have arrived since. */
-	bool whole;
+	bool complete;
 };
 
 /** Takes in what a watcher (this process or a peer) saw. Ignored unless holder. */
-void dff_cell_sighting (struct dff_cell *cell, const struct dff_worker_sighting *sighting);
+void dff_cell_handle_worker_report (struct dff_cell *cell,
+				    const struct dff_worker_report *sighting);
 
 /** Whether this process holds the cell, its lease is good for more than the margin, and its tables
  * are rebuilt. */
--- a/include/core/core.h
+++ b/include/core/core.h
@@ -40,12 +40,12 @@
 	int32_t checkpoint_grace_ms;
 	/** Jobs that no worker could hold wait for one, and lost or rejected attempts are repeated
 	 * without limit: the list of workers lags, so that today's answer may be wrong. */
-	bool patient;
+	bool retry_without_limit;
 	/** Points against a job, for workers that ended under it, at which it is given up; 0: it
 	 * never is for that reason. */
 	int32_t blame_limit;
 	/** Points at which it is placed where least else runs; 0: it never is for that reason. */
-	int32_t blame_apart;
+	int32_t isolation_blame;
 	/** Wait after which a job's score is divided by four, on top of its own estimate, ms; 0:
 	 * what the pool's weights say. */
 	double ageing_ms;
@@ -53,9 +53,9 @@
 	int64_t quarantine_ms;
 	/** Share of its expected run time within which a run's failure counts as the worker's fault
 	 * alone; 0: time does not tell. */
-	double at_once_share;
+	double early_failure_share;
 	/** How long a job waits for room near its data before it goes elsewhere, ms. */
-	int64_t data_wait_ms;
+	int64_t locality_wait_ms;
 	/** How long a gang that fits a rack waits for a whole one before it spreads, ms; 0: for
 	 * ever. */
 	int64_t rack_wait_ms;
@@ -63,30 +63,30 @@
 	int64_t urgent_rack_wait_ms;
 	/** Wait after which a job gets room that is kept from it for the sake of others, as long as
 	 * less than half of the pool is in use, ms; 0: never. */
-	int64_t calm_wait_ms;
+	int64_t low_load_wait_ms;
 	/** Wait after which racks are kept for a gang, ms. */
-	int64_t guard_after_ms;
+	int64_t rack_reservation_delay_ms;
 	/** Time past the expected one that they are kept, ms. */
-	int64_t guard_grace_ms;
+	int64_t rack_reservation_grace_ms;
 	/** Gangs at once for which racks are kept. */
-	int32_t max_guards;
+	int32_t max_rack_reservations;
 	/** Run time up to which a job without checkpoints is started anew when its worker stalls,
 	 * ms. */
-	int64_t stall_loss_ms;
+	int64_t stall_restart_max_ms;
 	/** Run time that is lost when a task with checkpoints is stopped and started again, ms. */
 	int64_t checkpoint_loss_ms;
 	/** Work that an urgent job may throw away to get its place, in times the work that it does
 	 * itself; 0: any. */
-	double evict_work_times;
+	double evict_work_ratio;
 	/** Wait after which an urgent job whose team has a right to its accelerators throws away
 	 * any, ms. */
-	int64_t evict_any_after_ms;
+	int64_t evict_unlimited_after_ms;
 	/** Time constant with which headroom shrinks again, ms: the room that work of a priority
 	 * leaves free for work before it, see core/headroom.c. 0: none is left. */
 	int64_t headroom_decay_ms;
 	/** Wait after which work of the last priority leaves headroom for the first alone, in times
 	 * its expected run time; 0: never. */
-	double headroom_patience_times;
+	double headroom_wait_ratio;
 };
 
 /** Fills in the defaults that docs/decisions/ gives reasons for. */
@@ -107,7 +107,7 @@
 	 * data centre is taken back. */
 	DFF_WORKER_EVACUATED,
 	/** The same, because nobody knows what room it has by now. */
-	DFF_WORKER_UNSURE,
+	DFF_WORKER_CAPACITY_UNKNOWN,
 };
 
 /** Where one member of a gang runs. */
@@ -139,19 +139,19 @@
 	DFF_EVENT_TASK_STOPPED,  /**< Proven stopped; @ran tells whether it ever ran. */
 	DFF_EVENT_TASK_LOST,     /**< Its lease has lapsed: it no longer runs, and may have run. */
 	DFF_EVENT_TASK_PROGRESS, /**< @percent of the task's work is done. */
-	/** @worker, @cohort, @whole_ms. Told once a run, as soon as its progress tells. */
-	DFF_EVENT_TASK_PACE,
+	/** @worker, @peer_group, @duration_ms. Told once a run, as soon as its progress tells. */
+	DFF_EVENT_TASK_DURATION,
 	/** @worker, @worker_state, @leaves_in_ms. */
 	DFF_EVENT_WORKER_STATE,
 	/** The worker has started again: what was seen of it before does not count. @worker. */
-	DFF_EVENT_WORKER_RENEWED,
+	DFF_EVENT_WORKER_RESTARTED,
 	/** Tasks on a worker stand still: it goes to quarantine, and what has little to lose runs
 	 * elsewhere. @worker. */
 	DFF_EVENT_WORKER_STALLED,
 };
 
 /** State of an attempt found on record at take-over. */
-struct dff_recovered {
+struct dff_recovered_attempt {
 	/** Last attempt whose start intent is durable; 0: never. */
 	int32_t attempt;
 	/** Whether that attempt is still open (intent durable, no end durable). */
@@ -174,7 +174,7 @@
 	/** Index of the member in its gang. */
 	int32_t member;
 	const struct dff_job_spec *spec;
-	const struct dff_recovered *recovered;
+	const struct dff_recovered_attempt *recovered;
 	struct dff_name worker;
 	enum dff_worker_state worker_state;
 	/** With DFF_WORKER_LEAVING: how long the worker is there still, ms; 0: not known. */
@@ -183,9 +183,9 @@
 	bool ran;
 	int32_t percent;
 	/** The tasks of one step, which are alike. */
-	uint64_t cohort;
+	uint64_t peer_group;
 	/** What the whole task takes on the worker, ms. */
-	int64_t whole_ms;
+	int64_t duration_ms;
 };
 
 enum dff_command_type {
@@ -194,8 +194,8 @@
 	DFF_COMMAND_RELEASE_TASK,
 	DFF_COMMAND_CHECKPOINT_TASK,
 	DFF_COMMAND_STOP_TASK,
-	DFF_COMMAND_RECORD_END,   /**< @job, @attempt, @outcome, @reason. */
-	DFF_COMMAND_RECORD_RETRY, /**< The attempt is over and may be followed by another. */
+	DFF_COMMAND_RECORD_OUTCOME, /**< @job, @attempt, @outcome, @reason. */
+	DFF_COMMAND_RECORD_RETRY,   /**< The attempt is over and may be followed by another. */
 };
 
 /** An output. Members that its type does not name are zero. */
@@ -249,7 +249,7 @@
 int64_t dff_core_next_wake_ms (const struct dff_core *core);
 
 /** Returns: whether a worker has room for all that it was given: it may have shrunk since. */
-bool dff_core_worker_has_room (const struct dff_core *core, const struct dff_name *worker);
+bool dff_core_worker_within_capacity (const struct dff_core *core, const struct dff_name *worker);
 
 struct dff_core_stats {
 	/** Jobs by phase; @ended counts all since the core was made, so that the sum is what it was
@@ -258,9 +258,9 @@
 	int64_t reclaims, preemptions, moves, start_failures, retries;
 	int64_t workers_up, workers_quarantined;
 	/** Spread of the workers' paces, as a deviation of logarithms of time. */
-	double pace_spread;
+	double duration_spread;
 	/** Tasks whose times are kept to tell. */
-	int64_t paces_kept;
+	int64_t duration_samples;
 	int64_t accelerators_total, accelerators_free;
 	/** Guaranteed shapes that no longer fit on the workers that are up. */
 	int64_t witnesses_missing;
@@ -271,15 +271,15 @@
 void dff_core_get_stats (const struct dff_core *core, struct dff_core_stats *stats);
 
 enum dff_job_phase {
-	DFF_JOB_UNKNOWN,
-	DFF_JOB_QUEUED,
-	DFF_JOB_STARTING,
-	DFF_JOB_RUNNING,
-	DFF_JOB_STOPPING,
-	DFF_JOB_ENDED,
+	DFF_JOB_PHASE_UNKNOWN,
+	DFF_JOB_PHASE_QUEUED,
+	DFF_JOB_PHASE_STARTING,
+	DFF_JOB_PHASE_RUNNING,
+	DFF_JOB_PHASE_STOPPING,
+	DFF_JOB_PHASE_ENDED,
 };
 
-/** Returns: the phase of @job, DFF_JOB_UNKNOWN when the core does not hold it. */
+/** Returns: the phase of @job, DFF_JOB_PHASE_UNKNOWN when the core does not hold it. */
 enum dff_job_phase dff_core_job_phase (const struct dff_core *core, const struct dff_name *job);
 
 /**
--- a/include/fleet/state_link.h
+++ b/include/fleet/state_link.h
@@ -19,9 +19,9 @@
 	const struct dff_clock *clock;
 	struct dff_metrics *metrics;
 	/** The process that decides has not answered, or does not decide any more. */
-	void (*decider_lost) (void *ctx);
+	void (*holder_lost) (void *ctx);
 	/** It names another one, which is asked from now on. */
-	void (*decider_moved) (void *ctx, const struct dff_name *address);
+	void (*holder_moved) (void *ctx, const struct dff_name *address);
 	void *ctx;
 };
 
@@ -34,15 +34,16 @@
 DFF_DEFINE_CLEANUP (dff_state_link, dff_state_link_free);
 
 /** Sets the holder of this process, before anything is asked. */
-void dff_state_link_set_holder (struct dff_state_link *link, struct dff_holder *holder);
+void dff_state_link_set_local_holder (struct dff_state_link *link, struct dff_holder *holder);
 
 /** Tells which process decides: @address empty: none is known, or this one if @self. */
-void
-dff_state_link_set_decider (struct dff_state_link *link, const struct dff_name *address, bool self);
+void dff_state_link_set_holder_address (struct dff_state_link *link,
+					const struct dff_name *address,
+					bool self);
 
 /** Asks the process that decides; for struct dff_front_options, with the link as @ctx. */
 bool
-dff_state_link_ask (void *ctx, const struct dff_name *job, dff_front_state_func done, void *user);
+dff_state_link_query (void *ctx, const struct dff_name *job, dff_front_state_func done, void *user);
 
 /** Answers other processes' questions. */
 void dff_state_link_serve (struct dff_state_link *link, struct evhttp *http);
--- a/include/front/intake.h
+++ b/include/front/intake.h
@@ -24,26 +24,27 @@
 };
 
 /** Who a row that was handed on has come to. */
-enum dff_intake_receiver {
+enum dff_intake_delivery {
 	/** A process that has dealt with it. */
-	DFF_INTAKE_TAKEN,
+	DFF_INTAKE_DELIVERED,
 	/** One that does not decide, and did nothing. */
 	DFF_INTAKE_MISDIRECTED,
 	/** Nobody who answered. */
-	DFF_INTAKE_UNREACHED,
+	DFF_INTAKE_UNREACHABLE,
 };
 
 /** What became of a row that was handed on. */
-struct dff_intake_forwarded {
-	enum dff_intake_receiver receiver;
+struct dff_intake_forward_result {
+	enum dff_intake_delivery delivery;
 	/** NOT_DONE where a process was misdirected to, or surely never reached. */
 	enum dff_rows_outcome outcome;
 	/** Who decides, as the receiver knows; empty: it does not. */
-	struct dff_name decider;
+	struct dff_name holder;
 };
 
 /** @forwarded: valid in the callback only. */
-typedef void (*dff_intake_forward_func) (void *user, const struct dff_intake_forwarded *forwarded);
+typedef void (*dff_intake_forward_func) (void *user,
+					 const struct dff_intake_forward_result *forwarded);
 
 struct dff_intake_options {
 	const struct dff_timers *timers;
@@ -52,13 +53,13 @@
 	struct dff_metrics *metrics;
 	/** Rows go through the process that decides when the store's answers take so long, ms; 0:
 	 * always. */
-	int32_t together_from_ms;
+	int32_t forward_min_latency_ms;
 	/** (nullable): returns whether the store does not answer this process. */
 	bool (*store_is_silent) (void *ctx);
 	/** Returns: how long the store's answers take now, ms. */
-	int64_t (*store_took_ms) (void *ctx);
+	int64_t (*store_latency_ms) (void *ctx);
 	void *store_ctx;
-	/** Hands a row to the process at @address, which passes it to dff_intake_take(): DONE,
+	/** Hands a row to the process at @address, which passes it to dff_intake_write(): DONE,
 	 * CONFLICT, NOT_DONE or UNKNOWN. @done is called once, never before the call returns. */
 	void (*forward) (void *ctx,
 			 const struct dff_name *address,
@@ -76,10 +77,10 @@
 	void *record_ctx;
 	/** (nullable): the process that gathers rows could not be reached, or does not decide any
 	 * more. */
-	void (*gatherer_lost) (void *ctx);
+	void (*holder_lost) (void *ctx);
 	/** (nullable): it names another one, which is asked from now on. */
-	void (*gatherer_moved) (void *ctx, const struct dff_name *address);
-	void *gatherer_ctx;
+	void (*holder_moved) (void *ctx, const struct dff_name *address);
+	void *holder_ctx;
 };
 
 struct dff_intake *dff_intake_new (const struct dff_intake_options *options);
@@ -93,22 +94,24 @@
 const struct dff_rows *dff_intake_interface (struct dff_intake *intake);
 
 /** Tells which process gathers rows: @address empty: none, or this one if @self. */
-void dff_intake_set_gatherer (struct dff_intake *intake, const struct dff_name *address, bool self);
+void dff_intake_set_holder_address (struct dff_intake *intake,
+				    const struct dff_name *address,
+				    bool self);
 
 /** Returns: whether this process gathers rows. */
-bool dff_intake_is_gatherer (const struct dff_intake *intake);
+bool dff_intake_is_holder (const struct dff_intake *intake);
 
 /** Returns: (transfer none): the process that does, as far as is known; empty: none, or this one.
  */
-const struct dff_name *dff_intake_gatherer (const struct dff_intake *intake);
+const struct dff_name *dff_intake_holder_address (const struct dff_intake *intake);
 
 /** Returns: whether rows that are written now go through another process. */
-bool dff_intake_writes_elsewhere (const struct dff_intake *intake);
+bool dff_intake_writes_forwarded (const struct dff_intake *intake);
 
 /** Writes a row together with others. A store that does not answer is not waited for. */
-void dff_intake_take (struct dff_intake *intake,
-		      const struct dff_intake_row *row,
-		      dff_rows_func done,
-		      void *user);
+void dff_intake_write (struct dff_intake *intake,
+		       const struct dff_intake_row *row,
+		       dff_rows_func done,
+		       void *user);
 
 #endif
--- a/include/holder/holder.h
+++ b/include/holder/holder.h
@@ -19,34 +19,34 @@
 struct dff_holder;
 
 /** What asking a process for its name has shown. */
-enum dff_holder_presence {
+enum dff_holder_probe_result {
 	/** The process that was asked for answers, and decides for the cell. */
-	DFF_HOLDER_PRESENT,
+	DFF_HOLDER_PROBE_ACTIVE,
 	/** The process that was asked for answers, and neither holds the cell nor is about to: it
 	 * renews no leases. */
-	DFF_HOLDER_IDLE,
+	DFF_HOLDER_PROBE_IDLE,
 	/** Another life of the process answers: the one that was asked for has ended. */
-	DFF_HOLDER_REPLACED,
+	DFF_HOLDER_PROBE_REPLACED,
 	/** Nobody listens there. It has ended, or its machine cannot be reached. */
-	DFF_HOLDER_REFUSED,
+	DFF_HOLDER_PROBE_REFUSED,
 	/** No answer: it may be cut off, frozen, or without power. */
-	DFF_HOLDER_UNHEARD,
+	DFF_HOLDER_PROBE_TIMED_OUT,
 };
 
 /** What a process asks of the one that holds the cell, besides its name. */
-struct dff_holder_question {
+struct dff_holder_probe {
 	/** To let go of the cell if it cannot record anything. */
-	bool yield;
+	bool release_if_unwritable;
 	/** To hand the cell over to the asker, which takes so long to take over, ms, if this one
 	 * takes much longer; 0: not asked for. */
-	int64_t takeover_ms;
+	int64_t asker_takeover_ms;
 	/** The asker has taken the cell with this epoch, and is asked for its name there; empty: it
 	 * has not. */
-	struct dff_name decider;
+	struct dff_name new_holder;
 	int64_t epoch;
 };
 
-typedef void (*dff_holder_presence_func) (void *user, enum dff_holder_presence presence);
+typedef void (*dff_holder_probe_func) (void *user, enum dff_holder_probe_result presence);
 
 struct dff_holder_options {
 	const struct dff_timers *timers;
@@ -58,32 +58,32 @@
 	/** Reads a row of DFF_TABLE_UPSTREAMS. Returns: false when it is none. */
 	bool (*read_upstream) (const struct dff_row *row, struct dff_upstream *upstream);
 	/** Where other processes may ask this one for its name. */
-	struct dff_name presence_address;
+	struct dff_name probe_address;
 	/** Where processes connect that carry calls to workers for this one while it decides, and
 	 * the calls of which it is told here; all empty where there is no such thing. */
 	struct dff_name relay_address;
 	/** Another process decides, and takes so many relays at @address; 0 and an empty address:
 	 * none does, or this one. */
-	void (*relay_follow) (void *ctx, const struct dff_name *address, int32_t n_relays);
+	void (*relay_connect) (void *ctx, const struct dff_name *address, int32_t n_relays);
 	/** Tells where the process that decides is asked for its name: @self: it is this one; else
 	 * an empty @address: it is not known. */
-	void (*note_holder) (void *ctx, const struct dff_name *address, bool self);
-	void *note_ctx;
+	void (*holder_changed) (void *ctx, const struct dff_name *address, bool self);
+	void *holder_ctx;
 	/** Workers from which on calls to them go through relays. */
-	int32_t relays_from_workers;
+	int32_t relay_min_workers;
 	/** This process decides and is served best by so many relays; 0: it does not, or by none.
 	 */
-	void (*relay_want) (void *ctx, int32_t n_relays);
+	void (*relay_set_limit) (void *ctx, int32_t n_relays);
 	void *relay_ctx;
 	/** Asks the process at @address whether it is @instance, and what @question says; @done
 	 * is called once, never before the call returns. */
-	void (*ask_presence) (void *ctx,
-			      const struct dff_name *address,
-			      const struct dff_name *instance,
-			      const struct dff_holder_question *question,
-			      dff_holder_presence_func done,
-			      void *user);
-	void *presence_ctx;
+	void (*send_probe) (void *ctx,
+			    const struct dff_name *address,
+			    const struct dff_name *instance,
+			    const struct dff_holder_probe *question,
+			    dff_holder_probe_func done,
+			    void *user);
+	void *probe_ctx;
 	/** Returns: when the latest call to the store was begun that has been served. */
 	int64_t (*store_served_ms) (void *ctx);
 	void *store_ctx;
@@ -103,11 +103,11 @@
 	/** Longest wait of a gang's members for each other at a worker, ms. */
 	int32_t gang_wait_ms;
 	/** Workers from which on only changes of their list are read. */
-	guint long_list;
+	guint feed_min_workers;
 	/** How long what has ended can be asked for, ms. */
 	int64_t retention_ms;
 	/** How long tasks wait for room near their data, ms. */
-	int64_t data_wait_ms;
+	int64_t locality_wait_ms;
 	/** How long a gang bound to a rack waits for one before it spreads, ms; 0: for ever. */
 	int64_t rack_wait_ms;
 };
@@ -139,23 +139,23 @@
 
 /** Tells which services have workers that start whatever they are told to, with room for it or
  * without. All others refuse what they have no room for. */
-void dff_holder_set_unguarded (struct dff_holder *holder,
-			       const struct dff_name *services,
-			       size_t n_services);
+void dff_holder_set_unenforced (struct dff_holder *holder,
+				const struct dff_name *services,
+				size_t n_services);
 
 /** Lets go of the cell and does not take it again; for a process that is to stop. */
-void dff_holder_resign (struct dff_holder *holder);
+void dff_holder_step_down (struct dff_holder *holder);
 
 /** The process that decides could not be reached, or has ended a connection: who decides now is
  * looked up. */
-void dff_holder_note_decider_lost (struct dff_holder *holder);
+void dff_holder_handle_holder_lost (struct dff_holder *holder);
 
 /** The store was silent and answers again: what waits for it is not to wait longer. */
-void dff_holder_note_store_heard (struct dff_holder *holder);
+void dff_holder_handle_store_recovered (struct dff_holder *holder);
 
 /** Returns: how long the store's last answer took, of a small reading or, while this process
  * decides, of a transaction if that took longer, ms. */
-int64_t dff_holder_store_took_ms (const struct dff_holder *holder);
+int64_t dff_holder_store_latency_ms (const struct dff_holder *holder);
 
 /** A row of DFF_TABLE_JOBS that must not exist yet. Borrowed for the length of a call. */
 struct dff_holder_submission {
@@ -181,34 +181,34 @@
 			void *user);
 
 /** What is on record of a job's state, as the process that decides knows it. */
-struct dff_holder_sight {
+struct dff_holder_job_state {
 	/** Whether it can tell: it decides, and holds the job. Else the rows tell. */
 	bool known;
 	enum dff_job_state state;
 };
 
-typedef void (*dff_holder_look_func) (void *user, const struct dff_holder_sight *sight);
+typedef void (*dff_holder_state_func) (void *user, const struct dff_holder_job_state *sight);
 
 /**
- * dff_holder_look:
+ * dff_holder_query_state:
  *
  * Asks for a job's state. Where an end is on its way to the record, the answer waits for it for a
  * moment, a tenth of a second at the most. @done is called once, never before the call returns,
  * unless the holder is freed before.
  */
-void dff_holder_look (struct dff_holder *holder,
-		      const struct dff_name *job,
-		      dff_holder_look_func done,
-		      void *user);
+void dff_holder_query_state (struct dff_holder *holder,
+			     const struct dff_name *job,
+			     dff_holder_state_func done,
+			     void *user);
 
 /** Returns: whether this process decides now. */
 bool dff_holder_is_holding (const struct dff_holder *holder);
 
 /** Returns: what to tell a process that asks after this one. Does what @question asks for. */
-enum dff_holder_presence dff_holder_answer_presence (struct dff_holder *holder,
-						     const struct dff_holder_question *question);
+enum dff_holder_probe_result dff_holder_answer_probe (struct dff_holder *holder,
+						      const struct dff_holder_probe *question);
 
 /** Returns: whether there is nothing to let go of any more. */
-bool dff_holder_has_resigned (const struct dff_holder *holder);
+bool dff_holder_has_stepped_down (const struct dff_holder *holder);
 
 #endif
--- a/peer/message.h
+++ b/peer/message.h
@@ -13,19 +13,19 @@
 /* Messages between processes as typed structs; the wire format is peer/peer.proto. */
 
 /** Longest message that is taken in, in bytes: a pool file of 1 MiB and its frame. */
-#define DFF_MESSAGE_MAX ((1 << 20) + 1024)
+#define DFF_MESSAGE_MAX_BYTES ((1 << 20) + 1024)
 
 /** States of other members in one heartbeat, at the most. */
-#define DFF_HEARTBEAT_OTHERS_MAX 16
+#define DFF_HEARTBEAT_PEERS_MAX 16
 
 /** Grants or task reports in one message, at the most. */
 #define DFF_MESSAGE_ELEMENTS_MAX 8192
 
 /** Whether a member is taken to run. Values are those of the wire. */
-enum dff_life {
-	DFF_LIFE_ALIVE,
-	DFF_LIFE_SUSPECT,
-	DFF_LIFE_DEAD,
+enum dff_liveness {
+	DFF_LIVENESS_ALIVE,
+	DFF_LIVENESS_SUSPECT,
+	DFF_LIVENESS_DEAD,
 };
 
 /** What a process says about one member, itself included. (incarnation, sequence) orders them. */
@@ -35,21 +35,21 @@
 	uint64_t incarnation;
 	/** Heartbeats that the member has sent in this incarnation or an earlier one. */
 	uint64_t sequence;
-	enum dff_life life;
+	enum dff_liveness liveness;
 	bool leaving;
 	bool ready;
 	int64_t pool_generation;
 	int64_t holder_epoch;
 	/** Drawn by the member when it started; 0: not known. */
-	uint32_t start;
+	uint32_t start_id;
 };
 
 struct dff_heartbeat {
 	struct dff_member_report self;
 	/** The sender's monotonic clock. */
 	int64_t sent_ms;
-	const struct dff_member_report *others;
-	size_t n_others;
+	const struct dff_member_report *peers;
+	size_t n_peers;
 };
 
 struct dff_pool_file {
@@ -70,9 +70,9 @@
 	uint64_t sequence;
 	int32_t valid_ms;
 	/** The receiver's own clock, as in the last heartbeat that the holder has from it. */
-	int64_t heard_sent_ms;
+	int64_t heartbeat_sent_ms;
 	/** Time from that heartbeat's arrival to this set's sending. */
-	int64_t heard_age_ms;
+	int64_t heartbeat_age_ms;
 	const struct dff_grant *grants;
 	size_t n_grants;
 	/** No grants: the set that the receiver has goes on if it has @digest. */
@@ -87,7 +87,7 @@
 	DFF_MESSAGE_JOB_HINT,
 	DFF_MESSAGE_JOB_WATCH,
 	DFF_MESSAGE_JOB_ENDED,
-	DFF_MESSAGE_SIGHTING,
+	DFF_MESSAGE_WORKER_REPORT,
 	DFF_MESSAGE_GRANTS,
 };
 
@@ -102,7 +102,7 @@
 		/** Job of a hint or watch. */
 		struct dff_name job;
 		struct dff_job_end job_ended;
-		struct dff_worker_sighting sighting;
+		struct dff_worker_report worker_report;
 		struct dff_grant_set grants;
 	};
 	/** Decoded messages: owns what the members above point to. */
--- a/peer/peer.c
+++ b/peer/peer.c
@@ -39,7 +39,7 @@
 {
 	message->sender = peer->options.self.id;
 	g_autoptr (GByteArray) bytes = dff_message_encode (message);
-	if (bytes->len > DFF_MESSAGE_MAX) {
+	if (bytes->len > DFF_MESSAGE_MAX_BYTES) {
 		dff_log (DFF_LOG_PEER, DFF_LOG_ERROR, "Message too long. bytes=%u", bytes->len);
 		return;
 	}
@@ -141,9 +141,10 @@
 remaining_ms (const struct dff_peer *peer, const struct dff_grant_set *set)
 {
 	int64_t now_ms = dff_peer_now_ms (peer);
-	if (set->heard_sent_ms <= 0 || set->heard_sent_ms > now_ms || set->heard_age_ms > now_ms)
+	if (set->heartbeat_sent_ms <= 0 || set->heartbeat_sent_ms > now_ms ||
+	    set->heartbeat_age_ms > now_ms)
 		return 0;
-	int64_t elapsed_ms = now_ms - (set->heard_sent_ms + set->heard_age_ms);
+	int64_t elapsed_ms = now_ms - (set->heartbeat_sent_ms + set->heartbeat_age_ms);
 	return MIN (set->valid_ms - elapsed_ms, set->valid_ms);
 }
 
@@ -213,8 +214,8 @@
 		callbacks->job_ended (callbacks->ctx, &message->job_ended.job,
 				      message->job_ended.outcome);
 		break;
-	case DFF_MESSAGE_SIGHTING:
-		callbacks->sighting (callbacks->ctx, &message->sighting);
+	case DFF_MESSAGE_WORKER_REPORT:
+		callbacks->worker_report (callbacks->ctx, &message->worker_report);
 		break;
 	case DFF_MESSAGE_GRANTS:
 		take_grants (peer, &message->grants, remaining_ms (peer, &message->grants));
@@ -283,7 +284,7 @@
 }
 
 uint32_t
-dff_peer_start (const struct dff_peer *peer)
+dff_peer_start_id (const struct dff_peer *peer)
 {
 	return dff_membership_start (peer->membership);
 }
@@ -306,14 +307,14 @@
 }
 
 void
-dff_peer_send_hint (struct dff_peer *peer, const struct dff_name *job)
+dff_peer_send_job_hint (struct dff_peer *peer, const struct dff_name *job)
 {
 	struct dff_message message = {.kind = DFF_MESSAGE_JOB_HINT, .job = *job};
 	dff_notices_send (peer, &message);
 }
 
 void
-dff_peer_send_watch (struct dff_peer *peer, const struct dff_name *job)
+dff_peer_send_job_watch (struct dff_peer *peer, const struct dff_name *job)
 {
 	struct dff_message message = {.kind = DFF_MESSAGE_JOB_WATCH, .job = *job};
 	dff_notices_send (peer, &message);
@@ -324,13 +325,14 @@
  * the worker out of the grants. So all members are told, without the reports, which are the
  * holder's. */
 static void
-tell_leaving (struct dff_peer *peer, const struct dff_worker_sighting *sighting)
+tell_leaving (struct dff_peer *peer, const struct dff_worker_report *sighting)
 {
-	struct dff_message message = {.kind = DFF_MESSAGE_SIGHTING, .sighting = *sighting};
+	struct dff_message message = {.kind = DFF_MESSAGE_WORKER_REPORT,
+				      .worker_report = *sighting};
 	message.sender = peer->options.self.id;
-	message.sighting.reports = NULL;
-	message.sighting.n_reports = 0;
-	message.sighting.whole = false;
+	message.worker_report.reports = NULL;
+	message.worker_report.n_reports = 0;
+	message.worker_report.complete = false;
 	const GArray *members = dff_peer_members (peer);
 	for (guint i = 0; i < members->len; i++) {
 		const struct dff_member *member = &g_array_index (members, struct dff_member, i);
@@ -344,19 +346,20 @@
 }
 
 void
-dff_peer_send_sighting (struct dff_peer *peer, const struct dff_worker_sighting *sighting)
+dff_peer_send_worker_report (struct dff_peer *peer, const struct dff_worker_report *sighting)
 {
-	struct dff_message message = {.kind = DFF_MESSAGE_SIGHTING, .sighting = *sighting};
+	struct dff_message message = {.kind = DFF_MESSAGE_WORKER_REPORT,
+				      .worker_report = *sighting};
 	dff_notices_send (peer, &message);
 	if (sighting->leaving)
 		tell_leaving (peer, sighting);
 }
 
 void
-dff_peer_send_ended (struct dff_peer *peer,
-		     const struct dff_name *watcher,
-		     const struct dff_name *job,
-		     enum dff_outcome outcome)
+dff_peer_send_job_ended (struct dff_peer *peer,
+			 const struct dff_name *watcher,
+			 const struct dff_name *job,
+			 enum dff_outcome outcome)
 {
 	struct dff_message message = {.kind = DFF_MESSAGE_JOB_ENDED};
 	message.job_ended.job = *job;
@@ -394,8 +397,8 @@
 	/* Never heard: the receiver could not tell how old the grants are. */
 	if (instance == NULL || heard.sent_ms == 0)
 		return;
-	set->heard_sent_ms = heard.sent_ms;
-	set->heard_age_ms = heard.age_ms;
+	set->heartbeat_sent_ms = heard.sent_ms;
+	set->heartbeat_age_ms = heard.age_ms;
 	set->digest = dff_grant_digest (set->grants, set->n_grants);
 	set->is_renewal = !dff_grants_sent_count (&peer->grants_sent, member, epoch, heard.start,
 						  &set->digest);
--- a/pool/pool.c
+++ b/pool/pool.c
@@ -170,7 +170,7 @@
 	for (guint i = 0; i < pool->services->len; i++) {
 		const struct dff_service *service =
 			&g_array_index (pool->services, struct dff_service, i);
-		if (service->sets_aside || !only_set_aside)
+		if (service->dedicated_request_slots || !only_set_aside)
 			slots += service->request_slots;
 	}
 	return (int32_t)MIN (slots, rack->per_worker.slots / 2);
@@ -183,7 +183,7 @@
 }
 
 int32_t
-dff_pool_slots_set_aside (const struct dff_pool *pool, const struct dff_rack *rack)
+dff_pool_dedicated_slots (const struct dff_pool *pool, const struct dff_rack *rack)
 {
 	return sum_slots (pool, rack, true);
 }
@@ -212,7 +212,7 @@
 }
 
 int32_t
-dff_pool_adjacent_unit (const struct dff_pool *pool)
+dff_pool_largest_rack_shape (const struct dff_pool *pool)
 {
 	int32_t largest_rack = pool_largest_rack (pool);
 	int32_t unit = 0;
--- a/standin/memory_workers.c
+++ b/standin/memory_workers.c
@@ -267,7 +267,7 @@
 	struct memory_call *call = user;
 	if (!end_work (call))
 		return;
-	call->at->heard_ms = MAX (call->at->heard_ms, result->worker_ms);
+	call->at->heard_ms = MAX (call->at->heard_ms, result->clock_ms);
 	call->done (call->user, result);
 }
 
@@ -408,7 +408,7 @@
 }
 
 const struct dff_worker_client *
-dff_memory_workers_client (struct dff_memory_workers *workers)
+dff_memory_workers_interface (struct dff_memory_workers *workers)
 {
 	return &workers->client;
 }
--- a/tests/cell/cell_promises.h
+++ b/tests/cell/cell_promises.h
@@ -60,20 +60,20 @@
 		for (guint j = 0; reachable && j < worker->tasks->len; j++)
 			g_array_append_val (
 				reports, g_array_index (worker->tasks, struct fake_task, j).report);
-		const struct dff_worker_sighting sighting = {
+		const struct dff_worker_report sighting = {
 			.worker = worker->name,
 			.reachable = reachable,
 			.leaving = worker->leaving,
 			.silent_ms = now_ms - harness->renewed_ms[i],
 			.reports = (const struct dff_task_report *)(void *)reports->data,
 			.n_reports = reports->len,
-			.whole = reachable,
+			.complete = reachable,
 		};
 		for (int j = 0; j < HARNESS_PROCESSES; j++) {
 			const struct harness_process *process = &harness->processes[j];
 			bool lost = fake_chance (&harness->fleet, harness->sighting_loss_permille);
 			if (process->alive && !process->paused && !lost)
-				dff_cell_sighting (process->cell, &sighting);
+				dff_cell_handle_worker_report (process->cell, &sighting);
 		}
 	}
 }
--- a/tests/core/test-wants.c
+++ b/tests/core/test-wants.c
@@ -51,7 +51,7 @@
 {
 	(void)state;
 	struct dff_core_options options = patient_options ();
-	options.data_wait_ms = 5000;
+	options.locality_wait_ms = 5000;
 	struct site site;
 	site_open (&site, &options);
 	struct dff_job_spec spec = fixture_spec ("near", 2, 8);
@@ -87,7 +87,7 @@
 						       DFF_WORKER_DOWN};
 	for (size_t i = 0; i < G_N_ELEMENTS (states); i++) {
 		struct dff_core_options options = patient_options ();
-		options.data_wait_ms = 5000;
+		options.locality_wait_ms = 5000;
 		struct site site;
 		site_open (&site, &options);
 		set_states (&site, "w2", "w3", states[i]);
@@ -246,7 +246,7 @@
 		g_autoptr (GString) none = site_pass (&site, 0);
 		assert_string_equal (none->str, "");
 		struct dff_name stopped = dff_name_from (cases[i].stopped);
-		assert_int_equal (dff_core_job_phase (site.core, &stopped), DFF_JOB_STOPPING);
+		assert_int_equal (dff_core_job_phase (site.core, &stopped), DFF_JOB_PHASE_STOPPING);
 		site_close (&site);
 	}
 }
--- a/tests/holder/site.h
+++ b/tests/holder/site.h
@@ -13,8 +13,8 @@
 #include "front/intake.h"
 #include "holder/holder.h"
 #include "holder/tables.h"
-#include "rows/follower.h"
 #include "rows/health.h"
+#include "rows/subscription.h"
 #include "standin/memory_link.h"
 #include "standin/memory_rows.h"
 #include "standin/memory_runner.h"
@@ -56,7 +56,7 @@
 	struct dff_holder *holder;
 	struct dff_front *front;
 	/** With evacuations: what operators put in force, as this process knows it. */
-	struct dff_follower *requests;
+	struct dff_subscription *requests;
 	struct dff_evacuations *evacuations;
 	/** With links: what goes through the process that decides, and which that is. */
 	struct dff_intake *intake;
--- a/upstream/http_worker.c
+++ b/upstream/http_worker.c
@@ -115,7 +115,7 @@
 	struct dff_worker_result result = {0};
 	result.outcome = command_outcome (call.worker, response, &result);
 	if (result.outcome == DFF_WORKER_OK)
-		note_time (call.worker, &call.address, result.worker_ms);
+		note_time (call.worker, &call.address, result.clock_ms);
 	call.done (call.user, &result);
 }
 
@@ -388,7 +388,7 @@
 }
 
 const struct dff_worker_client *
-dff_http_worker_client (struct dff_http_worker *worker)
+dff_http_worker_interface (struct dff_http_worker *worker)
 {
 	return &worker->client;
 }
--- a/upstream/watcher.c
+++ b/upstream/watcher.c
@@ -66,7 +66,7 @@
 	memset (options, 0, sizeof (*options));
 	options->interval_ms = INTERVAL_MS;
 	options->retry_ms = RETRY_MS;
-	options->retell_ms = RETELL_MS;
+	options->report_repeat_ms = RETELL_MS;
 	options->lease_ms = LEASE_MS;
 	options->failures_unreachable = FAILURES_UNREACHABLE;
 }
@@ -118,7 +118,7 @@
 }
 
 static void
-tell (struct watched *worker, struct dff_worker_sighting *sighting)
+tell (struct watched *worker, struct dff_worker_report *sighting)
 {
 	struct dff_watcher *watcher = worker->watcher;
 	worker->told = true;
@@ -127,7 +127,7 @@
 	worker->told_silent_ms = sighting->silent_ms;
 	sighting->worker = worker->name;
 	(*watcher->sightings)++;
-	watcher->options.sighted (watcher->options.ctx, sighting);
+	watcher->options.report (watcher->options.ctx, sighting);
 }
 
 /** Asks for all tasks, now. */
@@ -156,7 +156,8 @@
 		worker->retell_sequence = MIN (worker->retell_sequence, after_sequence);
 		return;
 	}
-	worker->retell_at_ms = now_ms (watcher) + jittered (watcher, watcher->options.retell_ms);
+	worker->retell_at_ms =
+		now_ms (watcher) + jittered (watcher, watcher->options.report_repeat_ms);
 	worker->retell_sequence = after_sequence;
 }
 
@@ -164,11 +165,11 @@
 tell_answer (struct watched *worker, const struct dff_worker_result *result)
 {
 	size_t n_left = result->n_reports;
-	struct dff_worker_sighting piece = {
+	struct dff_worker_report piece = {
 		.reachable = true,
 		.leaving = result->leaving,
 		.reports = result->reports,
-		.whole = worker->asked_sequence == 0 && n_left <= MAX_REPORTS,
+		.complete = worker->asked_sequence == 0 && n_left <= MAX_REPORTS,
 	};
 	do {
 		piece.n_reports = MIN (n_left, MAX_REPORTS);
@@ -244,7 +245,7 @@
 	bool flipped = !worker->told || worker->told_reachable;
 	if (!flipped && silent_ms < worker->told_silent_ms + silence_step_ms (worker))
 		return;
-	struct dff_worker_sighting sighting = {
+	struct dff_worker_report sighting = {
 		.reachable = false,
 		.leaving = worker->told_leaving,
 		.silent_ms = silent_ms,
@@ -358,7 +359,7 @@
 }
 
 void
-dff_watcher_tell_all (struct dff_watcher *watcher)
+dff_watcher_report_all (struct dff_watcher *watcher)
 {
 	for (guint i = 0; i < watcher->order->len; i++) {
 		struct watched *worker = g_ptr_array_index (watcher->order, i);
