--- a/front/front.c
+++ b/front/front.c
@@ -12,9 +12,9 @@
 /** Least time worth another call, ms. */
 #define CALL_MIN_MS 20
 /** Pause before a call is repeated whose fate is open, or a reading that failed, ms. */
-#define RETRY_MS 40
+#define RETRY_DELAY_MS 40
 /** Kept back from the caller's time for the answer's way, ms. */
-#define ANSWER_MS 60
+#define REPLY_MARGIN_MS 60
 /** Readings that the store refuses before the caller is told to come back: another process may be
  * served while this one is not. */
 #define REFUSALS_MAX 2
@@ -42,15 +42,15 @@
 	GString *value;
 	/** Key of the row that is written. */
 	GString *key;
-	int64_t begun_ms;
+	int64_t started_ms;
 	/** What is repeated after a pause. */
 	request_step_func step;
 	struct dff_timer *retry;
 	/** Writes whose fate is open. */
-	int32_t n_open;
+	int32_t n_unresolved;
 	int32_t n_refused;
 	/** Of a question about a state: whether a row is read, as nobody could tell. */
-	bool reads_row;
+	bool reads_store;
 };
 
 static struct request *
@@ -64,7 +64,7 @@
 	request->job = *job;
 	request->value = g_string_new (NULL);
 	request->key = g_string_new (job->data);
-	request->begun_ms = dff_clock_now_ms (front->options.timers->clock);
+	request->started_ms = dff_clock_now_ms (front->options.timers->clock);
 	return request;
 }
 
@@ -92,7 +92,7 @@
 static int64_t
 request_left_ms (const struct request *request)
 {
-	return request->reply.deadline_ms - ANSWER_MS -
+	return request->reply.deadline_ms - REPLY_MARGIN_MS -
 	       dff_clock_now_ms (request->front->options.timers->clock);
 }
 
@@ -113,16 +113,16 @@
 static void
 request_retry (struct request *request, request_step_func step)
 {
-	if (request_left_ms (request) < RETRY_MS + CALL_MIN_MS) {
+	if (request_left_ms (request) < RETRY_DELAY_MS + CALL_MIN_MS) {
 		request_end (request,
-			     request->n_open > 0 ? DFF_FRONT_UNKNOWN : DFF_FRONT_UNAVAILABLE);
+			     request->n_unresolved > 0 ? DFF_FRONT_UNKNOWN : DFF_FRONT_UNAVAILABLE);
 		return;
 	}
 	request->step = step;
 	if (request->retry == NULL)
 		request->retry =
 			dff_timer_new (request->front->options.timers, handle_retry, request);
-	dff_timer_start (request->retry, RETRY_MS);
+	dff_timer_start (request->retry, RETRY_DELAY_MS);
 }
 
 /* Refused writes were not done: unless an earlier one is open, the caller learns it at once. */
@@ -130,7 +130,7 @@
 request_refused (struct request *request, request_step_func step)
 {
 	request->n_refused++;
-	if (request->n_open == 0 && request->n_refused >= REFUSALS_MAX) {
+	if (request->n_unresolved == 0 && request->n_refused >= REFUSALS_MAX) {
 		request_end (request, DFF_FRONT_UNAVAILABLE);
 		return;
 	}
@@ -156,7 +156,7 @@
 }
 
 static void
-give_up_step (struct request *request)
+reject_step (struct request *request)
 {
 	request_end (request, DFF_FRONT_UNAVAILABLE);
 }
@@ -165,15 +165,15 @@
  * caller's time is up: nothing is sent to it, so that the caller can be told at once that nothing
  * was done, and when to come back. */
 static void
-request_begin_if (struct request *request, request_step_func step, bool may)
+request_begin_if (struct request *request, request_step_func step, bool allowed)
 {
 	const struct dff_front_options *options = &request->front->options;
-	if (may) {
+	if (allowed) {
 		step (request);
 		return;
 	}
 	/* In the next turn of the loop: callbacks never come before the call returns. */
-	request->step = give_up_step;
+	request->step = reject_step;
 	request->retry = dff_timer_new (options->timers, handle_retry, request);
 	dff_timer_start (request->retry, 0);
 }
@@ -195,9 +195,9 @@
 request_begin_write (struct request *request, request_step_func step)
 {
 	const struct dff_front_options *options = &request->front->options;
-	bool elsewhere =
+	bool forwarded =
 		options->writes_forwarded != NULL && options->writes_forwarded (options->ctx);
-	request_begin_if (request, step, elsewhere || store_answers (options));
+	request_begin_if (request, step, forwarded || store_answers (options));
 }
 
 /* submit */
@@ -211,8 +211,8 @@
 		 "Job accepted. job=%s repeated=%d revision=%" PRId64 " took_ms=%" PRId64
 		 " open_writes=%d",
 		 request->job.data, repeated, revision,
-		 dff_clock_now_ms (request->front->options.timers->clock) - request->begun_ms,
-		 request->n_open);
+		 dff_clock_now_ms (request->front->options.timers->clock) - request->started_ms,
+		 request->n_unresolved);
 }
 
 static void
@@ -232,7 +232,7 @@
 		request_end (request, DFF_FRONT_OK);
 		return;
 	case DFF_ROWS_UNKNOWN:
-		request->n_open++;
+		request->n_unresolved++;
 		request_retry (request, submit_step);
 		return;
 	default:
@@ -299,11 +299,11 @@
 			 "Cancellation accepted. job=%s repeated=%d took_ms=%" PRId64,
 			 request->job.data, result->outcome == DFF_ROWS_CONFLICT,
 			 dff_clock_now_ms (request->front->options.timers->clock) -
-				 request->begun_ms);
+				 request->started_ms);
 		request_end (request, DFF_FRONT_OK);
 		return;
 	case DFF_ROWS_UNKNOWN:
-		request->n_open++;
+		request->n_unresolved++;
 		request_retry (request, cancel_step);
 		return;
 	default:
@@ -351,7 +351,7 @@
 
 /* What the process that decides holds was accepted: its row need not be looked for. */
 static void
-handle_asked_to_cancel (void *user, bool known, G_GNUC_UNUSED enum dff_job_state state)
+handle_cancel_query (void *user, bool known, G_GNUC_UNUSED enum dff_job_state state)
 {
 	struct request *request = user;
 	if (!known) {
@@ -370,7 +370,7 @@
 	const struct dff_front_options *options = &front->options;
 	struct request *request = request_new (front, job, reply);
 	if (options->query_state == NULL ||
-	    !options->query_state (options->query_ctx, job, handle_asked_to_cancel, request))
+	    !options->query_state (options->query_ctx, job, handle_cancel_query, request))
 		request_begin (request, cancel_find_step);
 }
 
@@ -386,8 +386,8 @@
 	(*request->front->states)++;
 	dff_log (DFF_LOG_ENTRY, DFF_LOG_INFO,
 		 "State told. job=%s state=%s from=%s took_ms=%" PRId64, request->job.data,
-		 dff_job_state_name (state), request->reads_row ? "row" : "decider",
-		 dff_clock_now_ms (request->front->options.timers->clock) - request->begun_ms);
+		 dff_job_state_name (state), request->reads_store ? "row" : "decider",
+		 dff_clock_now_ms (request->front->options.timers->clock) - request->started_ms);
 	request_finish (request, &result);
 }
 
@@ -440,7 +440,7 @@
 state_step (struct request *request)
 {
 	const struct dff_rows *rows = request->front->options.rows;
-	request->reads_row = true;
+	request->reads_store = true;
 	g_autofree char *to = g_strconcat (request->job.data, "!", NULL);
 	struct dff_rows_range range = {.table = DFF_TABLE_PROGRESS,
 				       .from = {request->job.data, request->job.len},
@@ -451,7 +451,7 @@
 }
 
 static void
-handle_asked_state (void *user, bool known, enum dff_job_state state)
+handle_state_query (void *user, bool known, enum dff_job_state state)
 {
 	struct request *request = user;
 	if (known)
@@ -471,7 +471,7 @@
 	const struct dff_front_options *options = &front->options;
 	struct request *request = request_new (front, job, reply);
 	if (options->query_state == NULL ||
-	    !options->query_state (options->query_ctx, job, handle_asked_state, request))
+	    !options->query_state (options->query_ctx, job, handle_state_query, request))
 		request_begin (request, state_step);
 }
 
@@ -481,7 +481,7 @@
 
 /* Returns: the count in a row of "CLASS COUNT\n" lines. */
 static int32_t
-count_of (struct dff_str text, const GString *class_name)
+parse_count (struct dff_str text, const GString *class_name)
 {
 	g_autofree char *copy = g_strndup (text.data, text.len);
 	g_auto (GStrv) lines = g_strsplit (copy, "\n", -1);
@@ -503,7 +503,7 @@
 	}
 	struct dff_front_result answer = {.outcome = DFF_FRONT_OK};
 	if (result->n_rows > 0)
-		answer.waiting = count_of (result->rows[0].value, request->value);
+		answer.waiting = parse_count (result->rows[0].value, request->value);
 	request_finish (request, &answer);
 }
 
--- a/front/intake.c
+++ b/front/intake.c
@@ -7,7 +7,7 @@
 #include "rows/waiters.h"
 
 /** How long rows go the other way after the store has turned this process away, ms. */
-#define REFUSED_FOR_MS 1500
+#define REFUSAL_ROUTE_MS 1500
 /** Rows in one transaction: each is a condition and two writes. */
 #define BATCH_ROWS 33
 /** Bytes of them, before encoding: the store takes 1 MB in base64. */
@@ -16,23 +16,23 @@
  * queued before it. */
 #define BATCH_TIMEOUT_MS 1500
 /** Pause after a transaction that was turned away or has no answer, ms. */
-#define PAUSE_MS 60
+#define RETRY_DELAY_MS 60
 /** Least time worth another transaction, ms. */
-#define LEAST_MS 20
+#define MIN_REMAINING_MS 20
 /** Transactions that may be turned away before a row's callers are told: a store that is full takes
  * the next, one that is down none. */
 #define REFUSALS_MAX 3
 /** Answers of the store that take so long, ms, mean that transactions queue: ten times what one
  * takes. */
-#define SLOW_MS 100
+#define SLOW_STORE_LATENCY_MS 100
 /** Processes that a row is handed to, one after the other, while each says that it does not decide.
  */
 #define FORWARDS_MAX 3
 /** Time between two looks for a process that decides, ms, while rows wait for one. */
-#define HOLD_LOOK_MS 50
+#define DEFERRED_CHECK_INTERVAL_MS 50
 /** How long rows go straight to the store after the process that gathers them did not take one, ms:
  * it may be gone, and the next is known within that. */
-#define AVOID_MS 400
+#define HOLDER_AVOID_MS 400
 
 /** A row that waits to be written, for one caller or more. */
 struct entry {
@@ -40,14 +40,14 @@
 	GString *value;
 	int64_t deadline_ms;
 	/** Whether a transaction with it may still take effect. */
-	bool is_open;
+	bool may_be_written;
 	int32_t n_refused;
 	/** Who waits for it, see rows/waiters.h. */
 	GArray *waiters;
 };
 
 /** A row that waits for a process that decides. */
-struct held {
+struct deferred {
 	char *key;
 	GString *value;
 	int64_t deadline_ms;
@@ -58,27 +58,27 @@
 struct dff_intake {
 	struct dff_rows interface;
 	struct dff_intake_options options;
-	struct dff_name gatherer;
-	bool is_gatherer;
+	struct dff_name holder_address;
+	bool is_holder;
 	int64_t refused_until_ms;
 	int64_t avoid_until_ms;
 	/** Elements: struct entry *, the oldest first. */
 	GQueue waiting;
 	/** (nullable): those in the transaction in progress. */
 	GPtrArray *in_flight;
-	int64_t begun_ms;
+	int64_t batch_started_ms;
 	/** Elements: struct held *. */
-	GQueue held;
-	struct dff_timer *look;
-	struct dff_timer *work;
+	GQueue deferred;
+	struct dff_timer *deferred_timer;
+	struct dff_timer *batch_timer;
 	/** Goes off when the time of a row is up. */
-	struct dff_timer *expiry;
+	struct dff_timer *expiry_timer;
 	int64_t *forwarded;
 	int64_t *batches;
 	int64_t *batch_rows;
 };
 
-struct passed_call {
+struct direct_call {
 	struct dff_intake *intake;
 	dff_rows_func done;
 	void *user;
@@ -112,7 +112,7 @@
 }
 
 static void
-end_entry (struct entry *entry, enum dff_rows_outcome outcome, int64_t revision)
+finish_entry (struct entry *entry, enum dff_rows_outcome outcome, int64_t revision)
 {
 	dff_rows_waiters_answer (entry->waiters, outcome, revision);
 	free_entry (entry);
@@ -120,13 +120,13 @@
 
 /* Not done is said only of what no transaction can still bring about. */
 static void
-give_up (struct entry *entry)
+fail_entry (struct entry *entry)
 {
-	end_entry (entry, entry->is_open ? DFF_ROWS_UNKNOWN : DFF_ROWS_NOT_DONE, 0);
+	finish_entry (entry, entry->may_be_written ? DFF_ROWS_UNKNOWN : DFF_ROWS_NOT_DONE, 0);
 }
 
 static bool
-is_among (const struct dff_rows_result *result, const char *key)
+result_has_row (const struct dff_rows_result *result, const char *key)
 {
 	for (size_t i = 0; i < result->n_rows; i++) {
 		if (result->rows[i].revision > 0 &&
@@ -143,34 +143,35 @@
 	g_autoptr (GPtrArray) entries = g_steal_pointer (&intake->in_flight);
 	dff_log (DFF_LOG_ENTRY, DFF_LOG_INFO,
 		 "Rows written together. rows=%u outcome=%d took_ms=%" PRId64 " waiting=%u",
-		 entries->len, (int)result->outcome, now_ms (intake) - intake->begun_ms,
+		 entries->len, (int)result->outcome, now_ms (intake) - intake->batch_started_ms,
 		 intake->waiting.length);
 	for (guint i = entries->len; i > 0; i--) {
 		struct entry *entry = g_ptr_array_index (entries, i - 1);
 		if (result->outcome == DFF_ROWS_DONE) {
-			end_entry (entry, DFF_ROWS_DONE, result->revision);
-		} else if (result->outcome == DFF_ROWS_CONFLICT && is_among (result, entry->key)) {
+			finish_entry (entry, DFF_ROWS_DONE, result->revision);
+		} else if (result->outcome == DFF_ROWS_CONFLICT &&
+			   result_has_row (result, entry->key)) {
 			/* Written by an earlier transaction, or by another process. */
-			end_entry (entry, DFF_ROWS_CONFLICT, result->revision);
+			finish_entry (entry, DFF_ROWS_CONFLICT, result->revision);
 		} else {
-			entry->is_open |= result->outcome == DFF_ROWS_UNKNOWN;
+			entry->may_be_written |= result->outcome == DFF_ROWS_UNKNOWN;
 			entry->n_refused += result->outcome == DFF_ROWS_NOT_DONE;
 			g_queue_push_head (&intake->waiting, entry);
 		}
 	}
-	bool settled = result->outcome == DFF_ROWS_DONE || result->outcome == DFF_ROWS_CONFLICT;
-	dff_timer_start (intake->work, settled ? 0 : PAUSE_MS);
+	bool decided = result->outcome == DFF_ROWS_DONE || result->outcome == DFF_ROWS_CONFLICT;
+	dff_timer_start (intake->batch_timer, decided ? 0 : RETRY_DELAY_MS);
 }
 
 static void
-drop_hopeless (struct dff_intake *intake)
+fail_unservable_entries (struct dff_intake *intake)
 {
-	int64_t latest_ms = now_ms (intake) + LEAST_MS;
+	int64_t latest_ms = now_ms (intake) + MIN_REMAINING_MS;
 	for (guint n = intake->waiting.length; n > 0; n--) {
 		struct entry *entry = g_queue_pop_head (&intake->waiting);
-		bool refused = entry->n_refused >= REFUSALS_MAX && !entry->is_open;
+		bool refused = entry->n_refused >= REFUSALS_MAX && !entry->may_be_written;
 		if (entry->deadline_ms <= latest_ms || refused)
-			give_up (entry);
+			fail_entry (entry);
 		else
 			g_queue_push_tail (&intake->waiting, entry);
 	}
@@ -185,7 +186,7 @@
 	struct dff_intake *intake = ctx;
 	int64_t now = now_ms (intake);
 	int64_t next_ms = INT64_MAX;
-	drop_hopeless (intake);
+	fail_unservable_entries (intake);
 	for (GList *link = intake->waiting.head; link != NULL; link = link->next)
 		next_ms = MIN (next_ms, ((struct entry *)link->data)->deadline_ms);
 	for (guint i = 0; intake->in_flight != NULL && i < intake->in_flight->len; i++) {
@@ -196,7 +197,7 @@
 			next_ms = MIN (next_ms, entry->deadline_ms);
 	}
 	if (next_ms < INT64_MAX)
-		dff_timer_start (intake->expiry, (int32_t)MAX (next_ms - now, 1));
+		dff_timer_start (intake->expiry_timer, (int32_t)MAX (next_ms - now, 1));
 }
 
 static void
@@ -229,26 +230,27 @@
 					 .timeout_ms = BATCH_TIMEOUT_MS};
 	(*intake->batches)++;
 	(*intake->batch_rows) += (int64_t)n_rows;
-	intake->begun_ms = now_ms (intake);
+	intake->batch_started_ms = now_ms (intake);
 	intake->options.rows->commit (intake->options.rows->ctx, &commit, handle_batch, intake);
 	handle_expiry (intake);
 }
 
 static bool
-is_slow (const struct dff_intake *intake)
+store_is_slow (const struct dff_intake *intake)
 {
-	return intake->options.store_latency_ms (intake->options.store_ctx) >= SLOW_MS;
+	return intake->options.store_latency_ms (intake->options.store_ctx) >=
+	       SLOW_STORE_LATENCY_MS;
 }
 
 static void
 handle_recorded (void *user, const struct dff_rows_result *result)
 {
-	end_entry (user, result->outcome, result->revision);
+	finish_entry (user, result->outcome, result->revision);
 }
 
 /* Has the process that decides write rows that came before it did. */
 static void
-hand_over (struct dff_intake *intake)
+record_waiting_entries (struct dff_intake *intake)
 {
 	const struct dff_intake_options *options = &intake->options;
 	for (guint n = intake->waiting.length; options->record != NULL && n > 0; n--) {
@@ -257,7 +259,7 @@
 			.key = dff_str_from (entry->key),
 			.value = {entry->value->str, entry->value->len},
 			.timeout_ms = (int32_t)(entry->deadline_ms - now_ms (intake))};
-		if (entry->is_open ||
+		if (entry->may_be_written ||
 		    !options->record (options->record_ctx, &row, handle_recorded, entry))
 			g_queue_push_tail (&intake->waiting, entry);
 	}
@@ -265,17 +267,17 @@
 
 /* In a slow store, transactions beside the holder's own would only keep those waiting. */
 static void
-handle_work (void *ctx)
+handle_batch_timer (void *ctx)
 {
 	struct dff_intake *intake = ctx;
-	drop_hopeless (intake);
-	bool waits = intake->options.record != NULL && is_slow (intake);
-	if (waits)
-		hand_over (intake);
+	fail_unservable_entries (intake);
+	bool store_slow = intake->options.record != NULL && store_is_slow (intake);
+	if (store_slow)
+		record_waiting_entries (intake);
 	if (intake->in_flight != NULL || intake->waiting.length == 0)
 		return;
-	if (waits)
-		dff_timer_start (intake->work, PAUSE_MS);
+	if (store_slow)
+		dff_timer_start (intake->batch_timer, RETRY_DELAY_MS);
 	else
 		send_batch (intake);
 }
@@ -299,12 +301,12 @@
 }
 
 static void
-free_held (gpointer data)
+free_deferred (gpointer data)
 {
-	struct held *held = data;
-	g_free (held->key);
-	g_string_free (held->value, TRUE);
-	g_free (held);
+	struct deferred *deferred = data;
+	g_free (deferred->key);
+	g_string_free (deferred->value, TRUE);
+	g_free (deferred);
 }
 
 /* Symptom without this: a store that takes 400 ms for a transaction records nothing for five
@@ -312,26 +314,32 @@
  * row goes straight to the store, a dozen in half a second, and the one that takes the cell waits
  * behind them until the store turns it away. Cause: what cannot be served was sent all the same. */
 static void
-hold (struct dff_intake *intake, const struct dff_intake_row *row, dff_rows_func done, void *user)
+defer_row (struct dff_intake *intake,
+	   const struct dff_intake_row *row,
+	   dff_rows_func done,
+	   void *user)
 {
-	struct held *held = g_new0 (struct held, 1);
-	held->key = g_strndup (row->key.data, row->key.len);
-	held->value = g_string_new_len (row->value.data, (gssize)row->value.len);
-	held->deadline_ms = now_ms (intake) + row->timeout_ms;
-	held->done = done;
-	held->user = user;
-	g_queue_push_tail (&intake->held, held);
-	dff_timer_start (intake->look, HOLD_LOOK_MS);
+	struct deferred *deferred = g_new0 (struct deferred, 1);
+	deferred->key = g_strndup (row->key.data, row->key.len);
+	deferred->value = g_string_new_len (row->value.data, (gssize)row->value.len);
+	deferred->deadline_ms = now_ms (intake) + row->timeout_ms;
+	deferred->done = done;
+	deferred->user = user;
+	g_queue_push_tail (&intake->deferred, deferred);
+	dff_timer_start (intake->deferred_timer, DEFERRED_CHECK_INTERVAL_MS);
 }
 
 /* In the next turn of the loop: callbacks never come before the call returns. */
 static void
-refuse (struct dff_intake *intake, const struct dff_intake_row *row, dff_rows_func done, void *user)
+reject_row (struct dff_intake *intake,
+	    const struct dff_intake_row *row,
+	    dff_rows_func done,
+	    void *user)
 {
 	struct dff_intake_row expired = *row;
 	expired.timeout_ms = 0;
-	hold (intake, &expired, done, user);
-	dff_timer_start (intake->look, 0);
+	defer_row (intake, &expired, done, user);
+	dff_timer_start (intake->deferred_timer, 0);
 }
 
 void
@@ -345,7 +353,7 @@
 	struct entry *entry = find_entry (intake, row->key);
 	if (entry == NULL && options->store_is_silent != NULL &&
 	    options->store_is_silent (options->store_ctx)) {
-		refuse (intake, row, done, user);
+		reject_row (intake, row, done, user);
 		return;
 	}
 	if (entry == NULL && options->record != NULL &&
@@ -360,33 +368,33 @@
 	}
 	entry->deadline_ms = MAX (entry->deadline_ms, deadline_ms);
 	dff_rows_waiters_add (entry->waiters, done, user);
-	dff_timer_start (intake->in_flight == NULL ? intake->work : intake->expiry, 0);
+	dff_timer_start (intake->in_flight == NULL ? intake->batch_timer : intake->expiry_timer, 0);
 }
 
-static struct passed_call *
-pass_call (struct dff_intake *intake, dff_rows_func done, void *user)
+static struct direct_call *
+direct_call_new (struct dff_intake *intake, dff_rows_func done, void *user)
 {
-	struct passed_call *call = g_new0 (struct passed_call, 1);
-	*call = (struct passed_call){.intake = intake, .done = done, .user = user};
+	struct direct_call *call = g_new0 (struct direct_call, 1);
+	*call = (struct direct_call){.intake = intake, .done = done, .user = user};
 	return call;
 }
 
 static void
 handle_direct (void *user, const struct dff_rows_result *result)
 {
-	g_autofree struct passed_call *call = user;
+	g_autofree struct direct_call *call = user;
 	struct dff_intake *intake = call->intake;
 	if (result->outcome == DFF_ROWS_NOT_DONE)
-		intake->refused_until_ms = now_ms (intake) + REFUSED_FOR_MS;
+		intake->refused_until_ms = now_ms (intake) + REFUSAL_ROUTE_MS;
 	call->done (call->user, result);
 }
 
 static bool
-goes_together (const struct dff_intake *intake)
+routes_to_holder (const struct dff_intake *intake)
 {
 	int64_t now = now_ms (intake);
-	if (!intake->is_gatherer &&
-	    (dff_name_is_empty (&intake->gatherer) || now < intake->avoid_until_ms))
+	if (!intake->is_holder &&
+	    (dff_name_is_empty (&intake->holder_address) || now < intake->avoid_until_ms))
 		return false;
 	return now < intake->refused_until_ms || intake->options.forward_min_latency_ms == 0 ||
 	       intake->options.store_latency_ms (intake->options.store_ctx) >=
@@ -394,7 +402,7 @@
 }
 
 static void
-end_forward (struct forward *forward, enum dff_rows_outcome outcome)
+finish_forward (struct forward *forward, enum dff_rows_outcome outcome)
 {
 	struct dff_rows_result result = {.outcome = outcome};
 	forward->done (forward->user, &result);
@@ -406,16 +414,16 @@
 /* A process that is not reached, or does not decide any more, is left alone for a moment, unless it
  * names another one. */
 static void
-leave_gatherer (struct dff_intake *intake, const struct dff_name *next)
+handle_holder_unavailable (struct dff_intake *intake, const struct dff_name *next)
 {
 	const struct dff_intake_options *options = &intake->options;
-	bool moved = !dff_name_is_empty (next) && !dff_name_equal (next, &intake->gatherer);
+	bool moved = !dff_name_is_empty (next) && !dff_name_equal (next, &intake->holder_address);
 	if (moved) {
 		dff_intake_set_holder_address (intake, next, false);
 		if (options->holder_moved != NULL)
 			options->holder_moved (options->holder_ctx, next);
 	} else {
-		intake->avoid_until_ms = now_ms (intake) + AVOID_MS;
+		intake->avoid_until_ms = now_ms (intake) + HOLDER_AVOID_MS;
 	}
 	if (options->holder_lost != NULL)
 		options->holder_lost (options->holder_ctx);
@@ -433,34 +441,34 @@
 					     (int32_t)(forward->deadline_ms - now_ms (intake))};
 	forward->n_tries++;
 	(*intake->forwarded)++;
-	intake->options.forward (intake->options.forward_ctx, &intake->gatherer, &row,
+	intake->options.forward (intake->options.forward_ctx, &intake->holder_address, &row,
 				 handle_forwarded, forward);
 }
 
 static void
-handle_own_way (void *user, const struct dff_rows_result *result)
+handle_local_write (void *user, const struct dff_rows_result *result)
 {
-	end_forward (user, result->outcome);
+	finish_forward (user, result->outcome);
 }
 
 /* Nothing was done with the row: it goes to who decides now, or its own way. */
 static void
-forward_again (struct forward *forward)
+retry_forward (struct forward *forward)
 {
 	struct dff_intake *intake = forward->intake;
 	int64_t left_ms = forward->deadline_ms - now_ms (intake);
-	if (left_ms <= LEAST_MS || forward->n_tries >= FORWARDS_MAX) {
-		end_forward (forward, DFF_ROWS_NOT_DONE);
+	if (left_ms <= MIN_REMAINING_MS || forward->n_tries >= FORWARDS_MAX) {
+		finish_forward (forward, DFF_ROWS_NOT_DONE);
 		return;
 	}
-	if (!intake->is_gatherer && goes_together (intake)) {
+	if (!intake->is_holder && routes_to_holder (intake)) {
 		send_forward (forward);
 		return;
 	}
 	struct dff_intake_row row = {.key = dff_str_from (forward->key),
 				     .value = {forward->value->str, forward->value->len},
 				     .timeout_ms = (int32_t)left_ms};
-	dff_intake_write (intake, &row, handle_own_way, forward);
+	dff_intake_write (intake, &row, handle_local_write, forward);
 }
 
 /* One that was reached and did not take the row knows why: a row that goes straight to a store
@@ -470,20 +478,20 @@
 {
 	struct forward *forward = user;
 	if (forwarded->delivery != DFF_INTAKE_DELIVERED)
-		leave_gatherer (forward->intake, &forwarded->holder);
+		handle_holder_unavailable (forward->intake, &forwarded->holder);
 	if (forwarded->delivery != DFF_INTAKE_DELIVERED && forwarded->outcome == DFF_ROWS_NOT_DONE)
-		forward_again (forward);
+		retry_forward (forward);
 	else
-		end_forward (forward, forwarded->outcome);
+		finish_forward (forward, forwarded->outcome);
 }
 
 static void
-pass_on (struct dff_intake *intake,
-	 const struct dff_intake_row *row,
-	 dff_rows_func done,
-	 void *user)
+route_row (struct dff_intake *intake,
+	   const struct dff_intake_row *row,
+	   dff_rows_func done,
+	   void *user)
 {
-	if (intake->is_gatherer) {
+	if (intake->is_holder) {
 		dff_intake_write (intake, row, done, user);
 		return;
 	}
@@ -499,35 +507,35 @@
 }
 
 static void
-release (struct dff_intake *intake, struct held *held)
+dispatch_deferred (struct dff_intake *intake, struct deferred *deferred)
 {
-	int64_t left_ms = held->deadline_ms - now_ms (intake);
-	struct dff_intake_row row = {.key = dff_str_from (held->key),
-				     .value = {held->value->str, held->value->len},
+	int64_t left_ms = deferred->deadline_ms - now_ms (intake);
+	struct dff_intake_row row = {.key = dff_str_from (deferred->key),
+				     .value = {deferred->value->str, deferred->value->len},
 				     .timeout_ms = (int32_t)left_ms};
-	if (left_ms > LEAST_MS) {
-		pass_on (intake, &row, held->done, held->user);
+	if (left_ms > MIN_REMAINING_MS) {
+		route_row (intake, &row, deferred->done, deferred->user);
 	} else {
 		struct dff_rows_result result = {.outcome = DFF_ROWS_NOT_DONE};
-		held->done (held->user, &result);
+		deferred->done (deferred->user, &result);
 	}
-	free_held (held);
+	free_deferred (deferred);
 }
 
 static void
-handle_look (void *ctx)
+handle_deferred_check (void *ctx)
 {
 	struct dff_intake *intake = ctx;
-	bool known = goes_together (intake);
-	for (guint n = intake->held.length; n > 0; n--) {
-		struct held *held = g_queue_pop_head (&intake->held);
-		if (known || held->deadline_ms <= now_ms (intake) + LEAST_MS)
-			release (intake, held);
+	bool routable = routes_to_holder (intake);
+	for (guint n = intake->deferred.length; n > 0; n--) {
+		struct deferred *deferred = g_queue_pop_head (&intake->deferred);
+		if (routable || deferred->deadline_ms <= now_ms (intake) + MIN_REMAINING_MS)
+			dispatch_deferred (intake, deferred);
 		else
-			g_queue_push_tail (&intake->held, held);
+			g_queue_push_tail (&intake->deferred, deferred);
 	}
-	if (intake->held.length > 0)
-		dff_timer_start (intake->look, HOLD_LOOK_MS);
+	if (intake->deferred.length > 0)
+		dff_timer_start (intake->deferred_timer, DEFERRED_CHECK_INTERVAL_MS);
 }
 
 /* What a front writes: a row that must not exist, and its key in the inbox. */
@@ -545,19 +553,20 @@
 {
 	struct dff_intake *intake = ctx;
 	const struct dff_rows *rows = intake->options.rows;
-	bool together = goes_together (intake);
-	bool holds = !together && intake->options.record != NULL && is_slow (intake);
-	if (!is_job_row (commit) || (!together && !holds)) {
-		rows->commit (rows->ctx, commit, handle_direct, pass_call (intake, done, user));
+	bool via_holder = routes_to_holder (intake);
+	bool defers = !via_holder && intake->options.record != NULL && store_is_slow (intake);
+	if (!is_job_row (commit) || (!via_holder && !defers)) {
+		rows->commit (rows->ctx, commit, handle_direct,
+			      direct_call_new (intake, done, user));
 		return;
 	}
 	struct dff_intake_row row = {.key = commit->writes[0].key,
 				     .value = commit->writes[0].value,
 				     .timeout_ms = commit->timeout_ms};
-	if (holds)
-		hold (intake, &row, done, user);
+	if (defers)
+		defer_row (intake, &row, done, user);
 	else
-		pass_on (intake, &row, done, user);
+		route_row (intake, &row, done, user);
 }
 
 static void
@@ -577,28 +586,28 @@
 bool
 dff_intake_writes_forwarded (const struct dff_intake *intake)
 {
-	return !intake->is_gatherer && goes_together (intake);
+	return !intake->is_holder && routes_to_holder (intake);
 }
 
 void
 dff_intake_set_holder_address (struct dff_intake *intake, const struct dff_name *address, bool self)
 {
-	if (!dff_name_equal (address, &intake->gatherer))
+	if (!dff_name_equal (address, &intake->holder_address))
 		intake->avoid_until_ms = 0;
-	intake->gatherer = *address;
-	intake->is_gatherer = self;
+	intake->holder_address = *address;
+	intake->is_holder = self;
 }
 
 bool
 dff_intake_is_holder (const struct dff_intake *intake)
 {
-	return intake->is_gatherer;
+	return intake->is_holder;
 }
 
 const struct dff_name *
 dff_intake_holder_address (const struct dff_intake *intake)
 {
-	return &intake->gatherer;
+	return &intake->holder_address;
 }
 
 const struct dff_rows *
@@ -614,9 +623,9 @@
 	intake->options = *options;
 	intake->interface = (struct dff_rows){
 		.commit = intake_commit, .get = intake_get, .feed = intake_feed, .ctx = intake};
-	intake->work = dff_timer_new (options->timers, handle_work, intake);
-	intake->expiry = dff_timer_new (options->timers, handle_expiry, intake);
-	intake->look = dff_timer_new (options->timers, handle_look, intake);
+	intake->batch_timer = dff_timer_new (options->timers, handle_batch_timer, intake);
+	intake->expiry_timer = dff_timer_new (options->timers, handle_expiry, intake);
+	intake->deferred_timer = dff_timer_new (options->timers, handle_deferred_check, intake);
 	intake->forwarded = dff_metrics_counter (options->metrics, "dff_intake_forwarded_total",
 						 "Rows handed to the process that gathers them.");
 	intake->batches = dff_metrics_counter (options->metrics, "dff_intake_batches_total",
@@ -634,9 +643,9 @@
 		g_ptr_array_set_free_func (intake->in_flight, free_entry);
 		g_ptr_array_unref (intake->in_flight);
 	}
-	dff_timer_free (intake->work);
-	dff_timer_free (intake->expiry);
-	dff_timer_free (intake->look);
-	g_queue_clear_full (&intake->held, free_held);
+	dff_timer_free (intake->batch_timer);
+	dff_timer_free (intake->expiry_timer);
+	dff_timer_free (intake->deferred_timer);
+	g_queue_clear_full (&intake->deferred, free_deferred);
 	g_free (intake);
 }
--- a/tests/front/test-intake.c
+++ b/tests/front/test-intake.c
@@ -28,12 +28,12 @@
 	struct dff_memory_rows *rows;
 	struct dff_metrics *metrics;
 	struct process processes[PROCESSES];
-	int64_t took_ms;
+	int64_t latency_ms;
 	/** Whether nobody listens where the rows are gathered. */
-	bool gatherer_gone;
+	bool holder_unreachable;
 	/** Whether the process that gathered rows does not any more, and which it names. */
-	bool replaced;
-	struct dff_name next_gatherer;
+	bool holder_replaced;
+	struct dff_name next_holder;
 	/** Times that a process was told that the gatherer is not reached. */
 	int n_lost;
 	/** Whether the first process writes rows with its own transactions; else it has none. */
@@ -58,17 +58,17 @@
 };
 
 static int64_t
-store_took_ms (void *ctx)
+store_latency (void *ctx)
 {
-	return ((struct process *)ctx)->fixture->took_ms;
+	return ((struct process *)ctx)->fixture->latency_ms;
 }
 
 static void
-end_hop (struct hop *hop, enum dff_rows_outcome outcome, enum dff_intake_delivery receiver)
+finish_hop (struct hop *hop, enum dff_rows_outcome outcome, enum dff_intake_delivery receiver)
 {
 	struct dff_intake_forward_result forwarded = {.delivery = receiver, .outcome = outcome};
 	if (receiver == DFF_INTAKE_MISDIRECTED)
-		forwarded.holder = hop->fixture->next_gatherer;
+		forwarded.holder = hop->fixture->next_holder;
 	hop->done (hop->user, &forwarded);
 	g_free (hop->key);
 	g_free (hop->value);
@@ -76,24 +76,24 @@
 }
 
 static void
-handle_taken (void *user, const struct dff_rows_result *result)
+handle_written (void *user, const struct dff_rows_result *result)
 {
-	end_hop (user, result->outcome, DFF_INTAKE_DELIVERED);
+	finish_hop (user, result->outcome, DFF_INTAKE_DELIVERED);
 }
 
 static void
-arrive (void *user)
+deliver (void *user)
 {
 	struct hop *hop = user;
 	struct dff_intake_row row = {.key = dff_str_from (hop->key),
 				     .value = dff_str_from (hop->value),
 				     .timeout_ms = hop->timeout_ms};
-	if (hop->fixture->gatherer_gone)
-		end_hop (hop, DFF_ROWS_NOT_DONE, DFF_INTAKE_UNREACHABLE);
+	if (hop->fixture->holder_unreachable)
+		finish_hop (hop, DFF_ROWS_NOT_DONE, DFF_INTAKE_UNREACHABLE);
 	else if (hop->misdirected)
-		end_hop (hop, DFF_ROWS_NOT_DONE, DFF_INTAKE_MISDIRECTED);
+		finish_hop (hop, DFF_ROWS_NOT_DONE, DFF_INTAKE_MISDIRECTED);
 	else
-		dff_intake_write (hop->fixture->processes[0].intake, &row, handle_taken, hop);
+		dff_intake_write (hop->fixture->processes[0].intake, &row, handle_written, hop);
 }
 
 static void
@@ -104,9 +104,9 @@
 	 void *user)
 {
 	struct process *process = ctx;
-	bool misdirected = process->fixture->replaced && strcmp (address->data, "p0") == 0;
+	bool misdirected = process->fixture->holder_replaced && strcmp (address->data, "p0") == 0;
 	assert_true (misdirected ||
-		     strcmp (address->data, process->fixture->replaced ? "p9" : "p0") == 0);
+		     strcmp (address->data, process->fixture->holder_replaced ? "p9" : "p0") == 0);
 	struct hop *hop = g_new0 (struct hop, 1);
 	*hop = (struct hop){.fixture = process->fixture,
 			    .key = g_strndup (row->key.data, row->key.len),
@@ -115,11 +115,11 @@
 			    .misdirected = misdirected,
 			    .done = done,
 			    .user = user};
-	dff_virtual_loop_schedule (process->fixture->loop, 1, arrive, hop);
+	dff_virtual_loop_schedule (process->fixture->loop, 1, deliver, hop);
 }
 
 static void
-note_lost (void *ctx)
+count_holder_lost (void *ctx)
 {
 	struct fixture *fixture = ctx;
 	fixture->n_lost++;
@@ -131,7 +131,7 @@
 };
 
 static void
-end_record (void *user)
+finish_record (void *user)
 {
 	struct record *record = user;
 	struct dff_rows_result result = {.outcome = DFF_ROWS_DONE};
@@ -149,7 +149,7 @@
 	process->fixture->n_recorded++;
 	struct record *record = g_new0 (struct record, 1);
 	*record = (struct record){.done = done, .user = user};
-	dff_virtual_loop_schedule (process->fixture->loop, 1, end_record, record);
+	dff_virtual_loop_schedule (process->fixture->loop, 1, finish_record, record);
 	return true;
 }
 
@@ -169,17 +169,17 @@
 			.rows = dff_memory_rows_client_interface (process->client),
 			.metrics = fixture->metrics,
 			.forward_min_latency_ms = 100,
-			.store_latency_ms = store_took_ms,
+			.store_latency_ms = store_latency,
 			.store_ctx = process,
 			.forward = forward,
 			.forward_ctx = process,
-			.holder_lost = note_lost,
+			.holder_lost = count_holder_lost,
 			.holder_ctx = fixture,
 			.record = with_records ? record_row : NULL,
 			.record_ctx = process};
 		process->intake = dff_intake_new (&options);
-		struct dff_name gatherer = dff_name_from ("p0");
-		dff_intake_set_holder_address (process->intake, &gatherer, i == 0);
+		struct dff_name holder = dff_name_from ("p0");
+		dff_intake_set_holder_address (process->intake, &holder, i == 0);
 	}
 }
 
@@ -260,7 +260,7 @@
 {
 	(void)state;
 	static const struct {
-		int64_t took_ms;
+		int64_t latency_ms;
 		int32_t delay_ms;
 		/** Transactions at the most in which sixty rows are written. */
 		int64_t batches;
@@ -270,7 +270,7 @@
 		struct outcome outcomes[60];
 		char key[16];
 		open_fixture (&fixture);
-		fixture.took_ms = cases[c].took_ms;
+		fixture.latency_ms = cases[c].latency_ms;
 		for (int i = 0; i < PROCESSES; i++)
 			faults_of (&fixture, i)->commit_delay_ms = cases[c].delay_ms;
 		for (int i = 0; i < 60; i++)
@@ -292,14 +292,14 @@
 /* One row that is there already does not keep others of its transaction from being written; the
  * same row sent twice is written once, and both are told. */
 static void
-test_rows_that_are_there (void **state)
+test_existing_rows (void **state)
 {
 	(void)state;
 	struct fixture fixture;
 	struct outcome outcomes[10], again;
 	char key[16];
 	open_fixture (&fixture);
-	fixture.took_ms = 300;
+	fixture.latency_ms = 300;
 	faults_of (&fixture, 0)->commit_delay_ms = 300;
 	dff_memory_rows_put (fixture.rows, DFF_TABLE_JOBS, "job4", dff_str_from ("before"));
 	for (int i = 0; i < 10; i++)
@@ -328,8 +328,8 @@
 {
 	(void)state;
 	static const struct {
-		bool gatherer_refused;
-		bool gatherer_gone;
+		bool holder_refused;
+		bool holder_unreachable;
 		enum dff_rows_outcome second;
 	} cases[] = {
 		{false, false, DFF_ROWS_DONE},
@@ -340,9 +340,9 @@
 		struct fixture fixture;
 		struct outcome first, second;
 		open_fixture (&fixture);
-		fixture.gatherer_gone = cases[c].gatherer_gone;
+		fixture.holder_unreachable = cases[c].holder_unreachable;
 		faults_of (&fixture, 1)->refuses = true;
-		faults_of (&fixture, 0)->refuses = cases[c].gatherer_refused;
+		faults_of (&fixture, 0)->refuses = cases[c].holder_refused;
 		write_row (&fixture, 1, "job", &first);
 		dff_virtual_loop_run (fixture.loop, 50);
 		assert_int_equal (first.outcome, DFF_ROWS_NOT_DONE);
@@ -350,7 +350,7 @@
 		dff_virtual_loop_run (fixture.loop, 400);
 		assert_true (second.ended);
 		assert_int_equal (second.outcome, cases[c].second);
-		assert_int_equal (fixture.n_lost > 0, cases[c].gatherer_gone);
+		assert_int_equal (fixture.n_lost > 0, cases[c].holder_unreachable);
 		assert_int_equal (is_written (&fixture, "job"), second.outcome == DFF_ROWS_DONE);
 		close_fixture (&fixture);
 	}
@@ -360,14 +360,14 @@
  * to a process that does not decide any more: it names the one that does, and the row goes there.
  * One that names nobody is left alone, and nobody is asked in a circle. */
 static void
-test_gatherer_that_was_replaced (void **state)
+test_holder_replaced (void **state)
 {
 	(void)state;
 	static const struct {
 		const char *next;
 		bool refuses;
 		enum dff_rows_outcome outcome;
-		int most_lost;
+		int max_lost;
 	} cases[] = {
 		/* The next one is played by the same process. */
 		{"p9", true, DFF_ROWS_DONE, 1},
@@ -381,16 +381,16 @@
 		struct fixture fixture;
 		struct outcome outcome;
 		open_fixture (&fixture);
-		fixture.replaced = true;
-		fixture.took_ms = 500;
-		dff_name_parse (dff_str_from (cases[c].next), &fixture.next_gatherer);
+		fixture.holder_replaced = true;
+		fixture.latency_ms = 500;
+		dff_name_parse (dff_str_from (cases[c].next), &fixture.next_holder);
 		faults_of (&fixture, 1)->refuses = cases[c].refuses;
 		write_row (&fixture, 1, "job", &outcome);
 		dff_virtual_loop_run (fixture.loop, 900);
 		assert_true (outcome.ended);
 		assert_int_equal (outcome.outcome, cases[c].outcome);
 		assert_int_equal (is_written (&fixture, "job"), cases[c].outcome == DFF_ROWS_DONE);
-		assert_in_range (fixture.n_lost, 1, cases[c].most_lost);
+		assert_in_range (fixture.n_lost, 1, cases[c].max_lost);
 		close_fixture (&fixture);
 	}
 }
@@ -399,7 +399,7 @@
  * with rows of many callers take effect late, or without an answer, and later ones are turned away.
  * Cause: not done was said of a row that an earlier transaction could still write. Seeded. */
 static void
-test_not_done_is_true (void **state)
+test_not_done_row_is_never_written (void **state)
 {
 	(void)state;
 	for (guint32 seed = 1; seed <= 60; seed++) {
@@ -408,7 +408,7 @@
 		struct outcome outcomes[ROWS_MAX];
 		char key[16];
 		open_fixture (&fixture);
-		fixture.took_ms = 300;
+		fixture.latency_ms = 300;
 		dff_memory_rows_seed (fixture.rows, seed);
 		for (int i = 0; i < ROWS_MAX; i++) {
 			struct dff_memory_rows_faults *faults = faults_of (&fixture, 0);
@@ -439,49 +439,49 @@
  * and a row each 50 ms. */
 #define VERY_SLOW_MS 400
 #define ROW_EVERY_MS INT64_C (50)
-#define N_HELD 12
+#define N_DEFERRED 12
 
 /* Symptom: a slow store records nothing for five seconds. Sequence: the process that decides lets
  * go of the cell; rows of all processes go straight to the store until the next one is known, and
  * the one that takes the cell waits behind them. Cause: rows were sent though nobody could be
  * served by that. They wait for a process that decides; one that does not come is told in time. */
 static void
-test_nobody_decides (void **state)
+test_no_holder (void **state)
 {
 	(void)state;
 	static const struct {
 		/** When a process decides; 0: none does. */
-		int64_t decides_ms;
+		int64_t holder_after_ms;
 		/** Whether the first process is told of before it has its means. */
-		bool told_before;
+		bool address_known;
 		enum dff_rows_outcome outcome;
 		int32_t n_recorded;
 	} cases[] = {
-		{700, false, DFF_ROWS_DONE, N_HELD},
-		{700, true, DFF_ROWS_DONE, N_HELD},
+		{700, false, DFF_ROWS_DONE, N_DEFERRED},
+		{700, true, DFF_ROWS_DONE, N_DEFERRED},
 		{0, false, DFF_ROWS_NOT_DONE, 0},
 		{0, true, DFF_ROWS_NOT_DONE, 0},
 	};
 	for (size_t c = 0; c < G_N_ELEMENTS (cases); c++) {
 		struct fixture fixture;
-		struct outcome outcomes[N_HELD];
+		struct outcome outcomes[N_DEFERRED];
 		char key[16];
 		open_fixture_with (&fixture, true);
-		fixture.took_ms = VERY_SLOW_MS;
-		struct dff_name nobody = {0};
+		fixture.latency_ms = VERY_SLOW_MS;
+		struct dff_name none = {0};
 		for (int i = 0; i < PROCESSES; i++) {
 			faults_of (&fixture, i)->commit_delay_ms = VERY_SLOW_MS;
-			if (!cases[c].told_before)
-				dff_intake_set_holder_address (fixture.processes[i].intake, &nobody,
+			if (!cases[c].address_known)
+				dff_intake_set_holder_address (fixture.processes[i].intake, &none,
 							       false);
 		}
-		for (int i = 0; i < N_HELD; i++) {
+		for (int i = 0; i < N_DEFERRED; i++) {
 			write_row (&fixture, i % PROCESSES, key_of (i, key), &outcomes[i]);
 			dff_virtual_loop_run (fixture.loop, ROW_EVERY_MS);
 		}
-		if (cases[c].decides_ms > 0) {
+		if (cases[c].holder_after_ms > 0) {
 			dff_virtual_loop_run (fixture.loop,
-					      cases[c].decides_ms - N_HELD * ROW_EVERY_MS);
+					      cases[c].holder_after_ms - N_DEFERRED * ROW_EVERY_MS);
 			struct dff_name first = dff_name_from ("p0");
 			fixture.records = true;
 			for (int i = 0; i < PROCESSES; i++)
@@ -489,7 +489,7 @@
 							       i == 0);
 		}
 		dff_virtual_loop_run (fixture.loop, TIMEOUT_MS);
-		for (int i = 0; i < N_HELD; i++) {
+		for (int i = 0; i < N_DEFERRED; i++) {
 			assert_true (outcomes[i].ended);
 			assert_int_equal (outcomes[i].outcome, cases[c].outcome);
 		}
@@ -505,12 +505,12 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_gatherer_that_was_replaced),
+		cmocka_unit_test (test_holder_replaced),
 		cmocka_unit_test (test_slow_store),
-		cmocka_unit_test (test_rows_that_are_there),
+		cmocka_unit_test (test_existing_rows),
 		cmocka_unit_test (test_refusals),
-		cmocka_unit_test (test_not_done_is_true),
-		cmocka_unit_test (test_nobody_decides),
+		cmocka_unit_test (test_not_done_row_is_never_written),
+		cmocka_unit_test (test_no_holder),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
