--- a/fleet/config.c
+++ b/fleet/config.c
@@ -12,9 +12,9 @@
 static void
 class_clear (gpointer data)
 {
-	struct dff_fleet_class *one = data;
-	g_string_free (one->host, TRUE);
-	g_string_free (one->path_prefix, TRUE);
+	struct dff_fleet_class *service_class = data;
+	g_string_free (service_class->host, TRUE);
+	g_string_free (service_class->path_prefix, TRUE);
 }
 
 static void
@@ -74,13 +74,13 @@
 {
 	const struct dff_fleet_class *best = NULL;
 	for (guint i = 0; i < config->classes->len; i++) {
-		const struct dff_fleet_class *at =
+		const struct dff_fleet_class *entry =
 			&g_array_index (config->classes, struct dff_fleet_class, i);
-		if (!dff_str_equal (host, (struct dff_str){at->host->str, at->host->len}) ||
-		    !begins_with (path, at->path_prefix))
+		if (!dff_str_equal (host, (struct dff_str){entry->host->str, entry->host->len}) ||
+		    !begins_with (path, entry->path_prefix))
 			continue;
-		if (best == NULL || at->path_prefix->len > best->path_prefix->len)
-			best = at;
+		if (best == NULL || entry->path_prefix->len > best->path_prefix->len)
+			best = entry;
 	}
 	return best;
 }
@@ -90,9 +90,9 @@
 {
 	bool found = false;
 	for (guint i = 0; i < team->credentials->len; i++) {
-		const GString *at = g_ptr_array_index (team->credentials, i);
-		found |= at->len == credential.len &&
-			 sodium_memcmp (at->str, credential.data, credential.len) == 0;
+		const GString *entry = g_ptr_array_index (team->credentials, i);
+		found |= entry->len == credential.len &&
+			 sodium_memcmp (entry->str, credential.data, credential.len) == 0;
 	}
 	return found;
 }
--- a/fleet/evacuations.c
+++ b/fleet/evacuations.c
@@ -10,13 +10,13 @@
 	/** struct dff_name * to GINT_TO_POINTER (the reading that showed it last). */
 	GHashTable *requests;
 	/** Number of the reading in progress, or of the last. */
-	gint reading;
+	gint snapshot;
 	int64_t *requested;
 	int64_t *unreadable;
 };
 
 static void
-tell (const struct dff_evacuations *evacuations)
+report (const struct dff_evacuations *evacuations)
 {
 	g_autoptr (GArray) names = g_array_new (FALSE, FALSE, sizeof (struct dff_name));
 	GHashTableIter iter;
@@ -36,19 +36,19 @@
 		      int64_t revision,
 		      int64_t age_ms)
 {
-	bool was = g_hash_table_contains (evacuations->requests, data_centre);
-	gpointer reading = GINT_TO_POINTER (evacuations->reading);
+	bool was_requested = g_hash_table_contains (evacuations->requests, data_centre);
+	gpointer snapshot = GINT_TO_POINTER (evacuations->snapshot);
 	if (requested)
-		g_hash_table_replace (evacuations->requests, dff_name_dup (data_centre), reading);
+		g_hash_table_replace (evacuations->requests, dff_name_dup (data_centre), snapshot);
 	else
 		g_hash_table_remove (evacuations->requests, data_centre);
-	if (was == requested)
+	if (was_requested == requested)
 		return;
 	dff_log (DFF_LOG_POOL, DFF_LOG_INFO,
 		 "%s data_centre=%s revision=%" PRId64 " known_ms_ago=%" PRId64,
 		 requested ? "Data centre is to be emptied." : "Data centre is taken back.",
 		 data_centre->data, revision, age_ms);
-	tell (evacuations);
+	report (evacuations);
 }
 
 void
@@ -65,17 +65,17 @@
 void
 dff_evacuations_begin_snapshot (struct dff_evacuations *evacuations)
 {
-	evacuations->reading++;
+	evacuations->snapshot++;
 }
 
 void
 dff_evacuations_end_snapshot (struct dff_evacuations *evacuations)
 {
 	GHashTableIter iter;
-	gpointer key, reading;
+	gpointer key, snapshot;
 	g_hash_table_iter_init (&iter, evacuations->requests);
-	while (g_hash_table_iter_next (&iter, &key, &reading)) {
-		if (GPOINTER_TO_INT (reading) == evacuations->reading)
+	while (g_hash_table_iter_next (&iter, &key, &snapshot)) {
+		if (GPOINTER_TO_INT (snapshot) == evacuations->snapshot)
 			continue;
 		dff_log (DFF_LOG_POOL, DFF_LOG_INFO,
 			 "Data centre is taken back, as its request is not there any more. "
@@ -83,7 +83,7 @@
 			 ((const struct dff_name *)key)->data);
 		g_hash_table_iter_remove (&iter);
 	}
-	tell (evacuations);
+	report (evacuations);
 }
 
 struct dff_evacuations *
--- a/fleet/fleet.c
+++ b/fleet/fleet.c
@@ -40,7 +40,7 @@
 /** Waits for room near a task's data, and for a whole rack, for each further run time that going
  * elsewhere would take, ms: tasks run for some seconds. A gang on two racks also holds them for
  * longer. */
-#define DATA_WAIT_MS 2000
+#define LOCALITY_WAIT_MS 2000
 #define RACK_WAIT_MS 7500
 /** What a take-over takes at a thousand workers and five thousand units: processor time of a whole
  * core, ms, and what is read, kbit. Measured there: in place after 0.2 to 0.3 s with half a core
@@ -48,7 +48,7 @@
 #define TAKEOVER_PROCESSOR_MS 120.0
 #define TAKEOVER_KBITS 8000.0
 /** Less than this of either is taken for this, so that a process with none is merely last. */
-#define MEANS_MIN 0.001
+#define RESOURCE_MIN 0.001
 /** Margin of a worker's longest lease that is left alone, ms. */
 #define LEASE_MARGIN_MS 500
 
@@ -62,12 +62,12 @@
 	struct dff_metrics *metrics;
 	struct dff_http_client *store_client;
 	struct dff_http_client *worker_client;
-	struct dff_probe_link *presence;
+	struct dff_probe_link *probe_link;
 	struct dff_fleet_relays *relays;
 	/** Name of this life of the process. */
-	struct dff_name life;
+	struct dff_name incarnation;
 	struct dff_http_rows *rows;
-	struct dff_rows_health *store;
+	struct dff_rows_health *store_health;
 	struct dff_http_runner *runner;
 	struct dff_front *front;
 	struct dff_intake *intake;
@@ -75,7 +75,7 @@
 	struct dff_state_link *state_link;
 	struct dff_ingress *ingress;
 	struct dff_holder *holder;
-	struct dff_operator_state *in_force;
+	struct dff_operator_state *operator_state;
 	struct evhttp *front_http;
 	struct evhttp *ready_http;
 	struct evhttp *metrics_http;
@@ -92,7 +92,7 @@
 }
 
 static void
-tell_teams (const struct dff_fleet *fleet, const struct dff_fleet_config *config)
+set_teams (const struct dff_fleet *fleet, const struct dff_fleet_config *config)
 {
 	g_autoptr (GArray) teams = g_array_new (FALSE, TRUE, sizeof (struct dff_holder_team));
 	for (guint i = 0; i < config->teams->len; i++) {
@@ -110,7 +110,7 @@
 handle_config (void *ctx, const struct dff_fleet_config *config)
 {
 	const struct dff_fleet *fleet = ctx;
-	tell_teams (fleet, config);
+	set_teams (fleet, config);
 	dff_holder_set_unenforced (fleet->holder,
 				   (const struct dff_name *)(void *)config->unenforced->data,
 				   config->unenforced->len);
@@ -127,25 +127,25 @@
 evacuations_age_ms (void *ctx)
 {
 	const struct dff_fleet *fleet = ctx;
-	return dff_operator_state_evacuations_age_ms (fleet->in_force);
+	return dff_operator_state_evacuations_age_ms (fleet->operator_state);
 }
 
 static const struct dff_fleet_config *
-config_in_force (void *ctx)
+current_config (void *ctx)
 {
 	const struct dff_fleet *fleet = ctx;
-	return dff_operator_state_config (fleet->in_force);
+	return dff_operator_state_config (fleet->operator_state);
 }
 
 static void
 handle_ready (struct evhttp_request *request, void *ctx)
 {
 	struct dff_fleet *fleet = ctx;
-	bool ready = !is_stopping (fleet) && dff_operator_state_is_fresh (fleet->in_force);
+	bool ready = !is_stopping (fleet) && dff_operator_state_is_fresh (fleet->operator_state);
 	if (ready != fleet->was_ready) {
 		dff_log (DFF_LOG_SERVE, DFF_LOG_INFO, "%s config_age_ms=%" PRId64 " stopping=%d",
 			 ready ? "Ready." : "Not ready.",
-			 dff_operator_state_age_ms (fleet->in_force), is_stopping (fleet));
+			 dff_operator_state_age_ms (fleet->operator_state), is_stopping (fleet));
 	}
 	fleet->was_ready = ready;
 	*fleet->ready_gauge = ready;
@@ -181,11 +181,11 @@
  * in progress about the configuration was sent just before its return, and is waited for until its
  * time is up. */
 static void
-handle_store_heard (void *ctx)
+handle_store_recovered (void *ctx)
 {
 	const struct dff_fleet *fleet = ctx;
-	if (fleet->in_force != NULL)
-		dff_operator_state_wake (fleet->in_force);
+	if (fleet->operator_state != NULL)
+		dff_operator_state_wake (fleet->operator_state);
 	if (fleet->holder != NULL)
 		dff_holder_handle_store_recovered (fleet->holder);
 }
@@ -204,25 +204,25 @@
 		.rows = dff_http_rows_interface (fleet->rows),
 		.probe_table = DFF_TABLE_CELL,
 		.probe_key = DFF_KEY_HOLDER,
-		.recovered = handle_store_heard,
+		.recovered = handle_store_recovered,
 		.recovered_ctx = fleet,
 	};
-	fleet->store = dff_rows_health_new (&health);
+	fleet->store_health = dff_rows_health_new (&health);
 	fleet->runner = dff_http_runner_new (fleet->worker_client);
 }
 
 static void
-open_presence (struct dff_fleet *fleet)
+open_probe_link (struct dff_fleet *fleet)
 {
 	struct dff_probe_link_options options = {.base = fleet->base,
 						 .clock = fleet->clock,
 						 .metrics = fleet->metrics,
-						 .incarnation = fleet->life};
-	fleet->presence = dff_probe_link_new (&options);
+						 .incarnation = fleet->incarnation};
+	fleet->probe_link = dff_probe_link_new (&options);
 }
 
 static void
-handle_decider_lost (void *ctx)
+handle_holder_lost (void *ctx)
 {
 	const struct dff_fleet *fleet = ctx;
 	if (fleet->holder != NULL)
@@ -237,9 +237,9 @@
 		.timers = &fleet->timers,
 		.metrics = fleet->metrics,
 		.direct = dff_http_runner_interface (fleet->runner),
-		.incarnation = fleet->life,
+		.incarnation = fleet->incarnation,
 		.address = fleet->settings.relay_address,
-		.holder_lost = handle_decider_lost,
+		.holder_lost = handle_holder_lost,
 		.ctx = fleet,
 	};
 	fleet->relays = dff_fleet_relays_new (&options);
@@ -254,42 +254,42 @@
 store_is_silent (void *ctx)
 {
 	struct dff_fleet *fleet = ctx;
-	return dff_rows_health_is_silent (fleet->store);
+	return dff_rows_health_is_silent (fleet->store_health);
 }
 
 static bool
-writes_elsewhere (void *ctx)
+writes_forwarded (void *ctx)
 {
 	const struct dff_fleet *fleet = ctx;
 	return dff_intake_writes_forwarded (fleet->intake);
 }
 
 static int64_t
-store_took_ms (void *ctx)
+store_latency_ms (void *ctx)
 {
 	const struct dff_fleet *fleet = ctx;
 	return dff_holder_store_latency_ms (fleet->holder);
 }
 
 static void
-note_holder (void *ctx, const struct dff_name *address, bool self)
+handle_holder_changed (void *ctx, const struct dff_name *address, bool self)
 {
 	const struct dff_fleet *fleet = ctx;
 	dff_intake_set_holder_address (fleet->intake, address, self);
 	dff_state_link_set_holder_address (fleet->state_link, address, self);
-	if (fleet->in_force != NULL)
-		dff_operator_state_set_holding (fleet->in_force, self);
+	if (fleet->operator_state != NULL)
+		dff_operator_state_set_holding (fleet->operator_state, self);
 }
 
 static void
-handle_gatherer_moved (void *ctx, const struct dff_name *address)
+handle_intake_holder_moved (void *ctx, const struct dff_name *address)
 {
 	const struct dff_fleet *fleet = ctx;
 	dff_state_link_set_holder_address (fleet->state_link, address, false);
 }
 
 static void
-handle_decider_moved (void *ctx, const struct dff_name *address)
+handle_state_holder_moved (void *ctx, const struct dff_name *address)
 {
 	const struct dff_fleet *fleet = ctx;
 	dff_intake_set_holder_address (fleet->intake, address, false);
@@ -310,18 +310,18 @@
 	fleet->intake_link = dff_intake_link_new (fleet->base, fleet->metrics);
 	struct dff_intake_options options = {
 		.timers = &fleet->timers,
-		.rows = dff_rows_health_interface (fleet->store),
+		.rows = dff_rows_health_interface (fleet->store_health),
 		.metrics = fleet->metrics,
 		.forward_min_latency_ms = 0,
 		.store_is_silent = store_is_silent,
-		.store_latency_ms = store_took_ms,
+		.store_latency_ms = store_latency_ms,
 		.store_ctx = fleet,
 		.forward = dff_intake_link_forward,
 		.forward_ctx = fleet->intake_link,
 		.record = record_row,
 		.record_ctx = fleet,
-		.holder_lost = handle_decider_lost,
-		.holder_moved = handle_gatherer_moved,
+		.holder_lost = handle_holder_lost,
+		.holder_moved = handle_intake_holder_moved,
 		.holder_ctx = fleet,
 	};
 	fleet->intake = dff_intake_new (&options);
@@ -333,8 +333,8 @@
 	struct dff_state_link_options options = {.base = fleet->base,
 						 .clock = fleet->clock,
 						 .metrics = fleet->metrics,
-						 .holder_lost = handle_decider_lost,
-						 .holder_moved = handle_decider_moved,
+						 .holder_lost = handle_holder_lost,
+						 .holder_moved = handle_state_holder_moved,
 						 .ctx = fleet};
 	fleet->state_link = dff_state_link_new (&options);
 }
@@ -343,15 +343,15 @@
 store_served_ms (void *ctx)
 {
 	const struct dff_fleet *fleet = ctx;
-	return dff_rows_health_served_ms (fleet->store);
+	return dff_rows_health_served_ms (fleet->store_health);
 }
 
 static int64_t
 takeover_ms (const struct dff_fleet_settings *settings)
 {
 	double processor = settings->processor_share * settings->processor_speed;
-	return (int64_t)(TAKEOVER_PROCESSOR_MS / MAX (processor, MEANS_MIN) +
-			 TAKEOVER_KBITS / MAX (settings->link_mbps, MEANS_MIN));
+	return (int64_t)(TAKEOVER_PROCESSOR_MS / MAX (processor, RESOURCE_MIN) +
+			 TAKEOVER_KBITS / MAX (settings->link_mbps, RESOURCE_MIN));
 }
 
 static void
@@ -360,19 +360,19 @@
 	struct dff_holder_options options;
 	dff_holder_options_init (&options);
 	options.timers = &fleet->timers;
-	options.rows = dff_rows_health_interface (fleet->store);
+	options.rows = dff_rows_health_interface (fleet->store_health);
 	options.runner = dff_fleet_relays_runner (fleet->relays);
 	options.relay_address = fleet->settings.relay_address;
 	options.relay_connect = dff_fleet_relays_connect;
 	options.relay_set_limit = dff_fleet_relays_set_limit;
 	options.relay_ctx = fleet->relays;
-	options.holder_changed = note_holder;
+	options.holder_changed = handle_holder_changed;
 	options.holder_ctx = fleet;
 	options.metrics = fleet->metrics;
-	options.instance = fleet->life;
+	options.instance = fleet->incarnation;
 	options.probe_address = fleet->settings.ready_address;
 	options.send_probe = dff_probe_link_send;
-	options.probe_ctx = fleet->presence;
+	options.probe_ctx = fleet->probe_link;
 	options.store_served_ms = store_served_ms;
 	options.store_ctx = fleet;
 	options.takeover_ms = takeover_ms (&fleet->settings);
@@ -383,12 +383,12 @@
 		MIN (options.lease_ms, fleet->settings.worker_lease_max_ms - LEASE_MARGIN_MS);
 	options.lease_max_ms = fleet->settings.worker_lease_max_ms;
 	options.gang_wait_ms = fleet->settings.gang_wait_ms;
-	options.locality_wait_ms = (int64_t)(DATA_WAIT_MS * (fleet->settings.far_factor - 1.0));
+	options.locality_wait_ms = (int64_t)(LOCALITY_WAIT_MS * (fleet->settings.far_factor - 1.0));
 	options.rack_wait_ms = (int64_t)(RACK_WAIT_MS * (fleet->settings.far_factor - 1.0));
 	options.retention_ms =
 		fleet->settings.retention_s * INT64_C (1000) + options.retention_ms / 10;
 	fleet->holder = dff_holder_new (&options);
-	dff_probe_link_set_local_holder (fleet->presence, fleet->holder);
+	dff_probe_link_set_local_holder (fleet->probe_link, fleet->holder);
 	dff_state_link_set_local_holder (fleet->state_link, fleet->holder);
 }
 
@@ -400,7 +400,7 @@
 		.rows = dff_intake_interface (fleet->intake),
 		.metrics = fleet->metrics,
 		.store_is_silent = store_is_silent,
-		.writes_forwarded = writes_elsewhere,
+		.writes_forwarded = writes_forwarded,
 		.ctx = fleet,
 		.query_state = dff_state_link_query,
 		.query_ctx = fleet->state_link,
@@ -411,20 +411,20 @@
 		.clock = fleet->clock,
 		.front = fleet->front,
 		.metrics = fleet->metrics,
-		.config = config_in_force,
+		.config = current_config,
 		.ctx = fleet,
 	};
 	fleet->ingress = dff_ingress_new (&ingress);
-	struct dff_operator_state_options in_force = {
+	struct dff_operator_state_options operator_state = {
 		.timers = &fleet->timers,
-		.rows = dff_rows_health_interface (fleet->store),
+		.rows = dff_rows_health_interface (fleet->store_health),
 		.metrics = fleet->metrics,
 		.bound_ms = fleet->settings.config_bound_ms,
 		.config_changed = handle_config,
 		.evacuations_changed = handle_evacuated,
 		.ctx = fleet,
 	};
-	fleet->in_force = dff_operator_state_new (&in_force);
+	fleet->operator_state = dff_operator_state_new (&operator_state);
 }
 
 static bool
@@ -446,7 +446,7 @@
 	fleet->metrics_http = evhttp_new (fleet->base);
 	dff_ingress_serve (fleet->ingress, fleet->front_http);
 	evhttp_set_gencb (fleet->ready_http, handle_ready, fleet);
-	dff_probe_link_serve (fleet->presence, fleet->ready_http);
+	dff_probe_link_serve (fleet->probe_link, fleet->ready_http);
 	dff_intake_link_serve (fleet->intake, fleet->ready_http);
 	dff_state_link_serve (fleet->state_link, fleet->ready_http);
 	evhttp_set_cb (fleet->metrics_http, "/metrics", handle_metrics, fleet);
@@ -496,13 +496,13 @@
 	fleet->timers = dff_timers_from_base (base);
 	fleet->clock = fleet->timers.clock;
 	fleet->settings = *settings;
-	fleet->life =
+	fleet->incarnation =
 		dff_name_printf ("%.50s.%08x", settings->instance.data, randombytes_random ());
 	fleet->metrics = dff_metrics_new ();
 	fleet->ready_gauge = dff_metrics_gauge (fleet->metrics, "dff_fleet_ready",
 						"1 while this process takes new connections.");
 	open_clients (fleet);
-	open_presence (fleet);
+	open_probe_link (fleet);
 	if (!open_relays (fleet, error))
 		return NULL;
 	open_intake (fleet);
@@ -522,19 +522,19 @@
 	g_clear_pointer (&fleet->front_http, evhttp_free);
 	g_clear_pointer (&fleet->ready_http, evhttp_free);
 	g_clear_pointer (&fleet->metrics_http, evhttp_free);
-	g_clear_pointer (&fleet->in_force, dff_operator_state_free);
+	g_clear_pointer (&fleet->operator_state, dff_operator_state_free);
 	g_clear_pointer (&fleet->holder, dff_holder_free);
 	/* Drops the calls in progress without calling back. */
 	g_clear_pointer (&fleet->store_client, dff_http_client_free);
 	g_clear_pointer (&fleet->worker_client, dff_http_client_free);
 	g_clear_pointer (&fleet->relays, dff_fleet_relays_free);
-	g_clear_pointer (&fleet->presence, dff_probe_link_free);
+	g_clear_pointer (&fleet->probe_link, dff_probe_link_free);
 	g_clear_pointer (&fleet->intake_link, dff_intake_link_free);
 	g_clear_pointer (&fleet->state_link, dff_state_link_free);
 	g_clear_pointer (&fleet->intake, dff_intake_free);
 	g_clear_pointer (&fleet->ingress, dff_ingress_free);
 	g_clear_pointer (&fleet->front, dff_front_free);
-	g_clear_pointer (&fleet->store, dff_rows_health_free);
+	g_clear_pointer (&fleet->store_health, dff_rows_health_free);
 	g_clear_pointer (&fleet->rows, dff_http_rows_free);
 	g_clear_pointer (&fleet->runner, dff_http_runner_free);
 	g_clear_pointer (&fleet->metrics, dff_metrics_free);
--- a/fleet/intake_link.c
+++ b/fleet/intake_link.c
@@ -18,7 +18,7 @@
 /** Status of an answer of a process that does not decide; its body is the address of the one that
  * does, or empty. */
 #define STATUS_MISDIRECTED 421
-#define ANSWER_MS 200
+#define ANSWER_MARGIN_MS 200
 
 /* What became of a row. */
 static const struct {
@@ -54,7 +54,7 @@
 }
 
 static enum dff_intake_delivery
-receiver_of (const struct dff_http_response *response)
+delivery_of (const struct dff_http_response *response)
 {
 	if (response->outcome != DFF_HTTP_ANSWERED)
 		return DFF_INTAKE_UNREACHABLE;
@@ -66,7 +66,7 @@
 handle_response (void *user, const struct dff_http_response *response)
 {
 	g_autofree struct call *call = user;
-	struct dff_intake_forward_result forwarded = {.delivery = receiver_of (response),
+	struct dff_intake_forward_result forwarded = {.delivery = delivery_of (response),
 						      .outcome = outcome_of (response)};
 	if (forwarded.delivery == DFF_INTAKE_MISDIRECTED) {
 		forwarded.outcome = DFF_ROWS_NOT_DONE;
@@ -93,7 +93,7 @@
 					   .method = EVHTTP_REQ_POST,
 					   .path = path,
 					   .body = row->value,
-					   .timeout_ms = row->timeout_ms + ANSWER_MS};
+					   .timeout_ms = row->timeout_ms + ANSWER_MARGIN_MS};
 	dff_http_client_send (link->client, &request, handle_response, call);
 }
 
@@ -109,7 +109,7 @@
 }
 
 static bool
-read_row (struct evhttp_request *request, struct dff_name *key, int32_t *timeout_ms)
+parse_row_query (struct evhttp_request *request, struct dff_name *key, int32_t *timeout_ms)
 {
 	struct evkeyvalq fields;
 	const char *query = evhttp_uri_get_query (evhttp_request_get_evhttp_uri (request));
@@ -117,8 +117,8 @@
 		return false;
 	const char *name = evhttp_find_header (&fields, QUERY_KEY);
 	const char *timeout = evhttp_find_header (&fields, QUERY_TIMEOUT);
-	int64_t asked_ms = timeout != NULL ? g_ascii_strtoll (timeout, NULL, 10) : 0;
-	*timeout_ms = (int32_t)CLAMP (asked_ms, 0, TIMEOUT_MAX_MS);
+	int64_t requested_ms = timeout != NULL ? g_ascii_strtoll (timeout, NULL, 10) : 0;
+	*timeout_ms = (int32_t)CLAMP (requested_ms, 0, TIMEOUT_MAX_MS);
 	bool valid = name != NULL && dff_name_parse (dff_str_from (name), key) && *timeout_ms > 0;
 	evhttp_clear_headers (&fields);
 	return valid;
@@ -133,14 +133,14 @@
 	struct evbuffer *input = evhttp_request_get_input_buffer (request);
 	size_t length = evbuffer_get_length (input);
 	if (evhttp_request_get_command (request) != EVHTTP_REQ_POST || length == 0 ||
-	    length > DFF_ROW_VALUE_MAX || !read_row (request, &key, &timeout_ms)) {
+	    length > DFF_ROW_VALUE_MAX || !parse_row_query (request, &key, &timeout_ms)) {
 		evhttp_send_reply (request, HTTP_BADREQUEST, NULL, NULL);
 		return;
 	}
 	if (!dff_intake_is_holder (intake)) {
-		const struct dff_name *gatherer = dff_intake_holder_address (intake);
-		evbuffer_add (evhttp_request_get_output_buffer (request), gatherer->data,
-			      gatherer->len);
+		const struct dff_name *holder = dff_intake_holder_address (intake);
+		evbuffer_add (evhttp_request_get_output_buffer (request), holder->data,
+			      holder->len);
 		evhttp_send_reply (request, STATUS_MISDIRECTED, NULL, NULL);
 		return;
 	}
--- a/fleet/relays.c
+++ b/fleet/relays.c
@@ -21,9 +21,9 @@
 	GPtrArray *accepted;
 	/** (nullable): the connection to the process that decides. */
 	struct dff_stream *stream;
-	struct dff_name followed;
+	struct dff_name holder_address;
 	int64_t next_connect_ms;
-	int32_t pause_ms;
+	int32_t reconnect_delay_ms;
 	bool leaving;
 };
 
@@ -114,11 +114,11 @@
 
 /* After an end that the other process has brought about. */
 static void
-pause_connecting (struct dff_fleet_relays *relays)
+delay_reconnect (struct dff_fleet_relays *relays)
 {
-	int32_t jitter_ms = (int32_t)randombytes_uniform ((uint32_t)relays->pause_ms);
-	relays->next_connect_ms = now_ms (relays) + relays->pause_ms + jitter_ms;
-	relays->pause_ms = MIN (relays->pause_ms * 2, RECONNECT_MAX_MS);
+	int32_t jitter_ms = (int32_t)randombytes_uniform ((uint32_t)relays->reconnect_delay_ms);
+	relays->next_connect_ms = now_ms (relays) + relays->reconnect_delay_ms + jitter_ms;
+	relays->reconnect_delay_ms = MIN (relays->reconnect_delay_ms * 2, RECONNECT_MAX_MS);
 }
 
 static void
@@ -126,7 +126,7 @@
 {
 	struct dff_fleet_relays *relays = ctx;
 	g_clear_pointer (&relays->stream, dff_stream_free);
-	pause_connecting (relays);
+	delay_reconnect (relays);
 }
 
 static void
@@ -149,7 +149,7 @@
 {
 	struct dff_fleet_relays *relays = ctx;
 	drop_stream (relays);
-	pause_connecting (relays);
+	delay_reconnect (relays);
 	relays->options.holder_lost (relays->options.ctx);
 }
 
@@ -160,9 +160,10 @@
 					       .message = handle_message,
 					       .ended = handle_end,
 					       .ctx = relays};
-	relays->stream = dff_stream_connect (relays->options.base, &relays->followed, &handlers);
+	relays->stream =
+		dff_stream_connect (relays->options.base, &relays->holder_address, &handlers);
 	if (relays->stream == NULL)
-		pause_connecting (relays);
+		delay_reconnect (relays);
 }
 
 void
@@ -171,14 +172,14 @@
 	struct dff_fleet_relays *relays = ctx;
 	if (n_relays == 0 || relays->leaving || dff_name_is_empty (address)) {
 		drop_stream (relays);
-		relays->followed = (struct dff_name){0};
+		relays->holder_address = (struct dff_name){0};
 		return;
 	}
-	if (!dff_name_equal (address, &relays->followed)) {
+	if (!dff_name_equal (address, &relays->holder_address)) {
 		drop_stream (relays);
-		relays->followed = *address;
+		relays->holder_address = *address;
 		relays->next_connect_ms = 0;
-		relays->pause_ms = RECONNECT_MIN_MS;
+		relays->reconnect_delay_ms = RECONNECT_MIN_MS;
 	}
 	if (relays->stream == NULL && now_ms (relays) >= relays->next_connect_ms)
 		connect_to (relays);
@@ -210,7 +211,7 @@
 {
 	struct dff_fleet_relays *relays = g_new0 (struct dff_fleet_relays, 1);
 	relays->options = *options;
-	relays->pause_ms = RECONNECT_MIN_MS;
+	relays->reconnect_delay_ms = RECONNECT_MIN_MS;
 	relays->accepted = g_ptr_array_new_with_free_func (free_accepted);
 	struct dff_dispatch_options dispatch = {
 		.timers = options->timers, .metrics = options->metrics, .direct = options->direct};
--- a/fleet/serve_fleet.c
+++ b/fleet/serve_fleet.c
@@ -41,15 +41,15 @@
 {
 	struct serve *serve = ctx;
 	g_autoptr (GError) error = NULL;
-	g_autofree struct dff_fleet_settings *fresh =
+	g_autofree struct dff_fleet_settings *reloaded =
 		dff_fleet_settings_load (serve->settings_path, NULL, &error);
-	if (fresh == NULL) {
+	if (reloaded == NULL) {
 		dff_log (DFF_LOG_SERVE, DFF_LOG_ERROR,
 			 "Settings kept, new ones are wrong. error=\"%s\"", error->message);
 		return;
 	}
 	g_autoptr (GPtrArray) fixed = g_ptr_array_new_with_free_func (g_free);
-	dff_fleet_settings_reload (serve->settings, fresh, fixed);
+	dff_fleet_settings_reload (serve->settings, reloaded, fixed);
 	dff_log_set_level (serve->settings->log_level);
 	for (guint i = 0; i < fixed->len; i++) {
 		dff_log (DFF_LOG_SERVE, DFF_LOG_WARNING,
--- a/fleet/state_link.c
+++ b/fleet/state_link.c
@@ -12,61 +12,61 @@
 #define CONNECTIONS 4
 /** Timeout of a question, ms: the longest wait there, and as much for a process that is short of
  * processor time. */
-#define ASK_TIMEOUT_MS 200
+#define QUERY_TIMEOUT_MS 200
 /** How long rows are read instead after a question without an answer, ms: the process may be gone,
  * and the next is known within that. */
-#define AVOID_MS 500
+#define HOLDER_AVOID_MS 500
 /** Status of an answer of a process that does not decide; its body is the address of the one that
  * does, or empty. */
 #define STATUS_MISDIRECTED 421
 /** Processes that are asked, one after the other, while each says that it does not decide. */
-#define ASKED_MAX 3
+#define QUERIES_MAX 3
 
 struct dff_state_link {
 	struct dff_state_link_options options;
 	struct dff_http_client *client;
 	struct dff_holder *holder;
-	struct dff_name decider;
-	bool is_decider;
+	struct dff_name holder_address;
+	bool is_holder;
 	int64_t avoid_until_ms;
-	int64_t *asked;
+	int64_t *queries;
 	int64_t *unanswered;
 };
 
-struct question {
+struct state_query {
 	struct dff_state_link *link;
 	struct dff_name job;
-	int32_t n_asked;
+	int32_t n_sent;
 	dff_front_state_func done;
 	void *user;
 };
 
 static void
-handle_sight (void *user, const struct dff_holder_job_state *sight)
+handle_local_state (void *user, const struct dff_holder_job_state *job_state)
 {
-	g_autofree struct question *question = user;
-	question->done (question->user, sight->known, sight->state);
+	g_autofree struct state_query *state_query = user;
+	state_query->done (state_query->user, job_state->known, job_state->state);
 }
 
-static void ask (struct question *question);
+static void send_query (struct state_query *state_query);
 
 static bool
-is_reached (const struct dff_state_link *link)
+holder_reachable (const struct dff_state_link *link)
 {
-	return !dff_name_is_empty (&link->decider) &&
+	return !dff_name_is_empty (&link->holder_address) &&
 	       dff_clock_now_ms (link->options.clock) >= link->avoid_until_ms;
 }
 
 /* The process that was asked has not answered, or does not decide: it is left alone for a moment,
  * unless it names another one. */
 static void
-leave_decider (struct dff_state_link *link, const struct dff_name *next)
+handle_holder_unavailable (struct dff_state_link *link, const struct dff_name *next)
 {
-	if (!dff_name_is_empty (next) && !dff_name_equal (next, &link->decider)) {
+	if (!dff_name_is_empty (next) && !dff_name_equal (next, &link->holder_address)) {
 		dff_state_link_set_holder_address (link, next, false);
 		link->options.holder_moved (link->options.ctx, next);
 	} else {
-		link->avoid_until_ms = dff_clock_now_ms (link->options.clock) + AVOID_MS;
+		link->avoid_until_ms = dff_clock_now_ms (link->options.clock) + HOLDER_AVOID_MS;
 	}
 	link->options.holder_lost (link->options.ctx);
 }
@@ -74,8 +74,8 @@
 static void
 handle_response (void *user, const struct dff_http_response *response)
 {
-	struct question *question = user;
-	struct dff_state_link *link = question->link;
+	struct state_query *state_query = user;
+	struct dff_state_link *link = state_query->link;
 	bool answered = response->outcome == DFF_HTTP_ANSWERED;
 	bool misdirected = answered && response->status == STATUS_MISDIRECTED;
 	enum dff_job_state state = DFF_JOB_STATE_QUEUED;
@@ -86,59 +86,59 @@
 		struct dff_name next = {0};
 		if (misdirected)
 			dff_address_from_text (response->body, &next);
-		leave_decider (link, &next);
+		handle_holder_unavailable (link, &next);
 	}
-	if (misdirected && !link->is_decider && is_reached (link) &&
-	    question->n_asked < ASKED_MAX) {
-		ask (question);
+	if (misdirected && !link->is_holder && holder_reachable (link) &&
+	    state_query->n_sent < QUERIES_MAX) {
+		send_query (state_query);
 		return;
 	}
-	question->done (question->user, known, state);
-	g_free (question);
+	state_query->done (state_query->user, known, state);
+	g_free (state_query);
 }
 
 static void
-ask (struct question *question)
+send_query (struct state_query *state_query)
 {
-	struct dff_state_link *link = question->link;
+	struct dff_state_link *link = state_query->link;
 	g_autofree char *path =
-		g_strdup_printf (STATE_PATH "?" QUERY_JOB "=%s", question->job.data);
-	struct dff_http_request request = {.address = link->decider,
+		g_strdup_printf (STATE_PATH "?" QUERY_JOB "=%s", state_query->job.data);
+	struct dff_http_request request = {.address = link->holder_address,
 					   .method = EVHTTP_REQ_GET,
 					   .path = path,
-					   .timeout_ms = ASK_TIMEOUT_MS};
-	question->n_asked++;
-	dff_http_client_send (link->client, &request, handle_response, question);
+					   .timeout_ms = QUERY_TIMEOUT_MS};
+	state_query->n_sent++;
+	dff_http_client_send (link->client, &request, handle_response, state_query);
 }
 
 bool
 dff_state_link_query (void *ctx, const struct dff_name *job, dff_front_state_func done, void *user)
 {
 	struct dff_state_link *link = ctx;
-	if (!link->is_decider && !is_reached (link))
+	if (!link->is_holder && !holder_reachable (link))
 		return false;
-	struct question *question = g_new0 (struct question, 1);
-	*question = (struct question){.link = link, .job = *job, .done = done, .user = user};
-	(*link->asked)++;
-	if (link->is_decider)
-		dff_holder_query_state (link->holder, job, handle_sight, question);
+	struct state_query *state_query = g_new0 (struct state_query, 1);
+	*state_query = (struct state_query){.link = link, .job = *job, .done = done, .user = user};
+	(*link->queries)++;
+	if (link->is_holder)
+		dff_holder_query_state (link->holder, job, handle_local_state, state_query);
 	else
-		ask (question);
+		send_query (state_query);
 	return true;
 }
 
 static void
-answer_sight (void *user, const struct dff_holder_job_state *sight)
+reply_job_state (void *user, const struct dff_holder_job_state *job_state)
 {
 	struct evhttp_request *request = user;
-	const char *name = dff_job_state_name (sight->state);
-	if (sight->known)
+	const char *name = dff_job_state_name (job_state->state);
+	if (job_state->known)
 		evbuffer_add_printf (evhttp_request_get_output_buffer (request), "%s", name);
-	evhttp_send_reply (request, sight->known ? HTTP_OK : HTTP_NOTFOUND, NULL, NULL);
+	evhttp_send_reply (request, job_state->known ? HTTP_OK : HTTP_NOTFOUND, NULL, NULL);
 }
 
 static bool
-read_job (struct evhttp_request *request, struct dff_name *job)
+parse_query_job (struct evhttp_request *request, struct dff_name *job)
 {
 	struct evkeyvalq fields;
 	const char *query = evhttp_uri_get_query (evhttp_request_get_evhttp_uri (request));
@@ -151,27 +151,27 @@
 }
 
 static void
-handle_question (struct evhttp_request *request, void *ctx)
+handle_query_request (struct evhttp_request *request, void *ctx)
 {
 	const struct dff_state_link *link = ctx;
 	struct dff_name job;
-	if (!read_job (request, &job)) {
+	if (!parse_query_job (request, &job)) {
 		evhttp_send_reply (request, HTTP_BADREQUEST, NULL, NULL);
 		return;
 	}
-	if (!link->is_decider) {
-		evbuffer_add (evhttp_request_get_output_buffer (request), link->decider.data,
-			      link->decider.len);
+	if (!link->is_holder) {
+		evbuffer_add (evhttp_request_get_output_buffer (request), link->holder_address.data,
+			      link->holder_address.len);
 		evhttp_send_reply (request, STATUS_MISDIRECTED, NULL, NULL);
 		return;
 	}
-	dff_holder_query_state (link->holder, &job, answer_sight, request);
+	dff_holder_query_state (link->holder, &job, reply_job_state, request);
 }
 
 void
 dff_state_link_serve (struct dff_state_link *link, struct evhttp *http)
 {
-	evhttp_set_cb (http, STATE_PATH, handle_question, link);
+	evhttp_set_cb (http, STATE_PATH, handle_query_request, link);
 }
 
 void
@@ -185,10 +185,10 @@
 				   const struct dff_name *address,
 				   bool self)
 {
-	if (!dff_name_equal (&link->decider, address))
+	if (!dff_name_equal (&link->holder_address, address))
 		link->avoid_until_ms = 0;
-	link->decider = *address;
-	link->is_decider = self;
+	link->holder_address = *address;
+	link->is_holder = self;
 }
 
 struct dff_state_link *
@@ -202,8 +202,8 @@
 	client.max_connections = CONNECTIONS;
 	link->options = *options;
 	link->client = dff_http_client_new (&client);
-	link->asked = dff_metrics_counter (options->metrics, "dff_state_asked_total",
-					   "States asked of the process that decides.");
+	link->queries = dff_metrics_counter (options->metrics, "dff_state_asked_total",
+					     "States asked of the process that decides.");
 	link->unanswered = dff_metrics_counter (options->metrics, "dff_state_unanswered_total",
 						"Of these, questions without an answer.");
 	return link;
--- a/include/fleet/probe_link.h
+++ b/include/fleet/probe_link.h
@@ -25,21 +25,21 @@
 
 struct dff_probe_link *dff_probe_link_new (const struct dff_probe_link_options *options);
 
-void dff_probe_link_free (struct dff_probe_link *presence);
+void dff_probe_link_free (struct dff_probe_link *link);
 
 DFF_DEFINE_CLEANUP (dff_probe_link, dff_probe_link_free);
 
-void dff_probe_link_set_local_holder (struct dff_probe_link *presence, struct dff_holder *holder);
+void dff_probe_link_set_local_holder (struct dff_probe_link *link, struct dff_holder *holder);
 
 /** Answers those who ask on @http. */
-void dff_probe_link_serve (struct dff_probe_link *presence, struct evhttp *http);
+void dff_probe_link_serve (struct dff_probe_link *link, struct evhttp *http);
 
 /** Asks the process at @address whether it is @instance: dff_holder_options.send_probe, with the
  * struct dff_probe_link as its context. */
 void dff_probe_link_send (void *ctx,
 			  const struct dff_name *address,
-			  const struct dff_name *instance,
-			  const struct dff_holder_probe *question,
+			  const struct dff_name *incarnation,
+			  const struct dff_holder_probe *probe,
 			  dff_holder_probe_func done,
 			  void *user);
 
--- a/tests/fleet/test-evacuations.c
+++ b/tests/fleet/test-evacuations.c
@@ -10,15 +10,15 @@
 /* The set of data centres to be emptied, by what is heard of the operators' table. */
 
 enum step_type {
-	DFF_STEP_END,
+	DFF_STEP_NONE,
 	/** A request for the data centre @name is there, or was removed. */
-	DFF_STEP_THERE,
+	DFF_STEP_REQUESTED,
 	DFF_STEP_REMOVED,
 	/** One that cannot be read. */
 	DFF_STEP_UNREADABLE,
 	/** The table is going to be read whole, and was. */
-	DFF_STEP_BEGIN,
-	DFF_STEP_WHOLE,
+	DFF_STEP_BEGIN_SNAPSHOT,
+	DFF_STEP_END_SNAPSHOT,
 };
 
 struct step {
@@ -26,9 +26,9 @@
 	const char *name;
 };
 
-struct told {
+struct report {
 	GString *names;
-	int32_t times;
+	int32_t n_calls;
 };
 
 static int
@@ -40,33 +40,33 @@
 static void
 handle_changed (void *ctx, const struct dff_name *data_centres, size_t n_data_centres)
 {
-	struct told *told = ctx;
+	struct report *report = ctx;
 	g_autoptr (GArray) sorted = g_array_new (FALSE, FALSE, sizeof (struct dff_name));
 	if (n_data_centres > 0)
 		g_array_append_vals (sorted, data_centres, (guint)n_data_centres);
 	g_array_sort (sorted, compare_names);
-	g_string_truncate (told->names, 0);
+	g_string_truncate (report->names, 0);
 	for (guint i = 0; i < sorted->len; i++)
-		g_string_append_printf (told->names, "%s ",
+		g_string_append_printf (report->names, "%s ",
 					g_array_index (sorted, struct dff_name, i).data);
-	told->times++;
+	report->n_calls++;
 }
 
 static void
-carry_out (struct dff_evacuations *evacuations, const struct step *step)
+run_step (struct dff_evacuations *evacuations, const struct step *step)
 {
 	struct dff_name name = {0};
 	if (step->name != NULL)
 		name = dff_name_from (step->name);
 	switch (step->type) {
-	case DFF_STEP_THERE:
+	case DFF_STEP_REQUESTED:
 	case DFF_STEP_REMOVED:
-		dff_evacuations_note (evacuations, &name, step->type == DFF_STEP_THERE, 7, 0);
+		dff_evacuations_note (evacuations, &name, step->type == DFF_STEP_REQUESTED, 7, 0);
 		return;
 	case DFF_STEP_UNREADABLE:
 		dff_evacuations_note_unreadable (evacuations, dff_str_from ("evacuate/"), 7);
 		return;
-	case DFF_STEP_BEGIN:
+	case DFF_STEP_BEGIN_SNAPSHOT:
 		dff_evacuations_begin_snapshot (evacuations);
 		return;
 	default:
@@ -76,51 +76,60 @@
 }
 
 static void
-test_what_is_known (void **state)
+test_request_set (void **state)
 {
 	(void)state;
 	static const struct {
 		struct step steps[10];
 		const char *names;
-		int32_t times;
+		int32_t n_calls;
 		int64_t n_unreadable;
 	} cases[] = {
-		{{{DFF_STEP_BEGIN}, {DFF_STEP_WHOLE}}, "", 1, 0},
-		{{{DFF_STEP_BEGIN}, {DFF_STEP_THERE, "a"}, {DFF_STEP_WHOLE}}, "a ", 2, 0},
-		{{{DFF_STEP_BEGIN}, {DFF_STEP_WHOLE}, {DFF_STEP_THERE, "a"}, {DFF_STEP_THERE, "b"}},
+		{{{DFF_STEP_BEGIN_SNAPSHOT}, {DFF_STEP_END_SNAPSHOT}}, "", 1, 0},
+		{{{DFF_STEP_BEGIN_SNAPSHOT}, {DFF_STEP_REQUESTED, "a"}, {DFF_STEP_END_SNAPSHOT}},
+		 "a ",
+		 2,
+		 0},
+		{{{DFF_STEP_BEGIN_SNAPSHOT},
+		  {DFF_STEP_END_SNAPSHOT},
+		  {DFF_STEP_REQUESTED, "a"},
+		  {DFF_STEP_REQUESTED, "b"}},
 		 "a b ",
 		 3,
 		 0},
 		/* Rows repeat. */
-		{{{DFF_STEP_BEGIN},
-		  {DFF_STEP_WHOLE},
-		  {DFF_STEP_THERE, "a"},
-		  {DFF_STEP_THERE, "a"},
+		{{{DFF_STEP_BEGIN_SNAPSHOT},
+		  {DFF_STEP_END_SNAPSHOT},
+		  {DFF_STEP_REQUESTED, "a"},
+		  {DFF_STEP_REQUESTED, "a"},
 		  {DFF_STEP_REMOVED, "a"},
 		  {DFF_STEP_REMOVED, "a"}},
 		 "",
 		 3,
 		 0},
 		/* Gone with the history; there still; asked for again meanwhile. */
-		{{{DFF_STEP_BEGIN},
-		  {DFF_STEP_WHOLE},
-		  {DFF_STEP_THERE, "a"},
-		  {DFF_STEP_THERE, "b"},
-		  {DFF_STEP_BEGIN},
-		  {DFF_STEP_THERE, "b"},
-		  {DFF_STEP_WHOLE}},
+		{{{DFF_STEP_BEGIN_SNAPSHOT},
+		  {DFF_STEP_END_SNAPSHOT},
+		  {DFF_STEP_REQUESTED, "a"},
+		  {DFF_STEP_REQUESTED, "b"},
+		  {DFF_STEP_BEGIN_SNAPSHOT},
+		  {DFF_STEP_REQUESTED, "b"},
+		  {DFF_STEP_END_SNAPSHOT}},
 		 "b ",
 		 4,
 		 0},
 		/* Nothing is dropped while the table is read. */
-		{{{DFF_STEP_BEGIN}, {DFF_STEP_THERE, "a"}, {DFF_STEP_WHOLE}, {DFF_STEP_BEGIN}},
+		{{{DFF_STEP_BEGIN_SNAPSHOT},
+		  {DFF_STEP_REQUESTED, "a"},
+		  {DFF_STEP_END_SNAPSHOT},
+		  {DFF_STEP_BEGIN_SNAPSHOT}},
 		 "a ",
 		 2,
 		 0},
 		/* Told apart from those that can be read. */
-		{{{DFF_STEP_BEGIN},
-		  {DFF_STEP_THERE, "a"},
-		  {DFF_STEP_WHOLE},
+		{{{DFF_STEP_BEGIN_SNAPSHOT},
+		  {DFF_STEP_REQUESTED, "a"},
+		  {DFF_STEP_END_SNAPSHOT},
 		  {DFF_STEP_UNREADABLE},
 		  {DFF_STEP_UNREADABLE}},
 		 "a ",
@@ -129,19 +138,19 @@
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		DFF_AUTO (dff_metrics) metrics = dff_metrics_new ();
-		struct told told = {.names = g_string_new (NULL)};
+		struct report report = {.names = g_string_new (NULL)};
 		struct dff_evacuations_options options = {
-			.metrics = metrics, .changed = handle_changed, .ctx = &told};
+			.metrics = metrics, .changed = handle_changed, .ctx = &report};
 		struct dff_evacuations *evacuations = dff_evacuations_new (&options);
-		for (size_t j = 0; cases[i].steps[j].type != DFF_STEP_END; j++)
-			carry_out (evacuations, &cases[i].steps[j]);
-		assert_string_equal (told.names->str, cases[i].names);
-		assert_int_equal (told.times, cases[i].times);
+		for (size_t j = 0; cases[i].steps[j].type != DFF_STEP_NONE; j++)
+			run_step (evacuations, &cases[i].steps[j]);
+		assert_string_equal (report.names->str, cases[i].names);
+		assert_int_equal (report.n_calls, cases[i].n_calls);
 		const int64_t *unreadable =
 			dff_metrics_counter (metrics, "dff_fleet_unreadable_requests_total", "");
 		assert_int_equal (*unreadable, cases[i].n_unreadable);
 		dff_evacuations_free (evacuations);
-		g_string_free (told.names, TRUE);
+		g_string_free (report.names, TRUE);
 	}
 }
 
@@ -149,7 +158,7 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_what_is_known),
+		cmocka_unit_test (test_request_set),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/fleet/test-in-force.c
+++ b/tests/fleet/test-in-force.c
@@ -23,7 +23,7 @@
 	struct dff_memory_rows_client *client;
 	struct dff_metrics *metrics;
 	struct dff_rows_health *health;
-	struct dff_operator_state *in_force;
+	struct dff_operator_state *operator_state;
 	int64_t version;
 	size_t n_evacuated;
 };
@@ -69,7 +69,7 @@
 		.evacuations_changed = handle_evacuated,
 		.ctx = fixture,
 	};
-	fixture->in_force = dff_operator_state_new (&options);
+	fixture->operator_state = dff_operator_state_new (&options);
 	dff_virtual_loop_run (fixture->loop, 100);
 	assert_int_equal (fixture->version, 3);
 }
@@ -77,7 +77,7 @@
 static void
 fixture_close (struct fixture *fixture)
 {
-	dff_operator_state_free (fixture->in_force);
+	dff_operator_state_free (fixture->operator_state);
 	/* Calls in progress end by themselves; probes go on, and are answered from now on. */
 	dff_memory_rows_client_faults (fixture->client)->silent = false;
 	dff_virtual_loop_run (fixture->loop, 30000);
@@ -88,7 +88,7 @@
 }
 
 static int64_t
-n_questions (const struct fixture *fixture)
+n_feed_calls (const struct fixture *fixture)
 {
 	return *dff_metrics_counter (fixture->metrics, "dff_rows_feeds_total", "");
 }
@@ -97,14 +97,14 @@
  * with the number of processes by two a second each, and against a change or its loss being known
  * later for the sake of that. */
 static void
-test_questions_by_bound (void **state)
+test_feed_calls_by_bound (void **state)
 {
 	(void)state;
 	static const struct {
 		int32_t bound_ms;
-		bool deciding;
-		int64_t least;
-		int64_t most;
+		bool holding;
+		int64_t min_calls;
+		int64_t max_calls;
 		/** How long nothing may be heard until what is known is not gone by. */
 		int64_t stale_ms;
 	} cases[] = {
@@ -115,22 +115,23 @@
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct fixture fixture;
 		fixture_open (&fixture, cases[i].bound_ms);
-		dff_operator_state_set_holding (fixture.in_force, cases[i].deciding);
+		dff_operator_state_set_holding (fixture.operator_state, cases[i].holding);
 		dff_virtual_loop_run (fixture.loop, 3000);
-		int64_t before = n_questions (&fixture);
+		int64_t before = n_feed_calls (&fixture);
 		dff_virtual_loop_run (fixture.loop, 20000);
-		assert_in_range (n_questions (&fixture) - before, cases[i].least, cases[i].most);
+		assert_in_range (n_feed_calls (&fixture) - before, cases[i].min_calls,
+				 cases[i].max_calls);
 		dff_memory_rows_put (fixture.rows, DFF_TABLE_CONFIG, DFF_KEY_CONFIG,
 				     dff_str_from (SECOND));
 		dff_virtual_loop_run (fixture.loop, 50);
 		assert_int_equal (fixture.version, 8);
-		assert_true (dff_operator_state_is_fresh (fixture.in_force));
+		assert_true (dff_operator_state_is_fresh (fixture.operator_state));
 		dff_memory_rows_client_faults (fixture.client)->silent = true;
 		dff_virtual_loop_run (fixture.loop, cases[i].stale_ms - 600);
-		assert_non_null (dff_operator_state_config (fixture.in_force));
+		assert_non_null (dff_operator_state_config (fixture.operator_state));
 		dff_virtual_loop_run (fixture.loop, 700);
-		assert_null (dff_operator_state_config (fixture.in_force));
-		assert_false (dff_operator_state_is_fresh (fixture.in_force));
+		assert_null (dff_operator_state_config (fixture.operator_state));
+		assert_false (dff_operator_state_is_fresh (fixture.operator_state));
 		fixture_close (&fixture);
 	}
 }
@@ -138,16 +139,16 @@
 /* Guards against a process that has just come to decide starting tasks by what it knew of
  * evacuations at its former pace. */
 static void
-test_evacuation_as_it_comes_to_decide (void **state)
+test_evacuation_at_takeover (void **state)
 {
 	(void)state;
 	struct fixture fixture;
 	fixture_open (&fixture, 60000);
-	dff_operator_state_set_holding (fixture.in_force, false);
+	dff_operator_state_set_holding (fixture.operator_state, false);
 	dff_virtual_loop_run (fixture.loop, 9000);
-	dff_operator_state_set_holding (fixture.in_force, true);
+	dff_operator_state_set_holding (fixture.operator_state, true);
 	dff_virtual_loop_run (fixture.loop, 600);
-	assert_in_range (dff_operator_state_evacuations_age_ms (fixture.in_force), 0, 600);
+	assert_in_range (dff_operator_state_evacuations_age_ms (fixture.operator_state), 0, 600);
 	dff_memory_rows_put (fixture.rows, DFF_TABLE_CONFIG, "evacuate/dc", dff_str_from ("{}"));
 	dff_virtual_loop_run (fixture.loop, 50);
 	assert_int_equal (fixture.n_evacuated, 1);
@@ -158,8 +159,8 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_questions_by_bound),
-		cmocka_unit_test (test_evacuation_as_it_comes_to_decide),
+		cmocka_unit_test (test_feed_calls_by_bound),
+		cmocka_unit_test (test_evacuation_at_takeover),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
