--- a/fleet/evacuations.c
+++ b/fleet/evacuations.c
@@ -7,9 +7,10 @@
 
 struct dff_evacuations {
 	struct dff_evacuations_options options;
-	/** struct dff_name * to GINT_TO_POINTER (the reading that showed it last). */
+	/** Maps struct dff_name * to GINT_TO_POINTER (the last snapshot in which the request was
+	 * seen). */
 	GHashTable *requests;
-	/** Number of the reading in progress, or of the last. */
+	/** Number of the snapshot in progress, or of the last one. */
 	gint snapshot;
 	int64_t *requested;
 	int64_t *unreadable;
--- a/fleet/fleet.c
+++ b/fleet/fleet.c
@@ -24,32 +24,35 @@
 #include "platform/ingress.h"
 #include "rows/health.h"
 
-/** Connections to the store at the most. */
+/** Maximum number of connections to the store. */
 #define STORE_CONNECTIONS 24
-/** The same to each worker: one waits, the others carry orders, a few milliseconds each. Workers
- * close what is idle for some seconds, and each new connection costs a handshake. */
+/** Maximum number of connections to each worker: one carries a long poll, the others carry orders
+ * of a few milliseconds each. Workers close connections that are idle for some seconds, and each
+ * new connection costs a handshake. */
 #define WORKER_CONNECTIONS 3
-/** Idle time after which a connection to a worker is closed, ms: each new one costs a handshake. */
+/** Idle time after which this process closes a connection to a worker, ms. Long, as each new
+ * connection costs a handshake. */
 #define WORKER_IDLE_MS 60000
-/** How much earlier than its end by force a stopping process ends by itself, ms. */
+/** Time before SIGKILL at which a stopping process ends by itself, ms. */
 #define STOP_MARGIN_MS 1200
-/** Time for which a stopping process goes on serving the connections that it has, ms: the balancer
- * needs two checks a second apart to leave it out. */
+/** Time for which a stopping process keeps serving its open connections, ms. The balancer stops
+ * using a process after two readiness checks, one second apart. */
 #define STOP_LINGER_MS 3000
 #define STOP_CHECK_MS 100
-/** Waits for room near a task's data, and for a whole rack, for each further run time that going
- * elsewhere would take, ms: tasks run for some seconds. A gang on two racks also holds them for
- * longer. */
+/** Waits for free capacity near a task's data, and for a whole rack, per additional run time that
+ * running elsewhere would cost, ms. Sized for tasks that run for some seconds. A gang on two racks
+ * also occupies them for longer, so that wait is longer. */
 #define LOCALITY_WAIT_MS 2000
 #define RACK_WAIT_MS 7500
-/** What a take-over takes at a thousand workers and five thousand units: processor time of a whole
- * core, ms, and what is read, kbit. Measured there: in place after 0.2 to 0.3 s with half a core
- * and 200 Mbit/s, after 0.4 to 1.6 s with 0.12 of one and 20 Mbit/s. */
+/** Cost of a takeover with a thousand workers and five thousand units: processor time of a whole
+ * core, ms, and data to be read, kbit. A takeover of this size completes within 0.2 to 0.3 s with
+ * half a core and 200 Mbit/s, and within 0.4 to 1.6 s with 0.12 of a core and 20 Mbit/s. */
 #define TAKEOVER_PROCESSOR_MS 120.0
 #define TAKEOVER_KBITS 8000.0
-/** Less than this of either is taken for this, so that a process with none is merely last. */
+/** Lower bound for the processor share and the link bandwidth in the estimate, so that a process
+ * without either ranks last instead of dividing by zero. */
 #define RESOURCE_MIN 0.001
-/** Margin of a worker's longest lease that is left alone, ms. */
+/** Margin below the longest lease that a worker grants, ms. */
 #define LEASE_MARGIN_MS 500
 
 G_DEFINE_QUARK (dff_fleet_error, dff_fleet_error)
@@ -64,7 +67,7 @@
 	struct dff_http_client *worker_client;
 	struct dff_probe_link *probe_link;
 	struct dff_fleet_relays *relays;
-	/** Name of this life of the process. */
+	/** Name of this incarnation of the process. */
 	struct dff_name incarnation;
 	struct dff_http_rows *rows;
 	struct dff_rows_health *store_health;
@@ -176,10 +179,9 @@
 	return dff_http_client_new (&options);
 }
 
-/* Symptom without this: for up to a second after the store's return callers are refused, as no
- * configuration is known to be in force. Sequence: the store falls silent for seconds; the question
- * in progress about the configuration was sent just before its return, and is waited for until its
- * time is up. */
+/* Polls the operator state as soon as the store answers again. The poll in progress was sent before
+ * the store's return and would be waited for until its timeout: for up to a second callers would
+ * still be refused, as no current configuration is known. */
 static void
 handle_store_recovered (void *ctx)
 {
--- a/fleet/intake_link.c
+++ b/fleet/intake_link.c
@@ -7,20 +7,20 @@
 #include "common/http_client.h"
 
 #define ROW_PATH "/row"
-/** Queries: the row's key, and how long it may wait, ms. */
+/** Query parameters: the row's key, and the time within which it must be written, ms. */
 #define QUERY_KEY "key"
 #define QUERY_TIMEOUT "timeout"
-/** Longest wait that is asked for, ms. */
+/** Upper bound of the timeout parameter, ms. */
 #define TIMEOUT_MAX_MS 10000
-/** Connections to the process that gathers, and the time that an answer may come after the row's
- * own time is up, ms. */
+/** Maximum number of connections to the holder. */
 #define CONNECTIONS 4
-/** Status of an answer of a process that does not decide; its body is the address of the one that
- * does, or empty. */
+/** Status with which a process that is not the holder answers; the body is the holder's address, or
+ * empty if it is not known. */
 #define STATUS_MISDIRECTED 421
+/** Time beyond the row's own timeout for which the answer is waited for, ms. */
 #define ANSWER_MARGIN_MS 200
 
-/* What became of a row. */
+/* Statuses that report the outcome of a row. */
 static const struct {
 	enum dff_rows_outcome outcome;
 	int status;
--- a/fleet/operator_state.c
+++ b/fleet/operator_state.c
@@ -9,17 +9,18 @@
 #include "platform/decode.h"
 #include "rows/subscription.h"
 
-/** How long the store holds an answer back, ms: by the process that decides, and by others at the
- * least and at the most. */
+/** Time for which the store may delay its answer to a poll, ms: WAIT_MS for the holder; from
+ * WAIT_MS to WAIT_MAX_MS for other processes. */
 #define WAIT_MS 500
 #define WAIT_MAX_MS 2000
-/** The others' part of the time within which operators count on a change: what is known is up to
- * two waits old. */
+/** Divisor of the time within which operators rely on a change, giving the wait of other processes.
+ * The state that a process knows is up to two waits old. */
 #define WAIT_DIVISOR 4
-/** Time beyond the wait after which the path counts as silent, ms. */
+/** Time beyond the wait after which the store counts as not answering, ms. */
 #define TIMEOUT_MARGIN_MS 1000
-/** Age, beyond two waits, from which on nothing is decided by what is known, ms: a credential may
- * have been revoked, a class dropped; and from which on it is not fresh. */
+/** Age beyond two waits from which the state is stale and must not be used, ms: a credential may
+ * have been revoked or a class removed. FRESH_MS: the same for the state not being fresh any more.
+ */
 #define STALE_MS 2000
 #define FRESH_MS 1500
 
@@ -32,23 +33,23 @@
 	int64_t *version;
 };
 
-/* Idle processes make most of the calls to the store, so that they wait as long as the bound
- * allows. */
+/* Idle processes make most of the calls to the store, so they poll as rarely as the bound allows.
+ */
 static int32_t
 wait_ms (const struct dff_operator_state *state)
 {
 	return CLAMP (state->options.bound_ms / WAIT_DIVISOR, WAIT_MS, WAIT_MAX_MS);
 }
 
-/* A process never goes back to an older configuration: an answer that was under way for long may
- * still bring one. */
+/* Ignores a configuration that is not newer than the present one: a delayed answer may still carry
+ * an older version. */
 static void
 apply_config (struct dff_operator_state *state, const struct dff_row *row)
 {
 	DFF_AUTO (dff_fleet_config) config = dff_platform_read_config (row->value);
 	if (config == NULL) {
 		dff_log (DFF_LOG_POOL, DFF_LOG_ERROR,
-			 "Configuration cannot be read. revision=%" PRId64, row->revision);
+			 "Cannot decode the configuration row. revision=%" PRId64, row->revision);
 		return;
 	}
 	int64_t before = state->config != NULL ? state->config->version : 0;
--- a/fleet/probe_link.c
+++ b/fleet/probe_link.c
@@ -7,17 +7,19 @@
 #include "common/address.h"
 #include "common/http_client.h"
 
-/** Path at which a process tells its name, on the address for readiness, and the time that one who
- * asks waits, ms. */
+/** Path at which a process answers with the name of its incarnation, on the readiness address. */
 #define INSTANCE_PATH "/instance"
-/** Queries: to let go without a store, and to hand over to a process that takes so long, ms. */
+/** Query parameters: to release the lease if the store is not writable, and to hand over to the
+ * asking process, whose takeover takes this long, ms. */
 #define QUERY_RELEASE "yield"
 #define QUERY_TAKEOVER "takeover"
-/** Where the asker is reached that has taken the cell, and its epoch. */
+/** Query parameters: address of the asking process if it has acquired the lease, and its epoch. */
 #define QUERY_HOLDER "decider"
 #define QUERY_EPOCH "epoch"
+/** Timeout of a probe, ms. */
 #define PROBE_TIMEOUT_MS 300
-/** Status of an answer whose body is the name of a process that does not hold the cell. */
+/** Status with which a process that does not hold the lease answers; the body is its incarnation as
+ * well. */
 #define STATUS_IDLE 203
 
 struct dff_probe_link {
@@ -25,7 +27,7 @@
 	struct dff_http_client *client;
 };
 
-/* A query that is not understood asks for nothing. */
+/* Parses a probe. A query string that cannot be parsed requests nothing. */
 static struct dff_holder_probe
 parse_probe (const char *query)
 {
@@ -57,7 +59,7 @@
 	if (!dff_name_is_empty (&probe->new_holder))
 		g_string_append_printf (path, QUERY_HOLDER "=%s&" QUERY_EPOCH "=%" PRId64 "&",
 					probe->new_holder.data, probe->epoch);
-	/* The mark that is left over. */
+	/* The trailing '&' or '?'. */
 	g_string_truncate (path, path->len - 1);
 	return path;
 }
@@ -95,7 +97,7 @@
 		return response->status == HTTP_OK ? DFF_HOLDER_PROBE_ACTIVE
 						   : DFF_HOLDER_PROBE_IDLE;
 	}
-	/* Refused before its time is up: nobody listens there. */
+	/* The connection was refused before the timeout: no process listens at the address. */
 	if (response->outcome == DFF_HTTP_UNSENT && took_ms < PROBE_TIMEOUT_MS / 2)
 		return DFF_HOLDER_PROBE_REFUSED;
 	return DFF_HOLDER_PROBE_TIMED_OUT;
--- a/fleet/relays.c
+++ b/fleet/relays.c
@@ -7,8 +7,8 @@
 #include "relay/relay.h"
 #include "relay/stream.h"
 
-/** Pause after a connection to the process that decides has ended, doubled up to the limit, ms: one
- * that has enough relays is not to be asked by a thousand processes all the time. */
+/** Delay before reconnecting to the holder, doubled after each attempt up to the limit, ms. A
+ * holder that has enough relays must not be called all the time by a thousand processes. */
 #define RECONNECT_MIN_MS 1000
 #define RECONNECT_MAX_MS 30000
 
@@ -17,9 +17,9 @@
 	struct dff_dispatch *dispatch;
 	struct dff_relay *relay;
 	struct dff_stream_listener *listener;
-	/** Connections that were taken in. Elements: struct accepted *. */
+	/** Accepted connections of relays. Elements: struct accepted *. */
 	GPtrArray *accepted;
-	/** (nullable): the connection to the process that decides. */
+	/** (nullable): the connection to the holder. */
 	struct dff_stream *stream;
 	struct dff_name holder_address;
 	int64_t next_connect_ms;
@@ -30,7 +30,7 @@
 struct accepted {
 	struct dff_fleet_relays *relays;
 	struct dff_stream *stream;
-	/** (nullable): NULL once its end is known on both sides. */
+	/** (nullable): NULL once the relay is removed on both sides. */
 	struct dff_dispatch_relay *relay;
 };
 
@@ -91,7 +91,8 @@
 	struct dff_relay_link link = {
 		.send = send_accepted, .close = close_accepted, .ctx = accepted};
 	struct dff_dispatch_relay *relay = dff_dispatch_add (relays->dispatch, &link);
-	/* When there are enough, the link was closed, and @accepted is gone. */
+	/* If there are enough relays already, dff_dispatch_add() has closed the link and freed
+	 * @accepted. */
 	if (relay != NULL)
 		accepted->relay = relay;
 }
@@ -112,7 +113,7 @@
 	dff_stream_send (relays->stream, data, len);
 }
 
-/* After an end that the other process has brought about. */
+/* Delays the next connection after the other process has closed the last one. */
 static void
 delay_reconnect (struct dff_fleet_relays *relays)
 {
@@ -237,7 +238,7 @@
 	if (relays->listener != NULL)
 		dff_stream_listener_free (relays->listener);
 	drop_stream (relays);
-	/* Closes what was taken in. */
+	/* Closes the accepted connections. */
 	dff_dispatch_free (relays->dispatch);
 	dff_relay_free (relays->relay);
 	g_ptr_array_unref (relays->accepted);
--- a/fleet/serve_fleet.c
+++ b/fleet/serve_fleet.c
@@ -45,7 +45,8 @@
 		dff_fleet_settings_load (serve->settings_path, NULL, &error);
 	if (reloaded == NULL) {
 		dff_log (DFF_LOG_SERVE, DFF_LOG_ERROR,
-			 "Settings kept, new ones are wrong. error=\"%s\"", error->message);
+			 "Settings not reloaded: the file is not valid. error=\"%s\"",
+			 error->message);
 		return;
 	}
 	g_autoptr (GPtrArray) fixed = g_ptr_array_new_with_free_func (g_free);
@@ -53,10 +54,10 @@
 	dff_log_set_level (serve->settings->log_level);
 	for (guint i = 0; i < fixed->len; i++) {
 		dff_log (DFF_LOG_SERVE, DFF_LOG_WARNING,
-			 "Setting changes at the next start only. key=%s",
+			 "Changed setting takes effect at the next start only. key=%s",
 			 (const char *)g_ptr_array_index (fixed, i));
 	}
-	dff_log (DFF_LOG_SERVE, DFF_LOG_INFO, "Settings read again.");
+	dff_log (DFF_LOG_SERVE, DFF_LOG_INFO, "Settings reloaded.");
 }
 
 static void
--- a/fleet/state_link.c
+++ b/fleet/state_link.c
@@ -8,18 +8,20 @@
 
 #define STATE_PATH "/state"
 #define QUERY_JOB "job"
-/** Connections to the process that decides: a question may wait there for a tenth of a second. */
+/** Maximum number of connections to the holder. More than one, as a query may wait there for a
+ * tenth of a second. */
 #define CONNECTIONS 4
-/** Timeout of a question, ms: the longest wait there, and as much for a process that is short of
- * processor time. */
+/** Timeout of a query, ms: the longest wait at the holder, and as long again for a process that is
+ * short of processor time. */
 #define QUERY_TIMEOUT_MS 200
-/** How long rows are read instead after a question without an answer, ms: the process may be gone,
- * and the next is known within that. */
+/** Time for which the store is read instead after a query without an answer, ms. The holder may
+ * have failed, and the next holder is known within this time. */
 #define HOLDER_AVOID_MS 500
-/** Status of an answer of a process that does not decide; its body is the address of the one that
- * does, or empty. */
+/** Status with which a process that is not the holder answers; the body is the holder's address, or
+ * empty if it is not known. */
 #define STATUS_MISDIRECTED 421
-/** Processes that are asked, one after the other, while each says that it does not decide. */
+/** Maximum number of processes that are queried in turn, while each answers that it is not the
+ * holder. */
 #define QUERIES_MAX 3
 
 struct dff_state_link {
@@ -57,8 +59,8 @@
 	       dff_clock_now_ms (link->options.clock) >= link->avoid_until_ms;
 }
 
-/* The process that was asked has not answered, or does not decide: it is left alone for a moment,
- * unless it names another one. */
+/* Handles a holder that has not answered or is not the holder any more. If it named another
+ * process, that process is used; otherwise the holder is not queried for HOLDER_AVOID_MS. */
 static void
 handle_holder_unavailable (struct dff_state_link *link, const struct dff_name *next)
 {
--- a/include/fleet/config.h
+++ b/include/fleet/config.h
@@ -8,23 +8,24 @@
 #include "common/cleanup.h"
 #include "common/str.h"
 
-/* What the operator has put in force for the fleet: service classes, teams and their credentials.
- * Immutable; each change is a whole new one with a higher version. */
+/* Configuration of the fleet by its operators: service classes, teams and their credentials.
+ * Immutable: each change is a complete new configuration with a higher version. */
 
-/** A service class: how jobs that are sent to one place are served. */
+/** A service class: how jobs that are submitted to one host and path are served. */
 struct dff_fleet_class {
 	struct dff_name name;
-	/** Host and path prefix that callers use. */
+	/** Host and path prefix to which callers submit. */
 	GString *host;
 	GString *path_prefix;
 	/** Service whose workers run its tasks. */
 	struct dff_name service;
-	/** 0 first. */
+	/** Priority of the class's jobs; 0 is the highest. */
 	int32_t priority;
 	int32_t max_attempts;
 	/** Whether callers need no credential. */
 	bool anonymous;
-	/** Whether only workers named by an adviser may run its tasks, which is not supported. */
+	/** Whether only workers recommended by an external adviser may run its tasks, which is not
+	 * supported. */
 	bool needs_recommendation;
 };
 
@@ -32,14 +33,14 @@
 	struct dff_name name;
 	/** Elements: GString *. */
 	GPtrArray *credentials;
-	/** Accelerators that are the team's own at any time, for urgent jobs. */
+	/** Accelerators that are guaranteed to the team at any time, for its urgent jobs. */
 	int32_t assured_accelerators;
 };
 
 struct dff_fleet_config {
 	int64_t version;
-	/** Services whose workers start whatever they are told to, with room for it or without.
-	 * Elements: struct dff_name. */
+	/** Services whose workers do not enforce their capacity: they start every task that they
+	 * are ordered to, whether it fits or not. Elements: struct dff_name. */
 	GArray *unenforced;
 	/** Elements: struct dff_fleet_class. */
 	GArray *classes;
@@ -54,12 +55,12 @@
 
 DFF_DEFINE_CLEANUP (dff_fleet_config, dff_fleet_config_free);
 
-/** Returns: a class to be filled in, valid until the next is added. */
+/** Returns: a class to be filled in, valid until the next class is added. */
 struct dff_fleet_class *dff_fleet_config_add_class (struct dff_fleet_config *config);
 
 struct dff_fleet_team *dff_fleet_config_add_team (struct dff_fleet_config *config);
 
-/** Returns: (nullable): the class of @host whose prefix is the longest that @path begins with. */
+/** Returns: (nullable): the class of @host with the longest path prefix that matches @path. */
 const struct dff_fleet_class *dff_fleet_config_find_class (const struct dff_fleet_config *config,
 							   struct dff_str host,
 							   struct dff_str path);
--- a/include/fleet/evacuations.h
+++ b/include/fleet/evacuations.h
@@ -9,18 +9,18 @@
 #include "common/str.h"
 
 /*
- * The data centres that operators want emptied, put together from the rows of their requests. A
- * row that is there is a request; one that is removed takes it back. When the store has dropped the
- * history of its table, a row may be gone without anyone being told: the table is read whole, and
- * what that reading does not show is taken back.
+ * Set of the data centres to be evacuated, built from the rows of the operators' requests. An
+ * existing row is a request; its removal withdraws the request. When the store has dropped the
+ * history of the table, removals may be missing from its feed: the table is then read whole, and
+ * requests that are not in this snapshot are withdrawn.
  */
 
 struct dff_evacuations;
 
 struct dff_evacuations_options {
 	struct dff_metrics *metrics;
-	/** The set has changed, or was read whole for the first time. @data_centres is valid for
-	 * the length of the call. */
+	/** Called when the set has changed, and after the first snapshot. @data_centres is valid
+	 * during the call only. */
 	void (*changed) (void *ctx, const struct dff_name *data_centres, size_t n_data_centres);
 	void *ctx;
 };
@@ -34,9 +34,9 @@
 
 /**
  * dff_evacuations_note:
- * @requested: whether the request is there; false: it was removed
- * @revision: of its row
- * @age_ms: how old what is known of the table was before
+ * @requested: true: the row of the request exists; false: the row was removed
+ * @revision: revision of the row
+ * @age_ms: age of what was known of the table before this row, ms
  */
 void dff_evacuations_note (struct dff_evacuations *evacuations,
 			   const struct dff_name *data_centre,
@@ -44,15 +44,15 @@
 			   int64_t revision,
 			   int64_t age_ms);
 
-/** A request that cannot be read: told, counted, and nothing else changes. */
+/** Logs and counts a request that cannot be decoded. The set does not change. */
 void dff_evacuations_note_unreadable (struct dff_evacuations *evacuations,
 				      struct dff_str key,
 				      int64_t revision);
 
-/** The table is going to be read whole. */
+/** A snapshot of the whole table begins. */
 void dff_evacuations_begin_snapshot (struct dff_evacuations *evacuations);
 
-/** It was: requests not noted since are gone. */
+/** The snapshot is complete: withdraws the requests that were not noted since it began. */
 void dff_evacuations_end_snapshot (struct dff_evacuations *evacuations);
 
 #endif
--- a/include/fleet/fleet.h
+++ b/include/fleet/fleet.h
@@ -6,7 +6,8 @@
 #include "common/cleanup.h"
 #include "fleet/settings.h"
 
-/* One process of the fleet on the users' platform: front, holder and their clients on one loop. */
+/* One process of the fleet on the users' platform: front, holder and their clients on one event
+ * loop. */
 
 struct dff_fleet;
 
@@ -22,11 +23,11 @@
 
 DFF_DEFINE_CLEANUP (dff_fleet, dff_fleet_free);
 
-/** Returns: (transfer full) (nullable): a process that serves once @base runs. */
+/** Returns: (transfer full) (nullable): a process that serves while @base runs. */
 struct dff_fleet *
 dff_fleet_new (struct event_base *base, const struct dff_fleet_settings *settings, GError **error);
 
-/** Stops gracefully and ends the loop; a second call ends it at once. */
+/** Stops gracefully and then ends the loop. A second call ends the loop at once. */
 void dff_fleet_stop (struct dff_fleet *fleet);
 
 #endif
--- a/include/fleet/intake_link.h
+++ b/include/fleet/intake_link.h
@@ -7,8 +7,7 @@
 #include "common/metrics.h"
 #include "front/intake.h"
 
-/* Rows on their way from one process to the one that gathers them, over HTTP on the address for
- * readiness. */
+/* Forwards rows from one process to the holder, over HTTP on the readiness address. */
 
 struct dff_intake_link;
 
@@ -18,7 +17,7 @@
 
 DFF_DEFINE_CLEANUP (dff_intake_link, dff_intake_link_free);
 
-/** dff_intake_options.forward, with the struct dff_intake_link as its context. */
+/** Implements dff_intake_options.forward; @ctx is the struct dff_intake_link. */
 void dff_intake_link_forward (void *ctx,
 			      const struct dff_name *address,
 			      const struct dff_intake_row *row,
--- a/include/fleet/operator_state.h
+++ b/include/fleet/operator_state.h
@@ -8,9 +8,9 @@
 #include "rows/rows.h"
 
 /*
- * What operators have put in force, as this process knows it: the configuration, and the data
- * centres that are to be emptied. Both are rows of one table that is followed; how often the store
- * is asked goes by the time within which operators count on a change.
+ * Operator state as known to this process: the configuration, and the data centres to be evacuated.
+ * Both are rows of one table to which the process subscribes. The polling interval follows from the
+ * time within which operators rely on a change.
  */
 
 struct dff_operator_state;
@@ -19,43 +19,44 @@
 	const struct dff_timers *timers;
 	const struct dff_rows *rows;
 	struct dff_metrics *metrics;
-	/** Time within which operators count on a change, ms. */
+	/** Time within which operators rely on a change being in force, ms. */
 	int32_t bound_ms;
 	void (*config_changed) (void *ctx, const struct dff_fleet_config *config);
-	/** All data centres that are to be emptied now. */
+	/** @data_centres: all data centres that are to be evacuated now. */
 	void (*evacuations_changed) (void *ctx,
 				     const struct dff_name *data_centres,
 				     size_t n_data_centres);
 	void *ctx;
 };
 
-/** Begins to follow the table. */
+/** Subscribes to the table. */
 struct dff_operator_state *
 dff_operator_state_new (const struct dff_operator_state_options *options);
 
-/** The store's calls in progress do not call back any more. */
+/** Calls to the store that are in progress do not call back any more. */
 void dff_operator_state_free (struct dff_operator_state *state);
 
 DFF_DEFINE_CLEANUP (dff_operator_state, dff_operator_state_free);
 
-/** Returns: (transfer none) (nullable): the configuration; NULL when none is known, or what is
- * known is too old to go by. */
+/** Returns: (transfer none) (nullable): the configuration; NULL: none is known, or the known one is
+ * stale. */
 const struct dff_fleet_config *dff_operator_state_config (const struct dff_operator_state *state);
 
-/** Returns: whether a configuration is known that will not soon be too old. */
+/** Returns: whether a configuration is known and is not about to become stale. */
 bool dff_operator_state_is_fresh (const struct dff_operator_state *state);
 
-/** Returns: how old what is known is, ms; INT64_MAX: nothing is. */
+/** Returns: age of the operator state, ms; INT64_MAX: none is known. */
 int64_t dff_operator_state_age_ms (const struct dff_operator_state *state);
 
-/** Returns: the same of evacuations, of which nothing is known before the whole table is. */
+/** Returns: age of the evacuation requests, ms; INT64_MAX: the first snapshot of the table is not
+ * complete. */
 int64_t dff_operator_state_evacuations_age_ms (const struct dff_operator_state *state);
 
-/** The store was silent and answers again. */
+/** Polls at once: the store answers again after it did not. */
 void dff_operator_state_wake (struct dff_operator_state *state);
 
-/** The process that decides starts nothing by old knowledge of evacuations, and asks as often as
- * that takes. */
+/** Sets whether this process is the holder. The holder must not start tasks by stale evacuation
+ * requests, so it polls at the shortest interval. */
 void dff_operator_state_set_holding (struct dff_operator_state *state, bool holding);
 
 #endif
--- a/include/fleet/probe_link.h
+++ b/include/fleet/probe_link.h
@@ -8,8 +8,9 @@
 #include "common/metrics.h"
 #include "holder/holder.h"
 
-/* A process tells its name to others that ask, and asks them. This is how a holder that has ended,
- * or cannot record, is told from one that is merely not heard. */
+/* Probes between processes: a process asks another for the name of its incarnation. The answer
+ * distinguishes a holder that has ended, or cannot write to the store, from one that is merely
+ * unreachable. */
 
 struct dff_probe_link;
 
@@ -17,9 +18,9 @@
 	struct event_base *base;
 	const struct dff_clock *clock;
 	struct dff_metrics *metrics;
-	/** Name of this life of the process. */
+	/** Name of this incarnation of the process. */
 	struct dff_name incarnation;
-	/** (nullable): the holder of this process. */
+	/** (nullable): the holder module of this process. */
 	struct dff_holder *holder;
 };
 
@@ -31,11 +32,11 @@
 
 void dff_probe_link_set_local_holder (struct dff_probe_link *link, struct dff_holder *holder);
 
-/** Answers those who ask on @http. */
+/** Answers probes that arrive on @http. */
 void dff_probe_link_serve (struct dff_probe_link *link, struct evhttp *http);
 
-/** Asks the process at @address whether it is @instance: dff_holder_options.send_probe, with the
- * struct dff_probe_link as its context. */
+/** Probes the process at @address and compares its incarnation with @incarnation. Implements
+ * dff_holder_options.send_probe; @ctx is the struct dff_probe_link. */
 void dff_probe_link_send (void *ctx,
 			  const struct dff_name *address,
 			  const struct dff_name *incarnation,
--- a/include/fleet/relays.h
+++ b/include/fleet/relays.h
@@ -8,8 +8,8 @@
 #include "common/timer.h"
 #include "upstream/runner.h"
 
-/* Both ends of the relays of one process, over TCP: it takes in relays while it decides, and is one
- * while another process does. */
+/* Both ends of the relay connections of one process, over TCP. While this process is the holder, it
+ * accepts relays; while another process is, this process acts as a relay for it. */
 
 struct dff_fleet_relays;
 
@@ -17,12 +17,12 @@
 	struct event_base *base;
 	const struct dff_timers *timers;
 	struct dff_metrics *metrics;
-	/** Calls that go straight to the worker. */
+	/** Runner that calls workers directly. */
 	const struct dff_runner *direct;
-	/** Name of this life of the process. */
+	/** Name of this incarnation of the process. */
 	struct dff_name incarnation;
 	struct dff_name address;
-	/** The connection to the process that decides has ended. */
+	/** The connection to the holder has ended. */
 	void (*holder_lost) (void *ctx);
 	void *ctx;
 };
@@ -34,16 +34,16 @@
 
 DFF_DEFINE_CLEANUP (dff_fleet_relays, dff_fleet_relays_free);
 
-/** Returns: (transfer none): the workers, through relays where there are some. */
+/** Returns: (transfer none): a runner that calls workers through relays where there are any. */
 const struct dff_runner *dff_fleet_relays_runner (struct dff_fleet_relays *relays);
 
-/** dff_holder_options.relay_connect, with the struct dff_fleet_relays as its context. */
+/** Implements dff_holder_options.relay_connect; @ctx is the struct dff_fleet_relays. */
 void dff_fleet_relays_connect (void *ctx, const struct dff_name *address, int32_t n_relays);
 
-/** dff_holder_options.relay_set_limit, likewise. */
+/** Implements dff_holder_options.relay_set_limit, likewise. */
 void dff_fleet_relays_set_limit (void *ctx, int32_t n_relays);
 
-/** This process is about to stop: it carries no further calls. */
+/** Stops relaying: this process is about to stop and carries no further calls. */
 void dff_fleet_relays_leave (struct dff_fleet_relays *relays);
 
 #endif
--- a/include/fleet/settings.h
+++ b/include/fleet/settings.h
@@ -9,34 +9,36 @@
 #include "common/setting.h"
 #include "common/str.h"
 
-/* Settings of a process of the fleet, JSON; dragonflyfold-fleet-settings(5). */
+/* Settings of a process of the fleet, a JSON file; see dragonflyfold-fleet-settings(5). */
 
 struct dff_fleet_settings {
 	struct dff_name instance;
 	struct dff_name data_centre;
 	struct dff_name region;
-	/** "IP:PORT": callers, readiness, metrics, the row store. */
+	/** Addresses as "IP:PORT": for callers, for readiness checks, for metrics, and of the row
+	 * store. */
 	struct dff_name front_address;
 	struct dff_name ready_address;
 	struct dff_name metrics_address;
-	/** Where processes connect that carry calls to workers for this one. */
+	/** Address at which relays connect, which carry this process's calls to workers. */
 	struct dff_name relay_address;
 	struct dff_name store_address;
 	/** Longest lease that workers grant, ms. */
 	int32_t worker_lease_max_ms;
 	int32_t config_bound_ms;
-	/** Longest wait of a gang's members for each other, ms. */
+	/** Longest time that members of a gang wait for each other at a worker, ms. */
 	int32_t gang_wait_ms;
-	/** How many times as long a task takes away from its data, or a bound gang on two racks. */
+	/** Factor by which a task runs longer away from its data, or a bound gang on two racks. */
 	double far_factor;
-	/** How long the state of what has ended can be asked for, s. */
+	/** Time for which the state of a completed job can be queried, s. */
 	int32_t retention_s;
-	/** Time between the signal to stop and the end of the process, s. */
+	/** Time between SIGTERM and SIGKILL, s. */
 	int32_t stop_grace_s;
-	/** Share of a core that the process may use, and how many times as fast one is. */
+	/** Share of a core that the process may use, and the speed of that core as a multiple of a
+	 * reference core's. */
 	double processor_share;
 	double processor_speed;
-	/** Of the machine's link, Mbit/s. */
+	/** Bandwidth of the machine's link, Mbit/s. */
 	double link_mbps;
 	enum dff_log_level log_level;
 };
@@ -55,15 +57,16 @@
 
 /**
  * dff_fleet_settings_reload:
- * @fixed: elements: char *: keys that differ in @fresh but cannot change while running
+ * @fixed: keys that differ in @fresh but cannot change while the process runs; elements: char *
  *
- * Copies what may change from @fresh into @settings.
+ * Copies the settings that may change at run time from @fresh into @settings.
  */
 void dff_fleet_settings_reload (struct dff_fleet_settings *settings,
 				const struct dff_fleet_settings *fresh,
 				GPtrArray *fixed);
 
-/** Appends the reference of every key in scdoc, as dragonflyfold-fleet-settings(5) holds it. */
+/** Appends the reference of every key in scdoc format, as contained in
+ * dragonflyfold-fleet-settings(5). */
 void dff_fleet_settings_describe (GString *out);
 
 #endif
--- a/include/fleet/state_link.h
+++ b/include/fleet/state_link.h
@@ -10,7 +10,7 @@
 #include "front/front.h"
 #include "holder/holder.h"
 
-/* Questions about jobs' states from any process to the one that decides, over HTTP. */
+/* Forwards state queries from any process to the holder, over HTTP. */
 
 struct dff_state_link;
 
@@ -18,9 +18,10 @@
 	struct event_base *base;
 	const struct dff_clock *clock;
 	struct dff_metrics *metrics;
-	/** The process that decides has not answered, or does not decide any more. */
+	/** The holder has not answered, or is not the holder any more. */
 	void (*holder_lost) (void *ctx);
-	/** It names another one, which is asked from now on. */
+	/** The process that was taken for the holder named another address, which is used from now
+	 * on. */
 	void (*holder_moved) (void *ctx, const struct dff_name *address);
 	void *ctx;
 };
@@ -28,24 +29,26 @@
 /** Returns: (transfer full): @options is copied. */
 struct dff_state_link *dff_state_link_new (const struct dff_state_link_options *options);
 
-/** Drops questions in progress without calling back. */
+/** Drops queries in progress without calling back. */
 void dff_state_link_free (struct dff_state_link *link);
 
 DFF_DEFINE_CLEANUP (dff_state_link, dff_state_link_free);
 
-/** Sets the holder of this process, before anything is asked. */
+/** Sets the holder module of this process. To be called before the first query. */
 void dff_state_link_set_local_holder (struct dff_state_link *link, struct dff_holder *holder);
 
-/** Tells which process decides: @address empty: none is known, or this one if @self. */
+/** Sets the address of the holder. @address is empty if no holder is known, or if @self: this
+ * process is the holder. */
 void dff_state_link_set_holder_address (struct dff_state_link *link,
 					const struct dff_name *address,
 					bool self);
 
-/** Asks the process that decides; for struct dff_front_options, with the link as @ctx. */
+/** Queries the holder. Implements dff_front_options.query_state; @ctx is the struct dff_state_link.
+ */
 bool
 dff_state_link_query (void *ctx, const struct dff_name *job, dff_front_state_func done, void *user);
 
-/** Answers other processes' questions. */
+/** Answers the queries of other processes. */
 void dff_state_link_serve (struct dff_state_link *link, struct evhttp *http);
 
 #endif
--- a/tests/fleet/test-evacuations.c
+++ b/tests/fleet/test-evacuations.c
@@ -7,16 +7,17 @@
 
 #include "fleet/evacuations.h"
 
-/* The set of data centres to be emptied, by what is heard of the operators' table. */
+/* Tests the set of data centres to be evacuated, given sequences of changes of the operators'
+ * table. */
 
 enum step_type {
 	DFF_STEP_NONE,
-	/** A request for the data centre @name is there, or was removed. */
+	/** The request for the data centre @name exists, or was removed. */
 	DFF_STEP_REQUESTED,
 	DFF_STEP_REMOVED,
-	/** One that cannot be read. */
+	/** A request that cannot be decoded. */
 	DFF_STEP_UNREADABLE,
-	/** The table is going to be read whole, and was. */
+	/** A snapshot of the whole table begins, and is complete. */
 	DFF_STEP_BEGIN_SNAPSHOT,
 	DFF_STEP_END_SNAPSHOT,
 };
@@ -97,7 +98,7 @@
 		 "a b ",
 		 3,
 		 0},
-		/* Rows repeat. */
+		/* Rows are delivered twice. */
 		{{{DFF_STEP_BEGIN_SNAPSHOT},
 		  {DFF_STEP_END_SNAPSHOT},
 		  {DFF_STEP_REQUESTED, "a"},
@@ -107,7 +108,7 @@
 		 "",
 		 3,
 		 0},
-		/* Gone with the history; there still; asked for again meanwhile. */
+		/* After a snapshot: a removed, b still requested. */
 		{{{DFF_STEP_BEGIN_SNAPSHOT},
 		  {DFF_STEP_END_SNAPSHOT},
 		  {DFF_STEP_REQUESTED, "a"},
@@ -118,7 +119,7 @@
 		 "b ",
 		 4,
 		 0},
-		/* Nothing is dropped while the table is read. */
+		/* No request is withdrawn while a snapshot is in progress. */
 		{{{DFF_STEP_BEGIN_SNAPSHOT},
 		  {DFF_STEP_REQUESTED, "a"},
 		  {DFF_STEP_END_SNAPSHOT},
@@ -126,7 +127,7 @@
 		 "a ",
 		 2,
 		 0},
-		/* Told apart from those that can be read. */
+		/* Undecodable requests are counted and do not change the set. */
 		{{{DFF_STEP_BEGIN_SNAPSHOT},
 		  {DFF_STEP_REQUESTED, "a"},
 		  {DFF_STEP_END_SNAPSHOT},
--- a/tests/fleet/test-fleet-settings.c
+++ b/tests/fleet/test-fleet-settings.c
@@ -24,7 +24,7 @@
 	(void)state;
 	static const struct {
 		const char *text;
-		/** Faults, or 0. */
+		/** Number of faults; 0: valid settings. */
 		guint n_faults;
 		const char *named;
 	} cases[] = {
@@ -60,7 +60,7 @@
 	assert_null (dff_fleet_settings_load (path, NULL, NULL));
 }
 
-/* Symptom: the manual page and the program differ. Cause: two places that list the same. */
+/* Guards against the manual page differing from the program's table of settings. */
 static void
 test_manual_page (void **state)
 {
@@ -73,7 +73,8 @@
 	assert_non_null (strstr (page, reference->str));
 }
 
-/* The template that the platform fills in names every setting once, and nothing else. */
+/* The settings template that the platform fills in must name every setting once, and nothing else.
+ */
 static void
 test_template (void **state)
 {
@@ -100,7 +101,7 @@
 	g_autofree struct dff_fleet_settings *settings =
 		dff_fleet_settings_load (path, faults, NULL);
 	g_unlink (path);
-	/* Only the factor, which got a time here, is out of its range. */
+	/* Only far_factor, which is given a time here, is out of its range. */
 	assert_int_equal (faults->len, 1);
 	assert_non_null (strstr (g_ptr_array_index (faults, 0), "far_factor"));
 }
--- a/tests/fleet/test-in-force.c
+++ b/tests/fleet/test-in-force.c
@@ -10,8 +10,8 @@
 #include "rows/health.h"
 #include "standin/memory_rows.h"
 
-/* What operators put in force, followed in a store in memory under a virtual clock: how often it is
- * asked, how soon a change is known, and how long what is known is gone by. */
+/* Tests the operator state against an in-memory store under a virtual clock: how often the store is
+ * polled, how soon a change is known, and when the state becomes stale. */
 
 #define START_MS 1000000
 #define FIRST "{\"version\":3,\"routes\":[],\"services\":[],\"tenants\":[]}"
@@ -78,7 +78,8 @@
 fixture_close (struct fixture *fixture)
 {
 	dff_operator_state_free (fixture->operator_state);
-	/* Calls in progress end by themselves; probes go on, and are answered from now on. */
+	/* Calls in progress time out by themselves; probes of the store continue and are answered
+	 * from here on. */
 	dff_memory_rows_client_faults (fixture->client)->silent = false;
 	dff_virtual_loop_run (fixture->loop, 30000);
 	dff_rows_health_free (fixture->health);
@@ -93,9 +94,9 @@
 	return *dff_metrics_counter (fixture->metrics, "dff_rows_feeds_total", "");
 }
 
-/* The load: a process in which nothing happens. Guards against questions to the store that grow
- * with the number of processes by two a second each, and against a change or its loss being known
- * later for the sake of that. */
+/* Load: an idle process. Guards against each process polling the store twice a second whatever the
+ * bound is, and against a longer polling interval delaying the delivery of a change or the
+ * detection of a stale state. */
 static void
 test_feed_calls_by_bound (void **state)
 {
@@ -105,7 +106,7 @@
 		bool holding;
 		int64_t min_calls;
 		int64_t max_calls;
-		/** How long nothing may be heard until what is known is not gone by. */
+		/** Time without an answer of the store after which the state is stale, ms. */
 		int64_t stale_ms;
 	} cases[] = {
 		{2000, false, 36, 42, 3000}, {2000, true, 36, 42, 3000},
@@ -136,8 +137,8 @@
 	}
 }
 
-/* Guards against a process that has just come to decide starting tasks by what it knew of
- * evacuations at its former pace. */
+/* Guards against a process that has just become the holder starting tasks by evacuation requests
+ * that are as old as the polling interval of other processes. */
 static void
 test_evacuation_at_takeover (void **state)
 {
