--- a/tests/platform/test-decode.c
+++ b/tests/platform/test-decode.c
@@ -79,7 +79,7 @@
 		const char *state;
 		bool leaving;
 		int64_t remaining_ms;
-		int64_t born_ms;
+		int64_t started_ms;
 	} cases[] = {
 		{"\"ready\"", false, -1, DFF_START_UNREPORTED},
 		{"\"draining\",\"remaining_ms\":1800", true, 1800, DFF_START_UNREPORTED},
@@ -106,7 +106,7 @@
 		assert_int_equal (upstream.capacity.accelerators, 8);
 		assert_int_equal (upstream.leaving, cases[i].leaving);
 		assert_int_equal (upstream.remaining_ms, cases[i].remaining_ms);
-		assert_int_equal (upstream.incarnation.started_ms, cases[i].born_ms);
+		assert_int_equal (upstream.incarnation.started_ms, cases[i].started_ms);
 	}
 }
 
@@ -114,13 +114,13 @@
  * program, or a newer version of one, writes an entry with a state or fields that are not known
  * here. Cause: what was not understood was taken for its default. */
 static void
-test_upstream_of_another_writer (void **state)
+test_invalid_upstream_entries (void **state)
 {
 	(void)state;
 	static const struct {
 		const char *key;
 		const char *value;
-		bool used;
+		bool accepted;
 	} cases[] = {
 		{"i-1",
 		 UPSTREAM ("\"ready\"", "\"10.1.0.9:80\"", "{\"cpu\":1,\"mem_mb\":1,\"gpu\":1}"),
@@ -162,12 +162,12 @@
 		struct dff_row row = {.key = dff_str_from (cases[i].key),
 				      .value = dff_str_from (cases[i].value)};
 		struct dff_upstream upstream;
-		assert_int_equal (dff_platform_read_upstream (&row, &upstream), cases[i].used);
+		assert_int_equal (dff_platform_read_upstream (&row, &upstream), cases[i].accepted);
 	}
 }
 
 /** A body of each kind, as the platform has it. */
-static const char *const sound_bodies[] = {
+static const char *const valid_bodies[] = {
 	UPSTREAM ("\"draining\",\"remaining_ms\":1800",
 		  "\"10.1.0.9:80\"",
 		  "{\"cpu\":16900,\"mem_mb\":32768,\"gpu\":8}"),
@@ -208,9 +208,10 @@
 	/* What was accepted is written and read again by every process that follows. */
 	plan->id = dff_name_from ("job");
 	g_autoptr (GString) encoded = dff_plan_encode (plan);
-	DFF_AUTO (dff_plan) again = dff_plan_decode ((struct dff_str){encoded->str, encoded->len});
-	assert_non_null (again);
-	DFF_AUTO (dff_progress) progress = dff_progress_decode (again, text);
+	DFF_AUTO (dff_plan)
+	decoded = dff_plan_decode ((struct dff_str){encoded->str, encoded->len});
+	assert_non_null (decoded);
+	DFF_AUTO (dff_progress) progress = dff_progress_decode (decoded, text);
 }
 
 /* In place of a value: other types, huge and negative numbers, deep nesting, a name with NUL, the
@@ -241,8 +242,8 @@
 	(void)state;
 	g_autoptr (GRand) rand = g_rand_new_with_seed (20261203);
 	for (int i = 0; i < 6000; i++) {
-		const char *sound = sound_bodies[i % (int)G_N_ELEMENTS (sound_bodies)];
-		g_autoptr (GString) body = g_string_new (sound);
+		const char *valid = valid_bodies[i % (int)G_N_ELEMENTS (valid_bodies)];
+		g_autoptr (GString) body = g_string_new (valid);
 		int kind = g_rand_int_range (rand, 0, 3);
 		guint at = (guint)g_rand_int_range (rand, 0, (gint32)body->len);
 		if (kind == 0)
@@ -314,8 +315,8 @@
 {
 	(void)state;
 	/* Longer than any name. */
-	g_autofree char *endless = g_strnfill (300, 'x');
-	g_autofree char *endless_key = g_strconcat ("evacuate/", endless, NULL);
+	g_autofree char *too_long = g_strnfill (300, 'x');
+	g_autofree char *too_long_key = g_strconcat ("evacuate/", too_long, NULL);
 	const struct {
 		const char *key;
 		const char *value;
@@ -328,7 +329,7 @@
 		{"evacuate/a", "\xff", DFF_PLATFORM_REQUEST_EVACUATION, "a"},
 		{"evacuate/a", "", DFF_PLATFORM_REQUEST_EVACUATION, "a"},
 		{"evacuate/", "{}", DFF_PLATFORM_REQUEST_UNREADABLE, NULL},
-		{endless_key, "{}", DFF_PLATFORM_REQUEST_UNREADABLE, NULL},
+		{too_long_key, "{}", DFF_PLATFORM_REQUEST_UNREADABLE, NULL},
 		{"evacuate", "{}", DFF_PLATFORM_REQUEST_OTHER, NULL},
 		{"config", "{}", DFF_PLATFORM_REQUEST_OTHER, NULL},
 		{"wave/1", "{}", DFF_PLATFORM_REQUEST_OTHER, NULL},
@@ -351,7 +352,7 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test (test_config),
 		cmocka_unit_test (test_upstream),
-		cmocka_unit_test (test_upstream_of_another_writer),
+		cmocka_unit_test (test_invalid_upstream_entries),
 		cmocka_unit_test (test_fuzzed_bodies),
 		cmocka_unit_test (test_job),
 		cmocka_unit_test (test_evacuations),
--- a/tests/platform/test-http.c
+++ b/tests/platform/test-http.c
@@ -25,7 +25,7 @@
 	struct dff_http_client *client;
 	/** Request as received: "METHOD URI\nBODY". */
 	GString *request;
-	char *expected_life;
+	char *expected_incarnation;
 	int status;
 	const char *body;
 	/** Closes the connection in place of an answer. */
@@ -38,10 +38,10 @@
 	struct server *server = ctx;
 	struct evbuffer *input = evhttp_request_get_input_buffer (request);
 	size_t length = evbuffer_get_length (input);
-	const char *life = evhttp_find_header (evhttp_request_get_input_headers (request),
-					       "Dragonflyfold-Expected-Instance");
-	g_free (server->expected_life);
-	server->expected_life = g_strdup (life);
+	const char *incarnation = evhttp_find_header (evhttp_request_get_input_headers (request),
+						      "Dragonflyfold-Expected-Instance");
+	g_free (server->expected_incarnation);
+	server->expected_incarnation = g_strdup (incarnation);
 	g_string_printf (server->request, "%s %s\n",
 			 evhttp_request_get_command (request) == EVHTTP_REQ_POST ? "POST" : "GET",
 			 evhttp_request_get_uri (request));
@@ -80,7 +80,7 @@
 	evhttp_free (server->http);
 	event_base_free (server->base);
 	g_string_free (server->request, TRUE);
-	g_free (server->expected_life);
+	g_free (server->expected_incarnation);
 }
 
 struct rows_answer {
@@ -165,7 +165,7 @@
 }
 
 static void
-test_reading (void **state)
+test_get_and_feed (void **state)
 {
 	(void)state;
 	struct server server;
@@ -205,7 +205,7 @@
 	struct event_base *base;
 	enum dff_runner_outcome outcome;
 	int64_t clock_ms;
-	int64_t born_ms;
+	int64_t started_ms;
 	GString *lists;
 };
 
@@ -215,7 +215,7 @@
 	struct runner_answer *answer = user;
 	answer->outcome = result->outcome;
 	answer->clock_ms = result->clock_ms;
-	answer->born_ms = result->started_ms;
+	answer->started_ms = result->started_ms;
 	g_string_truncate (answer->lists, 0);
 	for (size_t i = 0; i < result->n_running; i++) {
 		g_string_append_printf (
@@ -276,7 +276,7 @@
 		workers->start (workers->ctx, &order, handle_runner, &answer);
 		event_base_dispatch (server.base);
 		assert_int_equal (answer.outcome, cases[i].outcome);
-		assert_string_equal (server.expected_life, "i-7f3a91c2");
+		assert_string_equal (server.expected_incarnation, "i-7f3a91c2");
 		assert_string_equal (
 			server.request->str,
 			"POST "
@@ -338,12 +338,12 @@
 
 /* Guards against a start that cannot be read being taken for one that is told. */
 static void
-test_start_of_a_life (void **state)
+test_incarnation_start (void **state)
 {
 	(void)state;
 	static const struct {
 		const char *body;
-		int64_t born_ms;
+		int64_t started_ms;
 	} cases[] = {
 		{"{\"clock_ms\":1,\"born\":1790000000123}", 1790000000123},
 		{"{\"clock_ms\":1}", DFF_START_UNREPORTED},
@@ -367,7 +367,7 @@
 		server.body = cases[i].body;
 		workers->watch (workers->ctx, &watch, handle_runner, &answer);
 		event_base_dispatch (server.base);
-		assert_int_equal (answer.born_ms, cases[i].born_ms);
+		assert_int_equal (answer.started_ms, cases[i].started_ms);
 	}
 	g_string_free (answer.lists, TRUE);
 	server_close (&server);
@@ -377,8 +377,8 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_start_of_a_life), cmocka_unit_test (test_commit),
-		cmocka_unit_test (test_reading),         cmocka_unit_test (test_start),
+		cmocka_unit_test (test_incarnation_start), cmocka_unit_test (test_commit),
+		cmocka_unit_test (test_get_and_feed),      cmocka_unit_test (test_start),
 		cmocka_unit_test (test_stop_and_watch),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/platform/test-ingress.c
+++ b/tests/platform/test-ingress.c
@@ -41,8 +41,8 @@
 	struct dff_http_client *client;
 	struct dff_fleet_config *config;
 	/** After being asked for so often in one call, the configuration is out of date. */
-	int32_t n_fresh;
-	int32_t n_asked;
+	int32_t max_queries;
+	int32_t n_queries;
 	bool silent;
 	bool answered;
 	int status;
@@ -51,11 +51,11 @@
 };
 
 static const struct dff_fleet_config *
-config_in_force (void *ctx)
+current_config (void *ctx)
 {
 	struct fixture *fixture = ctx;
-	fixture->n_asked++;
-	return fixture->n_asked <= fixture->n_fresh ? fixture->config : NULL;
+	fixture->n_queries++;
+	return fixture->n_queries <= fixture->max_queries ? fixture->config : NULL;
 }
 
 static bool
@@ -70,7 +70,7 @@
 	*fixture = (struct fixture){.base = dff_event_base_new (),
 				    .loop = dff_virtual_loop_new (1000),
 				    .metrics = dff_metrics_new (),
-				    .n_fresh = INT32_MAX,
+				    .max_queries = INT32_MAX,
 				    .body = g_string_new (NULL)};
 	fixture->rows = dff_memory_rows_new (fixture->loop);
 	fixture->store = dff_memory_rows_client_new (fixture->rows);
@@ -87,7 +87,7 @@
 		.clock = dff_virtual_loop_clock (fixture->loop),
 		.front = fixture->front,
 		.metrics = fixture->metrics,
-		.config = config_in_force,
+		.config = current_config,
 		.ctx = fixture,
 	};
 	fixture->ingress = dff_ingress_new (&ingress);
@@ -206,7 +206,7 @@
 /* Symptom: a caller is told that a request has not run, and it runs. Sequence: a write without an
  * answer is followed by one that is refused. Cause: the refusal was taken for the fate of both. */
 static void
-test_refusals_are_true (void **state)
+test_refused_call_has_no_effect (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -256,7 +256,7 @@
  * what depends on the clock was asked for twice in one call, and the second answer was not looked
  * at. Each call is judged by one look. */
 static void
-test_configuration_lapses_within_a_call (void **state)
+test_configuration_expires_within_call (void **state)
 {
 	(void)state;
 	static const struct {
@@ -277,12 +277,12 @@
 	};
 	struct fixture fixture;
 	fixture_open (&fixture);
-	fixture.n_fresh = 1;
+	fixture.max_queries = 1;
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
-		fixture.n_asked = 0;
+		fixture.n_queries = 0;
 		call (&fixture, cases[i].method, cases[i].path, cases[i].key, cases[i].body);
 		assert_int_equal (fixture.status, cases[i].status);
-		assert_int_equal (fixture.n_asked, 1);
+		assert_int_equal (fixture.n_queries, 1);
 	}
 	fixture_close (&fixture);
 }
@@ -292,8 +292,8 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test (test_calls),
-		cmocka_unit_test (test_refusals_are_true),
-		cmocka_unit_test (test_configuration_lapses_within_a_call),
+		cmocka_unit_test (test_refused_call_has_no_effect),
+		cmocka_unit_test (test_configuration_expires_within_call),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
