--- a/front/intake.c
+++ b/front/intake.c
@@ -275,12 +275,12 @@
 {
 	struct dff_intake *intake = ctx;
 	fail_unservable_entries (intake);
-	bool store_slow = intake->options.record != NULL && store_is_slow (intake);
-	if (store_slow)
+	bool prefer_record = intake->options.record != NULL && store_is_slow (intake);
+	if (prefer_record)
 		record_waiting_entries (intake);
 	if (intake->in_flight != NULL || intake->waiting.length == 0)
 		return;
-	if (store_slow)
+	if (prefer_record)
 		dff_timer_start (intake->batch_timer, RETRY_DELAY_MS);
 	else
 		send_batch (intake);
--- a/include/fleet/evacuations.h
+++ b/include/fleet/evacuations.h
@@ -19,8 +19,8 @@
 
 struct dff_evacuations_options {
 	struct dff_metrics *metrics;
-	/** Called when the set has changed, and after the first snapshot. @data_centres is valid
-	 * during the call only. */
+	/** Called when the set has changed, and after each snapshot. @data_centres is valid during
+	 * the call only. */
 	void (*changed) (void *ctx, const struct dff_name *data_centres, size_t n_data_centres);
 	void *ctx;
 };
--- a/include/platform/decode.h
+++ b/include/platform/decode.h
@@ -6,34 +6,36 @@
 #include "rows/rows.h"
 #include "upstream/runner.h"
 
-/* The platform's bodies, decoded into the product's types. The names of their fields are the
- * platform's; comments in decode.c say where one misleads. */
+/* Decoders of the platform's message bodies and rows into the product's types. The field names are
+ * the platform's; comments in decode.c say where a name is misleading. */
 
-/** Returns: (transfer full) (nullable): the operator's configuration. */
+/** Returns: (transfer full) (nullable): the operators' configuration; NULL: @text is not a JSON
+ * object. */
 struct dff_fleet_config *dff_platform_read_config (struct dff_str text);
 
-/** Reads a worker's entry in the list. Returns: false when it is none. */
+/** Decodes a worker's entry in the list of workers. Returns: false when the entry names no usable
+ * worker. */
 bool dff_platform_read_upstream (const struct dff_row *row, struct dff_upstream *upstream);
 
-/** What a row of the operator's table asks for, besides the configuration. */
+/** What a row of the operators' table requests, apart from the configuration. */
 enum dff_platform_request {
-	/** It is none of these. */
+	/** No request of the kinds below. */
 	DFF_PLATFORM_REQUEST_OTHER,
-	/** A data centre is to be emptied: its workers get nothing new while the row is there. */
+	/** A data centre is to be evacuated: its workers get no new tasks while the row exists. */
 	DFF_PLATFORM_REQUEST_EVACUATION,
-	/** One of these, but it cannot be read. */
+	/** A request for an evacuation whose data centre cannot be decoded. */
 	DFF_PLATFORM_REQUEST_UNREADABLE,
 };
 
-/** Reads a row of the operator's table, also one that was removed. @data_centre: (out): which is to
- * be emptied. */
+/** Decodes a row of the operators' table, which may also be a removed one. @data_centre: (out): the
+ * data centre to be evacuated. */
 enum dff_platform_request dff_platform_read_evacuation (const struct dff_row *row,
 							struct dff_name *data_centre);
 
 /**
  * dff_platform_read_job:
  * @text: body of a submission
- * @fault: (out): what is wrong with it, in words; static
+ * @fault: (out): message that says why @text is not valid; static
  *
  * Returns: (transfer full) (nullable): the plan, without id, team and class.
  */
--- a/include/platform/http_rows.h
+++ b/include/platform/http_rows.h
@@ -5,13 +5,13 @@
 #include "common/http_client.h"
 #include "rows/rows.h"
 
-/* The platform's store as struct dff_rows, over HTTP/1.1 and JSON. */
+/* Implements struct dff_rows by the platform's store, over HTTP/1.1 and JSON. */
 
 struct dff_http_rows;
 
 /**
  * dff_http_rows_new:
- * @client: borrowed; used for nothing that may fill its connections to @address
+ * @client: borrowed; must not be used for calls that may occupy all its connections to @address
  * @address: "IP:PORT" of the store
  *
  * Returns: (transfer full): the client.
@@ -23,7 +23,7 @@
 
 DFF_DEFINE_CLEANUP (dff_http_rows, dff_http_rows_free);
 
-/** Returns: (transfer none): the store, valid as long as @rows. */
+/** Returns: (transfer none): the interface, valid as long as @rows. */
 const struct dff_rows *dff_http_rows_interface (struct dff_http_rows *rows);
 
 #endif
--- a/include/platform/http_runner.h
+++ b/include/platform/http_runner.h
@@ -5,11 +5,11 @@
 #include "common/http_client.h"
 #include "upstream/runner.h"
 
-/* The platform's workers as struct dff_runner, over HTTP/1.1 and JSON. */
+/* Implements struct dff_runner by the platform's workers, over HTTP/1.1 and JSON. */
 
 struct dff_http_runner;
 
-/** Returns: (transfer full): a runner over @client, which is borrowed. */
+/** Returns: (transfer full): a runner that uses @client, which is borrowed. */
 struct dff_http_runner *dff_http_runner_new (struct dff_http_client *client);
 
 void dff_http_runner_free (struct dff_http_runner *runner);
--- a/include/platform/incarnation.h
+++ b/include/platform/incarnation.h
@@ -6,11 +6,12 @@
 
 #include "upstream/incarnation.h"
 
-/** dff_platform_read_started_ms:
- * @object: (nullable): what a worker says of itself, or its answer
+/**
+ * dff_platform_read_started_ms:
+ * @object: (nullable): a worker's entry in the list of workers, or an answer of the worker
  *
- * Returns: when the life that says so started, ms since 1970, DFF_START_UNREPORTED or
- * DFF_START_UNREADABLE.
+ * Returns: start of the worker's incarnation, ms since 1970; DFF_START_UNREPORTED: the object has
+ * no start; DFF_START_UNREADABLE: its value is not valid.
  */
 int64_t dff_platform_read_started_ms (const json_t *object);
 
--- a/include/platform/ingress.h
+++ b/include/platform/ingress.h
@@ -9,7 +9,8 @@
 #include "fleet/config.h"
 #include "front/front.h"
 
-/* The platform's callers: its paths, headers and status codes, turned into calls of the front. */
+/* HTTP server for the platform's callers: maps the platform's paths, headers and status codes to
+ * calls of the front. */
 
 struct dff_ingress;
 
@@ -18,7 +19,8 @@
 	const struct dff_clock *clock;
 	struct dff_front *front;
 	struct dff_metrics *metrics;
-	/** Returns: (nullable): the configuration in force; NULL where none is known to be. */
+	/** Returns: (nullable): the configuration in force; NULL: none is known, or the known one
+	 * is stale. */
 	const struct dff_fleet_config *(*config) (void *ctx);
 	void *ctx;
 };
@@ -29,10 +31,10 @@
 
 DFF_DEFINE_CLEANUP (dff_ingress, dff_ingress_free);
 
-/** Returns: how many calls wait for an answer. */
+/** Returns: number of calls that have not been answered. */
 int32_t dff_ingress_n_open (const struct dff_ingress *ingress);
 
-/** Answers everything that @http is asked. */
+/** Answers all requests that arrive on @http. */
 void dff_ingress_serve (struct dff_ingress *ingress, struct evhttp *http);
 
 #endif
--- a/tests/platform/test-decode.c
+++ b/tests/platform/test-decode.c
@@ -8,7 +8,7 @@
 #include "graph/progress.h"
 #include "platform/decode.h"
 
-/* The platform's bodies as its pages show them. */
+/* Decodes message bodies and rows as the platform's documentation shows them. */
 
 static const char config_text[] =
 	"{\"version\":7,\"routes\":[{\"name\":\"r-3a\",\"host\":\"nony24.example\",\"path_prefix\":"
@@ -23,7 +23,7 @@
 	"\"tenants\":[{\"name\":\"kaje80\",\"api_keys\":[\"d4a3\",\"3hh2\"],\"priority\":1,"
 	"\"guaranteed\":{\"gpu\":72}}]}";
 
-/** An entry of the list of workers. */
+/** A row of the list of workers. */
 #define UPSTREAM(state, address, capacity)                                                         \
 	"{\"service\":\"s\",\"address\":" address ",\"state\":" state ",\"capacity\":" capacity    \
 	",\"labels\":[\"a\",\"r1-3\"]}"
@@ -100,7 +100,7 @@
 		assert_string_equal (upstream.address.data, "10.128.0.9:8080");
 		assert_string_equal (upstream.rack.data, "r1-3");
 		assert_string_equal (upstream.labels[0].data, "a");
-		/* Rounded down: what a worker does not have whole is not given away. */
+		/* Rounded down: a fraction of a core or GiB cannot be allocated. */
 		assert_int_equal (upstream.capacity.cores, 16);
 		assert_int_equal (upstream.capacity.memory_gb, 32);
 		assert_int_equal (upstream.capacity.accelerators, 8);
@@ -110,9 +110,9 @@
 	}
 }
 
-/* Symptom: work goes to a worker that is not there, or is not meant to run any. Sequence: another
- * program, or a newer version of one, writes an entry with a state or fields that are not known
- * here. Cause: what was not understood was taken for its default. */
+/* Guards against sending tasks to an address that is no usable worker: another program, or a newer
+ * version of one, writes an entry with an unknown state or unknown fields, and defaults are assumed
+ * for what cannot be decoded. */
 static void
 test_invalid_upstream_entries (void **state)
 {
@@ -166,7 +166,7 @@
 	}
 }
 
-/** A body of each kind, as the platform has it. */
+/** A valid body of each kind. */
 static const char *const valid_bodies[] = {
 	UPSTREAM ("\"draining\",\"remaining_ms\":1800",
 		  "\"10.1.0.9:80\"",
@@ -179,7 +179,7 @@
 	"\"repeat_count\":3,\"first_ms\":1790000000000,\"interval_ms\":2000}",
 };
 
-/* What a fuzzed plan may hold: nothing by which the sums of the core would leave their bounds. */
+/* Checks that an accepted plan holds no amounts for which the sums in the core could overflow. */
 static void
 check_plan (const struct dff_plan *plan)
 {
@@ -205,7 +205,7 @@
 	if (plan == NULL)
 		return;
 	check_plan (plan);
-	/* What was accepted is written and read again by every process that follows. */
+	/* Every process that ingests the job decodes the stored plan again. */
 	plan->id = dff_name_from ("job");
 	g_autoptr (GString) encoded = dff_plan_encode (plan);
 	DFF_AUTO (dff_plan)
@@ -214,8 +214,8 @@
 	DFF_AUTO (dff_progress) progress = dff_progress_decode (decoded, text);
 }
 
-/* In place of a value: other types, huge and negative numbers, deep nesting, a name with NUL, the
- * same key twice. */
+/* Replacements for a value: other types, huge and negative numbers, deep nesting, a name with NUL,
+ * a duplicate key. */
 static const char *const replacements[] = {
 	"null",
 	"true",
@@ -234,8 +234,8 @@
 	"2147483648",
 };
 
-/* Symptom: a process ends, or takes in what cannot be. Sequence: bodies that are cut short, have
- * bytes changed, or values of other types and sizes. Seeded. */
+/* Guards against a crash, or the acceptance of invalid amounts, on bodies that are truncated, have
+ * changed bytes, or have values of other types and sizes. Seeded. */
 static void
 test_fuzzed_bodies (void **state)
 {
@@ -283,7 +283,7 @@
 	assert_int_equal (first->per_task.cores, 1);
 	assert_string_equal (first->data_rack.data, "r1-3");
 	const struct dff_step *second = dff_plan_step (plan, 1);
-	/* Rounded up: a task gets no less than it asks for. */
+	/* Rounded up: a task gets no less than it requests. */
 	assert_int_equal (second->per_task.cores, 3);
 	assert_int_equal (second->per_task.memory_gb, 2);
 	assert_int_equal (second->per_task.accelerators, 2);
@@ -314,7 +314,7 @@
 test_evacuations (void **state)
 {
 	(void)state;
-	/* Longer than any name. */
+	/* Longer than DFF_NAME_MAX. */
 	g_autofree char *too_long = g_strnfill (300, 'x');
 	g_autofree char *too_long_key = g_strconcat ("evacuate/", too_long, NULL);
 	const struct {
@@ -324,7 +324,7 @@
 		const char *data_centre;
 	} cases[] = {
 		{"evacuate/zvolen-hala", "{}", DFF_PLATFORM_REQUEST_EVACUATION, "zvolen-hala"},
-		/* Whatever it says, and also when it has gone. */
+		/* The value does not matter; a removed row has none. */
 		{"evacuate/a", "{\"wave\":1}", DFF_PLATFORM_REQUEST_EVACUATION, "a"},
 		{"evacuate/a", "\xff", DFF_PLATFORM_REQUEST_EVACUATION, "a"},
 		{"evacuate/a", "", DFF_PLATFORM_REQUEST_EVACUATION, "a"},
--- a/tests/platform/test-http.c
+++ b/tests/platform/test-http.c
@@ -14,8 +14,8 @@
 #include "platform/http_rows.h"
 #include "platform/http_runner.h"
 
-/* What goes over the wire to the store and the workers, and what their answers are taken for: a
- * small server on loopback keeps each request and gives the answer that the case names. */
+/* Tests the requests that are sent to the store and the workers, and the mapping of their answers:
+ * a small server on loopback keeps each request and sends the answer of the case. */
 
 struct server {
 	struct event_base *base;
@@ -28,7 +28,7 @@
 	char *expected_incarnation;
 	int status;
 	const char *body;
-	/** Closes the connection in place of an answer. */
+	/** Whether the connection is closed instead of an answer. */
 	bool drops;
 };
 
@@ -336,7 +336,7 @@
 	server_close (&server);
 }
 
-/* Guards against a start that cannot be read being taken for one that is told. */
+/* Guards against taking a start time that cannot be decoded for a reported one. */
 static void
 test_incarnation_start (void **state)
 {
--- a/tests/platform/test-ingress.c
+++ b/tests/platform/test-ingress.c
@@ -14,7 +14,8 @@
 #include "platform/ingress.h"
 #include "standin/memory_rows.h"
 
-/* What callers are told: each case is one call over loopback, answered from a store in memory. */
+/* Tests the answers to callers: each case is one call over loopback, served from an in-memory
+ * store. */
 
 #define CONFIG                                                                                     \
 	"{\"version\":7,\"routes\":[{\"name\":\"r-a\",\"host\":\"127.0.0.1\",\"path_prefix\":\"/"  \
@@ -40,7 +41,7 @@
 	struct dff_name address;
 	struct dff_http_client *client;
 	struct dff_fleet_config *config;
-	/** After being asked for so often in one call, the configuration is out of date. */
+	/** Number of queries per call after which the configuration is out of date. */
 	int32_t max_queries;
 	int32_t n_queries;
 	bool silent;
@@ -155,7 +156,7 @@
 					   .timeout_ms = 60000};
 	fixture->answered = false;
 	dff_http_client_send (fixture->client, &request, handle_answer, fixture);
-	/* The sockets go by the machine, everything that waits by the virtual clock. */
+	/* Sockets run in real time, all timers by the virtual clock. */
 	while (!fixture->answered) {
 		event_base_loop (fixture->base, EVLOOP_NONBLOCK);
 		dff_virtual_loop_run (fixture->loop, 1);
@@ -203,8 +204,8 @@
 	fixture_close (&fixture);
 }
 
-/* Symptom: a caller is told that a request has not run, and it runs. Sequence: a write without an
- * answer is followed by one that is refused. Cause: the refusal was taken for the fate of both. */
+/* Guards against telling a caller that a call had no effect although its job runs: a write without
+ * an answer is followed by a refused one, and the refusal is taken for the result of both. */
 static void
 test_refused_call_has_no_effect (void **state)
 {
@@ -234,7 +235,8 @@
 	fixture.silent = false;
 	*faults = (struct dff_memory_rows_faults){.lost_permille = 1000};
 	call (&fixture, EVHTTP_REQ_POST, "/q/" ID, "key", JOB);
-	/* Written, but nothing says so: neither accepted nor refused. */
+	/* The row is written but the answer is lost: the result must be neither accepted nor
+	 * refused. */
 	assert_int_equal (fixture.status, 504);
 	assert_int_equal (dff_memory_rows_count (fixture.rows, DFF_TABLE_JOBS), 1);
 	faults->lost_permille = 0;
@@ -250,11 +252,10 @@
 	fixture_close (&fixture);
 }
 
-/* Symptom: a process ends by itself and breaks off every call that it holds. Sequence: it has not
- * heard from the store for as long as its configuration may be used; a call is found to be allowed,
- * and the bound passes before the log line about it asks for the configuration's version. Cause:
- * what depends on the clock was asked for twice in one call, and the second answer was not looked
- * at. Each call is judged by one look. */
+/* Guards against a crash that drops all open calls: the store has not answered for as long as the
+ * configuration may be used, and the configuration becomes stale between the admission of a call
+ * and its log line. A second query of the configuration then returns NULL. Each call must query the
+ * configuration exactly once. */
 static void
 test_configuration_expires_within_call (void **state)
 {
