--- a/fleet/fleet.c
+++ b/fleet/fleet.c
@@ -179,9 +179,9 @@
 	return dff_http_client_new (&options);
 }
 
-/* Polls the operator state as soon as the store answers again. The poll in progress was sent before
- * the store's return and would be waited for until its timeout: for up to a second callers would
- * still be refused, as no current configuration is known. */
+/* Polls the operator state as soon as the store answers again. A poll that was sent just before the
+ * store's return is not answered and would be waited for until its timeout: for up to a second
+ * more, callers would be refused because no current configuration is known. */
 static void
 handle_store_recovered (void *ctx)
 {
--- a/fleet/operator_state.c
+++ b/fleet/operator_state.c
@@ -18,8 +18,8 @@
 #define WAIT_DIVISOR 4
 /** Time beyond the wait after which the store counts as not answering, ms. */
 #define TIMEOUT_MARGIN_MS 1000
-/** Age beyond two waits from which the state is stale and must not be used, ms: a credential may
- * have been revoked or a class removed. FRESH_MS: the same for the state not being fresh any more.
+/** Age of the state beyond two waits, ms. From STALE_MS on the state is stale and must not be used:
+ * a credential may have been revoked or a class removed. From FRESH_MS on the process is not ready.
  */
 #define STALE_MS 2000
 #define FRESH_MS 1500
--- a/front/intake.c
+++ b/front/intake.c
@@ -160,8 +160,8 @@
 			g_queue_push_head (&intake->waiting, entry);
 		}
 	}
-	bool decided = result->outcome == DFF_ROWS_DONE || result->outcome == DFF_ROWS_CONFLICT;
-	dff_timer_start (intake->batch_timer, decided ? 0 : RETRY_DELAY_MS);
+	bool conclusive = result->outcome == DFF_ROWS_DONE || result->outcome == DFF_ROWS_CONFLICT;
+	dff_timer_start (intake->batch_timer, conclusive ? 0 : RETRY_DELAY_MS);
 }
 
 static void
