--- a/tests/platform/test-decode.c
+++ b/tests/platform/test-decode.c
@@ -8,7 +8,7 @@
 #include "graph/progress.h"
 #include "platform/decode.h"
 
-/* The platform's bodies as its pages show them. */
+/* Decodes message bodies and rows as the platform's documentation shows them. */
 
 static const char config_text[] =
 	"{\"version\":7,\"routes\":[{\"name\":\"r-3a\",\"host\":\"nony24.example\",\"path_prefix\":"
@@ -23,7 +23,7 @@
 	"\"tenants\":[{\"name\":\"kaje80\",\"api_keys\":[\"d4a3\",\"3hh2\"],\"priority\":1,"
 	"\"guaranteed\":{\"gpu\":72}}]}";
 
-/** An entry of the list of workers. */
+/** A row of the list of workers. */
 #define UPSTREAM(state, address, capacity)                                                         \
 	"{\"service\":\"s\",\"address\":" address ",\"state\":" state ",\"capacity\":" capacity    \
 	",\"labels\":[\"a\",\"r1-3\"]}"
@@ -79,7 +79,7 @@
 		const char *state;
 		bool leaving;
 		int64_t remaining_ms;
-		int64_t born_ms;
+		int64_t started_ms;
 	} cases[] = {
 		{"\"ready\"", false, -1, DFF_START_UNREPORTED},
 		{"\"draining\",\"remaining_ms\":1800", true, 1800, DFF_START_UNREPORTED},
@@ -100,27 +100,27 @@
 		assert_string_equal (upstream.address.data, "10.128.0.9:8080");
 		assert_string_equal (upstream.rack.data, "r1-3");
 		assert_string_equal (upstream.labels[0].data, "a");
-		/* Rounded down: what a worker does not have whole is not given away. */
+		/* Rounded down: a fraction of a core or GiB cannot be allocated. */
 		assert_int_equal (upstream.capacity.cores, 16);
 		assert_int_equal (upstream.capacity.memory_gb, 32);
 		assert_int_equal (upstream.capacity.accelerators, 8);
 		assert_int_equal (upstream.leaving, cases[i].leaving);
 		assert_int_equal (upstream.remaining_ms, cases[i].remaining_ms);
-		assert_int_equal (upstream.incarnation.started_ms, cases[i].born_ms);
+		assert_int_equal (upstream.incarnation.started_ms, cases[i].started_ms);
 	}
 }
 
-/* Symptom: work goes to a worker that is not there, or is not meant to run any. Sequence: another
- * program, or a newer version of one, writes an entry with a state or fields that are not known
- * here. Cause: what was not understood was taken for its default. */
+/* Guards against sending tasks to an address that is no usable worker: another program, or a newer
+ * version of one, writes an entry with an unknown state or unknown fields, and defaults are assumed
+ * for what cannot be decoded. */
 static void
-test_upstream_of_another_writer (void **state)
+test_invalid_upstream_entries (void **state)
 {
 	(void)state;
 	static const struct {
 		const char *key;
 		const char *value;
-		bool used;
+		bool accepted;
 	} cases[] = {
 		{"i-1",
 		 UPSTREAM ("\"ready\"", "\"10.1.0.9:80\"", "{\"cpu\":1,\"mem_mb\":1,\"gpu\":1}"),
@@ -162,12 +162,12 @@
 		struct dff_row row = {.key = dff_str_from (cases[i].key),
 				      .value = dff_str_from (cases[i].value)};
 		struct dff_upstream upstream;
-		assert_int_equal (dff_platform_read_upstream (&row, &upstream), cases[i].used);
+		assert_int_equal (dff_platform_read_upstream (&row, &upstream), cases[i].accepted);
 	}
 }
 
-/** A body of each kind, as the platform has it. */
-static const char *const sound_bodies[] = {
+/** A valid body of each kind. */
+static const char *const valid_bodies[] = {
 	UPSTREAM ("\"draining\",\"remaining_ms\":1800",
 		  "\"10.1.0.9:80\"",
 		  "{\"cpu\":16900,\"mem_mb\":32768,\"gpu\":8}"),
@@ -179,7 +179,7 @@
 	"\"repeat_count\":3,\"first_ms\":1790000000000,\"interval_ms\":2000}",
 };
 
-/* What a fuzzed plan may hold: nothing by which the sums of the core would leave their bounds. */
+/* Checks that an accepted plan holds no amounts for which the sums in the core could overflow. */
 static void
 check_plan (const struct dff_plan *plan)
 {
@@ -205,16 +205,17 @@
 	if (plan == NULL)
 		return;
 	check_plan (plan);
-	/* What was accepted is written and read again by every process that follows. */
+	/* Every process that ingests the job decodes the stored plan again. */
 	plan->id = dff_name_from ("job");
 	g_autoptr (GString) encoded = dff_plan_encode (plan);
-	DFF_AUTO (dff_plan) again = dff_plan_decode ((struct dff_str){encoded->str, encoded->len});
-	assert_non_null (again);
-	DFF_AUTO (dff_progress) progress = dff_progress_decode (again, text);
+	DFF_AUTO (dff_plan)
+	decoded = dff_plan_decode ((struct dff_str){encoded->str, encoded->len});
+	assert_non_null (decoded);
+	DFF_AUTO (dff_progress) progress = dff_progress_decode (decoded, text);
 }
 
-/* In place of a value: other types, huge and negative numbers, deep nesting, a name with NUL, the
- * same key twice. */
+/* Replacements for a value: other types, huge and negative numbers, deep nesting, a name with NUL,
+ * a duplicate key. */
 static const char *const replacements[] = {
 	"null",
 	"true",
@@ -233,16 +234,16 @@
 	"2147483648",
 };
 
-/* Symptom: a process ends, or takes in what cannot be. Sequence: bodies that are cut short, have
- * bytes changed, or values of other types and sizes. Seeded. */
+/* Guards against a crash, or the acceptance of invalid amounts, on bodies that are truncated, have
+ * changed bytes, or have values of other types and sizes. Seeded. */
 static void
 test_fuzzed_bodies (void **state)
 {
 	(void)state;
 	g_autoptr (GRand) rand = g_rand_new_with_seed (20261203);
 	for (int i = 0; i < 6000; i++) {
-		const char *sound = sound_bodies[i % (int)G_N_ELEMENTS (sound_bodies)];
-		g_autoptr (GString) body = g_string_new (sound);
+		const char *valid = valid_bodies[i % (int)G_N_ELEMENTS (valid_bodies)];
+		g_autoptr (GString) body = g_string_new (valid);
 		int kind = g_rand_int_range (rand, 0, 3);
 		guint at = (guint)g_rand_int_range (rand, 0, (gint32)body->len);
 		if (kind == 0)
@@ -282,7 +283,7 @@
 	assert_int_equal (first->per_task.cores, 1);
 	assert_string_equal (first->data_rack.data, "r1-3");
 	const struct dff_step *second = dff_plan_step (plan, 1);
-	/* Rounded up: a task gets no less than it asks for. */
+	/* Rounded up: a task gets no less than it requests. */
 	assert_int_equal (second->per_task.cores, 3);
 	assert_int_equal (second->per_task.memory_gb, 2);
 	assert_int_equal (second->per_task.accelerators, 2);
@@ -313,9 +314,9 @@
 test_evacuations (void **state)
 {
 	(void)state;
-	/* Longer than any name. */
-	g_autofree char *endless = g_strnfill (300, 'x');
-	g_autofree char *endless_key = g_strconcat ("evacuate/", endless, NULL);
+	/* Longer than DFF_NAME_MAX. */
+	g_autofree char *too_long = g_strnfill (300, 'x');
+	g_autofree char *too_long_key = g_strconcat ("evacuate/", too_long, NULL);
 	const struct {
 		const char *key;
 		const char *value;
@@ -323,12 +324,12 @@
 		const char *data_centre;
 	} cases[] = {
 		{"evacuate/zvolen-hala", "{}", DFF_PLATFORM_REQUEST_EVACUATION, "zvolen-hala"},
-		/* Whatever it says, and also when it has gone. */
+		/* The value does not matter; a removed row has none. */
 		{"evacuate/a", "{\"wave\":1}", DFF_PLATFORM_REQUEST_EVACUATION, "a"},
 		{"evacuate/a", "\xff", DFF_PLATFORM_REQUEST_EVACUATION, "a"},
 		{"evacuate/a", "", DFF_PLATFORM_REQUEST_EVACUATION, "a"},
 		{"evacuate/", "{}", DFF_PLATFORM_REQUEST_UNREADABLE, NULL},
-		{endless_key, "{}", DFF_PLATFORM_REQUEST_UNREADABLE, NULL},
+		{too_long_key, "{}", DFF_PLATFORM_REQUEST_UNREADABLE, NULL},
 		{"evacuate", "{}", DFF_PLATFORM_REQUEST_OTHER, NULL},
 		{"config", "{}", DFF_PLATFORM_REQUEST_OTHER, NULL},
 		{"wave/1", "{}", DFF_PLATFORM_REQUEST_OTHER, NULL},
@@ -351,7 +352,7 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test (test_config),
 		cmocka_unit_test (test_upstream),
-		cmocka_unit_test (test_upstream_of_another_writer),
+		cmocka_unit_test (test_invalid_upstream_entries),
 		cmocka_unit_test (test_fuzzed_bodies),
 		cmocka_unit_test (test_job),
 		cmocka_unit_test (test_evacuations),
--- a/tests/platform/test-ingress.c
+++ b/tests/platform/test-ingress.c
@@ -14,7 +14,8 @@
 #include "platform/ingress.h"
 #include "standin/memory_rows.h"
 
-/* What callers are told: each case is one call over loopback, answered from a store in memory. */
+/* Tests the answers to callers: each case is one call over loopback, served from an in-memory
+ * store. */
 
 #define CONFIG                                                                                     \
 	"{\"version\":7,\"routes\":[{\"name\":\"r-a\",\"host\":\"127.0.0.1\",\"path_prefix\":\"/"  \
@@ -40,9 +41,9 @@
 	struct dff_name address;
 	struct dff_http_client *client;
 	struct dff_fleet_config *config;
-	/** After being asked for so often in one call, the configuration is out of date. */
-	int32_t n_fresh;
-	int32_t n_asked;
+	/** Number of queries per call after which the configuration is out of date. */
+	int32_t max_queries;
+	int32_t n_queries;
 	bool silent;
 	bool answered;
 	int status;
@@ -51,11 +52,11 @@
 };
 
 static const struct dff_fleet_config *
-config_in_force (void *ctx)
+current_config (void *ctx)
 {
 	struct fixture *fixture = ctx;
-	fixture->n_asked++;
-	return fixture->n_asked <= fixture->n_fresh ? fixture->config : NULL;
+	fixture->n_queries++;
+	return fixture->n_queries <= fixture->max_queries ? fixture->config : NULL;
 }
 
 static bool
@@ -70,7 +71,7 @@
 	*fixture = (struct fixture){.base = dff_event_base_new (),
 				    .loop = dff_virtual_loop_new (1000),
 				    .metrics = dff_metrics_new (),
-				    .n_fresh = INT32_MAX,
+				    .max_queries = INT32_MAX,
 				    .body = g_string_new (NULL)};
 	fixture->rows = dff_memory_rows_new (fixture->loop);
 	fixture->store = dff_memory_rows_client_new (fixture->rows);
@@ -87,7 +88,7 @@
 		.clock = dff_virtual_loop_clock (fixture->loop),
 		.front = fixture->front,
 		.metrics = fixture->metrics,
-		.config = config_in_force,
+		.config = current_config,
 		.ctx = fixture,
 	};
 	fixture->ingress = dff_ingress_new (&ingress);
@@ -155,7 +156,7 @@
 					   .timeout_ms = 60000};
 	fixture->answered = false;
 	dff_http_client_send (fixture->client, &request, handle_answer, fixture);
-	/* The sockets go by the machine, everything that waits by the virtual clock. */
+	/* Sockets run in real time, all timers by the virtual clock. */
 	while (!fixture->answered) {
 		event_base_loop (fixture->base, EVLOOP_NONBLOCK);
 		dff_virtual_loop_run (fixture->loop, 1);
@@ -203,10 +204,10 @@
 	fixture_close (&fixture);
 }
 
-/* Symptom: a caller is told that a request has not run, and it runs. Sequence: a write without an
- * answer is followed by one that is refused. Cause: the refusal was taken for the fate of both. */
+/* Guards against telling a caller that a call had no effect although its job runs: a write without
+ * an answer is followed by a refused one, and the refusal is taken for the result of both. */
 static void
-test_refusals_are_true (void **state)
+test_refused_call_has_no_effect (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -234,7 +235,8 @@
 	fixture.silent = false;
 	*faults = (struct dff_memory_rows_faults){.lost_permille = 1000};
 	call (&fixture, EVHTTP_REQ_POST, "/q/" ID, "key", JOB);
-	/* Written, but nothing says so: neither accepted nor refused. */
+	/* The row is written but the answer is lost: the result must be neither accepted nor
+	 * refused. */
 	assert_int_equal (fixture.status, 504);
 	assert_int_equal (dff_memory_rows_count (fixture.rows, DFF_TABLE_JOBS), 1);
 	faults->lost_permille = 0;
@@ -250,13 +252,12 @@
 	fixture_close (&fixture);
 }
 
-/* Symptom: a process ends by itself and breaks off every call that it holds. Sequence: it has not
- * heard from the store for as long as its configuration may be used; a call is found to be allowed,
- * and the bound passes before the log line about it asks for the configuration's version. Cause:
- * what depends on the clock was asked for twice in one call, and the second answer was not looked
- * at. Each call is judged by one look. */
+/* Guards against a crash that drops all open calls: the store has not answered for as long as the
+ * configuration may be used, and the configuration becomes stale between the admission of a call
+ * and its log line. A second query of the configuration then returns NULL. Each call must query the
+ * configuration exactly once. */
 static void
-test_configuration_lapses_within_a_call (void **state)
+test_configuration_expires_within_call (void **state)
 {
 	(void)state;
 	static const struct {
@@ -277,12 +278,12 @@
 	};
 	struct fixture fixture;
 	fixture_open (&fixture);
-	fixture.n_fresh = 1;
+	fixture.max_queries = 1;
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
-		fixture.n_asked = 0;
+		fixture.n_queries = 0;
 		call (&fixture, cases[i].method, cases[i].path, cases[i].key, cases[i].body);
 		assert_int_equal (fixture.status, cases[i].status);
-		assert_int_equal (fixture.n_asked, 1);
+		assert_int_equal (fixture.n_queries, 1);
 	}
 	fixture_close (&fixture);
 }
@@ -292,8 +293,8 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test (test_calls),
-		cmocka_unit_test (test_refusals_are_true),
-		cmocka_unit_test (test_configuration_lapses_within_a_call),
+		cmocka_unit_test (test_refused_call_has_no_effect),
+		cmocka_unit_test (test_configuration_expires_within_call),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
