--- a/entry/admission.c
+++ b/entry/admission.c
@@ -14,11 +14,11 @@
 #define BUSY_RETRY_S 5
 
 static bool
-refuse (struct dff_job_rejection *fault, int status, const char *code, char *detail)
+refuse (struct dff_job_rejection *rejection, int status, const char *code, char *detail)
 {
-	fault->status = status;
-	fault->code = code;
-	fault->detail = detail;
+	rejection->status = status;
+	rejection->code = code;
+	rejection->detail = detail;
 	return false;
 }
 
@@ -58,33 +58,34 @@
 bool
 dff_admission_check (struct dff_entry *entry,
 		     const struct dff_job_row *row,
-		     struct dff_job_rejection *fault)
+		     struct dff_job_rejection *rejection)
 {
 	const struct dff_job_spec *spec = &row->spec;
 	if (!dff_job_row_fits (row)) {
-		return refuse (fault, 413, "job_too_large",
+		return refuse (rejection, 413, "job_too_large",
 			       g_strdup_printf ("The job takes more than %d bytes in the store.",
 						DFF_JOB_ROW_MAX_BYTES));
 	}
 	const struct dff_service *service = dff_pool_find_service (entry->pool, &spec->service);
 	if (service == NULL) {
-		return refuse (fault, 422, "unknown_service",
+		return refuse (rejection, 422, "unknown_service",
 			       g_strdup_printf ("service: %s is not in the pool file",
 						spec->service.data));
 	}
 	if (!dff_admission_may_use (service, &spec->team)) {
-		return refuse (fault, 403, "service_not_allowed",
+		return refuse (rejection, 403, "service_not_allowed",
 			       g_strdup_printf ("service: %s is not open to team %s",
 						spec->service.data, spec->team.data));
 	}
 	struct dff_admission admission = dff_core_admit (entry->admission, spec);
 	if (admission.admitted)
 		return true;
-	return refuse (fault, 422, admission.reason, g_strdup (reason_detail (admission.reason)));
+	return refuse (rejection, 422, admission.reason,
+		       g_strdup (reason_detail (admission.reason)));
 }
 
 bool
-dff_admission_has_room (struct dff_call *call, int32_t n)
+dff_admission_check_queue (struct dff_call *call, int32_t n)
 {
 	struct dff_entry *entry = call->entry;
 	const struct dff_team *team = dff_pool_find_team (entry->pool, &call->principal.name);
@@ -111,18 +112,19 @@
 }
 
 void
-dff_reply_job_fault (struct dff_call *call, struct dff_job_rejection *fault)
+dff_reply_job_rejection (struct dff_call *call, struct dff_job_rejection *rejection)
 {
 	/* What depends on the pool in force may have been accepted under an earlier one. */
 	struct dff_problem problem = {
-		.status = fault->status,
-		.code = fault->code,
-		.outcome = fault->status == 400 ? DFF_OUTCOME_NOT_RUN : dff_refusal_outcome (call),
-		.detail = fault->detail,
+		.status = rejection->status,
+		.code = rejection->code,
+		.outcome =
+			rejection->status == 400 ? DFF_OUTCOME_NOT_RUN : dff_refusal_outcome (call),
+		.detail = rejection->detail,
 	};
 	(*call->entry->counters.refused_input)++;
 	dff_reply_problem (call, &problem);
-	dff_job_rejection_clear (fault);
+	dff_job_rejection_clear (rejection);
 }
 
 static bool
--- a/entry/admission.h
+++ b/entry/admission.h
@@ -10,16 +10,16 @@
 /** Whether @team may use @service. */
 bool dff_admission_may_use (const struct dff_service *service, const struct dff_name *team);
 
-/** Whether the pool in force lets @row's team submit it. @fault: (out): why not. */
+/** Whether the pool in force lets @row's team submit it. @rejection: (out): why not. */
 bool dff_admission_check (struct dff_entry *entry,
 			  const struct dff_job_row *row,
-			  struct dff_job_rejection *fault);
+			  struct dff_job_rejection *rejection);
 
 /** Whether the team may have @n more jobs; else the call is answered with 429 or 422. */
-bool dff_admission_has_room (struct dff_call *call, int32_t n);
+bool dff_admission_check_queue (struct dff_call *call, int32_t n);
 
-/** Answers a call whose submission has a fault, and clears the fault. */
-void dff_reply_job_fault (struct dff_call *call, struct dff_job_rejection *fault);
+/** Answers a call whose submission has a rejection, and clears the rejection. */
+void dff_reply_job_rejection (struct dff_call *call, struct dff_job_rejection *rejection);
 
 enum dff_key_state {
 	DFF_KEY_NONE,
--- a/entry/assembly.c
+++ b/entry/assembly.c
@@ -12,8 +12,8 @@
 	int64_t length;
 	/** Elements: struct dff_chunk, ordered by offset. */
 	GArray *chunks;
-	bool *taken;
-	size_t n_taken;
+	bool *received;
+	size_t n_received;
 	char *bytes;
 };
 
@@ -67,7 +67,7 @@
 }
 
 static void
-drop_repeated (GArray *chunks)
+remove_duplicates (GArray *chunks)
 {
 	for (guint i = 1; i < chunks->len;) {
 		const struct dff_chunk *previous = &g_array_index (chunks, struct dff_chunk, i - 1);
@@ -80,7 +80,7 @@
 }
 
 static bool
-covers_whole (const GArray *chunks, int64_t length)
+covers_length (const GArray *chunks, int64_t length)
 {
 	int64_t end = 0;
 	for (guint i = 0; i < chunks->len; i++) {
@@ -105,7 +105,7 @@
 		g_array_append_val (chunks, chunk);
 	}
 	g_array_sort (chunks, compare_offset);
-	drop_repeated (chunks);
+	remove_duplicates (chunks);
 	return true;
 }
 
@@ -120,7 +120,7 @@
 		return false;
 	return length == assembly->length && g_ascii_strcasecmp (digest, assembly->digest) == 0 &&
 	       json_is_array (list) && read_chunks (list, assembly->chunks) &&
-	       covers_whole (assembly->chunks, assembly->length);
+	       covers_length (assembly->chunks, assembly->length);
 }
 
 struct dff_assembly *
@@ -136,7 +136,7 @@
 	json_decref (json);
 	if (!valid)
 		return NULL;
-	assembly->taken = g_new0 (bool, assembly->chunks->len + 1);
+	assembly->received = g_new0 (bool, assembly->chunks->len + 1);
 	assembly->bytes = g_malloc ((gsize)length + 1);
 	return g_steal_pointer (&assembly);
 }
@@ -145,7 +145,7 @@
 dff_assembly_free (struct dff_assembly *assembly)
 {
 	g_array_unref (assembly->chunks);
-	g_free (assembly->taken);
+	g_free (assembly->received);
 	g_free (assembly->bytes);
 	g_free (assembly);
 }
@@ -166,20 +166,20 @@
 dff_assembly_add (struct dff_assembly *assembly, size_t index, struct dff_str data)
 {
 	const struct dff_chunk *chunk = dff_assembly_chunk (assembly, index);
-	if (assembly->taken[index])
+	if (assembly->received[index])
 		return DFF_CHUNK_DUPLICATE;
 	if ((int64_t)data.len != chunk->length || !digest_matches (data, chunk->digest))
 		return DFF_CHUNK_CORRUPT;
 	memcpy (assembly->bytes + chunk->offset, data.data, data.len);
-	assembly->taken[index] = true;
-	assembly->n_taken++;
+	assembly->received[index] = true;
+	assembly->n_received++;
 	return DFF_CHUNK_ACCEPTED;
 }
 
 bool
 dff_assembly_is_complete (const struct dff_assembly *assembly)
 {
-	return assembly->n_taken == assembly->chunks->len;
+	return assembly->n_received == assembly->chunks->len;
 }
 
 bool
--- a/entry/attempt.c
+++ b/entry/attempt.c
@@ -161,7 +161,7 @@
  * end by itself, and not longer: a caller who is held although nobody will ever answer repeats its
  * call until it gives up without an outcome. */
 static void
-wait_for_other (struct dff_request *request, const struct attempt_row *row)
+wait_for_other_process (struct dff_request *request, const struct attempt_row *row)
 {
 	int64_t now = now_ms (request);
 	struct dff_problem lost = {
@@ -192,7 +192,7 @@
 }
 
 static void
-use_row (struct dff_request *request, struct dff_str value)
+handle_existing_row (struct dff_request *request, struct dff_str value)
 {
 	struct attempt_row row = {.digest = NULL};
 	json_t *json = json_loadb (value.data, value.len, 0, NULL);
@@ -209,7 +209,7 @@
 	else if (row.ended)
 		answer_from_record (request, &row);
 	else
-		wait_for_other (request, &row);
+		wait_for_other_process (request, &row);
 	json_decref (json);
 }
 
@@ -228,7 +228,7 @@
 		return;
 	}
 	if (outcome == DFF_FETCH_FOUND)
-		use_row (request, value);
+		handle_existing_row (request, value);
 	else if (outcome == DFF_FETCH_MISSING && request->n_restarts++ < RESTARTS_MAX)
 		dff_attempt_begin (request);
 	else
@@ -332,7 +332,7 @@
 }
 
 static void
-store_later (struct dff_request *request)
+schedule_store_retry (struct dff_request *request)
 {
 	int64_t jitter_ms = g_rand_int_range (request->owner->entry->rng, 0, STORE_RETRY_MS);
 	dff_request_set_timer (request, now_ms (request) + STORE_RETRY_MS + jitter_ms,
@@ -346,9 +346,9 @@
 	struct dff_request *request = user;
 	bool settled = outcome == DFF_ENTRY_RECORD_DONE || outcome == DFF_ENTRY_RECORD_CONFLICT;
 	if (request->owner != NULL && (settled || request->owner->entry->closed))
-		dff_request_forget (request);
+		dff_request_remove (request);
 	else if (request->owner != NULL)
-		store_later (request);
+		schedule_store_retry (request);
 	dff_request_unref (request);
 }
 
@@ -392,7 +392,7 @@
 	if (request->answer_kept)
 		dff_request_store (request);
 	else
-		store_later (request);
+		schedule_store_retry (request);
 	dff_request_unref (request);
 }
 
@@ -415,7 +415,7 @@
 		return false;
 	if (request->revision > 0 && request->answer->outcome == DFF_OUTCOME_COMPLETED)
 		return true;
-	return request->lost_caller && request->idempotent;
+	return request->caller_disconnected && request->idempotent;
 }
 
 void
@@ -429,5 +429,5 @@
 	else if (!closed && request->revision > 0)
 		record_outcome (request);
 	else
-		dff_request_forget (request);
+		dff_request_remove (request);
 }
--- a/entry/auth.c
+++ b/entry/auth.c
@@ -111,7 +111,7 @@
 }
 
 bool
-dff_auth_sees_team (const struct dff_call *call, const struct dff_name *team)
+dff_auth_may_see_team (const struct dff_call *call, const struct dff_name *team)
 {
 	return call->principal.is_operator || dff_name_equal (&call->principal.name, team);
 }
--- a/entry/auth.h
+++ b/entry/auth.h
@@ -28,6 +28,6 @@
 bool dff_auth_check (struct dff_call *call, enum dff_audience audience);
 
 /** Whether the caller may see what belongs to @team. */
-bool dff_auth_sees_team (const struct dff_call *call, const struct dff_name *team);
+bool dff_auth_may_see_team (const struct dff_call *call, const struct dff_name *team);
 
 #endif
--- a/entry/batch_read.c
+++ b/entry/batch_read.c
@@ -2,7 +2,7 @@
 
 #include "cell/job_row.h"
 #include "entry/batch.h"
-#include "entry/cancel_wave.h"
+#include "entry/bulk_cancel.h"
 #include "entry/entry_private.h"
 #include "entry/job_fetch.h"
 #include "entry/job_json.h"
@@ -12,8 +12,8 @@
 /** Rows read at once. */
 #define PAGE_ROWS 500
 
-/** A job's place in the count; outcomes have their own values. */
-enum tally_place {
+/** A job's category in the count; outcomes have their own values. */
+enum tally_category {
 	DFF_TALLY_ABSENT = 0,
 	DFF_TALLY_COMPLETED = DFF_OUTCOME_COMPLETED,
 	DFF_TALLY_FAILED = DFF_OUTCOME_FAILED,
@@ -22,7 +22,7 @@
 	DFF_TALLY_UNKNOWN = DFF_OUTCOME_UNKNOWN,
 	DFF_TALLY_RUNNING,
 	DFF_TALLY_QUEUED,
-	DFF_TALLY_N_PLACES,
+	DFF_TALLY_N_CATEGORIES,
 };
 
 struct tally {
@@ -30,9 +30,9 @@
 	GString *prefix;
 	int32_t manifest;
 	int64_t after;
-	/** One enum tally_place a job: a row that changes while the pages are read comes again, and
-	 * counts once. */
-	uint8_t *places;
+	/** One enum tally_category a job: a row that changes while the pages are read comes again,
+	 * and counts once. */
+	uint8_t *categories;
 };
 
 static void read_page (struct tally *tally);
@@ -41,16 +41,16 @@
 tally_free (struct tally *tally)
 {
 	g_string_free (tally->prefix, TRUE);
-	g_free (tally->places);
+	g_free (tally->categories);
 	dff_call_unref (tally->call);
 	g_free (tally);
 }
 
-static enum tally_place
-place_of (const struct dff_job_row *row)
+static enum tally_category
+category_of (const struct dff_job_row *row)
 {
 	if (row->state == DFF_JOB_ROW_ENDED)
-		return (enum tally_place)row->outcome;
+		return (enum tally_category)row->outcome;
 	return row->state == DFF_JOB_ROW_OPEN ? DFF_TALLY_RUNNING : DFF_TALLY_QUEUED;
 }
 
@@ -65,28 +65,28 @@
 	if (dot == NULL ||
 	    !g_ascii_string_to_unsigned (dot + 1, 10, 0, tally->manifest - 1, &index, NULL))
 		return;
-	tally->places[index] = place_of (row);
+	tally->categories[index] = category_of (row);
 }
 
 static void
 reply_tally (struct tally *tally)
 {
-	static const char *const names[DFF_TALLY_N_PLACES] = {
+	static const char *const names[DFF_TALLY_N_CATEGORIES] = {
 		[DFF_TALLY_COMPLETED] = "completed", [DFF_TALLY_FAILED] = "failed",
 		[DFF_TALLY_CANCELLED] = "cancelled", [DFF_TALLY_NOT_RUN] = "not_run",
 		[DFF_TALLY_UNKNOWN] = "unknown",     [DFF_TALLY_RUNNING] = "running",
 		[DFF_TALLY_QUEUED] = "queued",
 	};
-	int32_t counts[DFF_TALLY_N_PLACES] = {0};
+	int32_t counts[DFF_TALLY_N_CATEGORIES] = {0};
 	for (int32_t i = 0; i < tally->manifest; i++)
-		counts[tally->places[i]]++;
+		counts[tally->categories[i]]++;
 	int32_t accepted = tally->manifest - counts[DFF_TALLY_ABSENT];
 	json_t *json = json_object ();
 	json_object_set_new (json, "batch", json_string (tally->call->subject.data));
 	json_object_set_new (json, "manifest", json_integer (tally->manifest));
 	json_object_set_new (json, "accepted", json_integer (accepted));
-	for (int place = DFF_TALLY_ABSENT + 1; place < DFF_TALLY_N_PLACES; place++)
-		json_object_set_new (json, names[place], json_integer (counts[place]));
+	for (int category = DFF_TALLY_ABSENT + 1; category < DFF_TALLY_N_CATEGORIES; category++)
+		json_object_set_new (json, names[category], json_integer (counts[category]));
 	dff_reply_json (tally->call, 200, json);
 }
 
@@ -124,7 +124,7 @@
 	tally->call = dff_call_ref (call);
 	tally->prefix = dff_batch_job_prefix (&call->subject);
 	tally->manifest = row->manifest;
-	tally->places = g_new0 (uint8_t, row->manifest);
+	tally->categories = g_new0 (uint8_t, row->manifest);
 	read_page (tally);
 }
 
@@ -147,7 +147,7 @@
 	struct dff_batch_row row;
 	if (outcome == DFF_FETCH_FOUND && !dff_batch_row_decode (value, &row))
 		outcome = DFF_FETCH_UNAVAILABLE;
-	if (outcome == DFF_FETCH_FOUND && !dff_auth_sees_team (call, &row.team))
+	if (outcome == DFF_FETCH_FOUND && !dff_auth_may_see_team (call, &row.team))
 		outcome = DFF_FETCH_MISSING;
 	if (outcome == DFF_FETCH_FOUND)
 		fetch->next (call, &row);
@@ -175,7 +175,7 @@
 	(void)row;
 	g_autoptr (GString) prefix = dff_batch_job_prefix (&call->subject);
 	struct dff_str text = {prefix->str, prefix->len};
-	dff_cancel_wave (call, text, NULL, &call->subject);
+	dff_bulk_cancel (call, text, NULL, &call->subject);
 }
 
 void
--- a/entry/batch_submit.c
+++ b/entry/batch_submit.c
@@ -11,9 +11,9 @@
 #include "entry/reply.h"
 
 /** Jobs of one batch being recorded at once. */
-#define WINDOW 256
+#define MAX_WRITES_IN_PROGRESS 256
 /** Jobs in one batch at the most; the index is part of the id. */
-#define BATCH_MAX 100000
+#define MAX_BATCH_JOBS 100000
 /** Hints to the holder for one batch; it finds the others by its own reading. */
 #define HINTS_MAX 16
 
@@ -27,7 +27,7 @@
 	/** Elements: struct dff_job_row *, owned. */
 	GPtrArray *jobs;
 	/** One a job: it counts for its team although it is not on record yet. */
-	bool *reserved;
+	bool *quota_reserved;
 	guint next;
 	int32_t in_progress;
 	int32_t n_recorded;
@@ -36,7 +36,7 @@
 	enum dff_entry_record_outcome failure;
 };
 
-static void record_window (struct batch *batch);
+static void record_next_jobs (struct batch *batch);
 
 static void
 free_row (gpointer row)
@@ -47,23 +47,23 @@
 /* Counted only once they are on record, the jobs of any number of batches that arrive together
  * would pass the team's bound. */
 static void
-reserve_jobs (struct batch *batch)
+reserve_quota (struct batch *batch)
 {
-	batch->reserved = g_new0 (bool, batch->jobs->len);
+	batch->quota_reserved = g_new0 (bool, batch->jobs->len);
 	for (guint i = 0; i < batch->jobs->len; i++) {
 		const struct dff_job_spec *spec =
 			&((const struct dff_job_row *)batch->jobs->pdata[i])->spec;
-		batch->reserved[i] =
+		batch->quota_reserved[i] =
 			dff_team_quota_add (batch->call->entry->quota, &spec->id, &spec->team);
 	}
 }
 
 static void
-release_jobs (struct batch *batch)
+release_quota (struct batch *batch)
 {
 	for (guint i = 0; i < batch->jobs->len && !batch->call->entry->closed; i++) {
 		const struct dff_job_row *job = batch->jobs->pdata[i];
-		if (batch->reserved[i])
+		if (batch->quota_reserved[i])
 			dff_team_quota_remove (batch->call->entry->quota, &job->spec.id);
 	}
 }
@@ -71,8 +71,8 @@
 static void
 batch_free (struct batch *batch)
 {
-	release_jobs (batch);
-	g_free (batch->reserved);
+	release_quota (batch);
+	g_free (batch->quota_reserved);
 	g_ptr_array_unref (batch->jobs);
 	dff_call_unref (batch->call);
 	g_free (batch);
@@ -148,7 +148,7 @@
 	struct dff_entry *entry = batch->call->entry;
 	const struct dff_job_row *job = batch->jobs->pdata[index];
 	(*entry->counters.jobs_accepted)++;
-	batch->reserved[index] = false;
+	batch->quota_reserved[index] = false;
 	if (batch->n_recorded <= HINTS_MAX)
 		dff_peer_send_job_hint (entry->options.peer, &job->spec.id);
 }
@@ -168,7 +168,7 @@
 		batch->repeated = true;
 	if (outcome == DFF_ENTRY_RECORD_DONE && !batch->call->entry->closed)
 		accept_job (batch, write->index);
-	record_window (batch);
+	record_next_jobs (batch);
 }
 
 static void
@@ -183,10 +183,11 @@
 }
 
 static void
-record_window (struct batch *batch)
+record_next_jobs (struct batch *batch)
 {
 	bool failed = batch->failure != DFF_ENTRY_RECORD_DONE || batch->call->entry->closed;
-	while (!failed && batch->next < batch->jobs->len && batch->in_progress < WINDOW)
+	while (!failed && batch->next < batch->jobs->len &&
+	       batch->in_progress < MAX_WRITES_IN_PROGRESS)
 		record_job (batch, batch->next++);
 	if (batch->in_progress > 0)
 		return;
@@ -197,11 +198,11 @@
 }
 
 static void
-first_row_read (struct dff_call *call,
-		enum dff_fetch_outcome outcome,
-		struct dff_str value,
-		int64_t revision,
-		void *user)
+original_row_read (struct dff_call *call,
+		   enum dff_fetch_outcome outcome,
+		   struct dff_str value,
+		   int64_t revision,
+		   void *user)
 {
 	struct batch *batch = user;
 	struct dff_batch_row row;
@@ -224,7 +225,7 @@
 		reply_batch (batch);
 		return;
 	}
-	record_window (batch);
+	record_next_jobs (batch);
 }
 
 static void
@@ -237,13 +238,13 @@
 	}
 	if (outcome == DFF_ENTRY_RECORD_DONE) {
 		batch->revision = revision;
-		record_window (batch);
+		record_next_jobs (batch);
 		return;
 	}
 	if (outcome == DFF_ENTRY_RECORD_CONFLICT) {
 		g_autoptr (GString) key = dff_batch_row_key (&batch->id);
 		struct dff_str text = {key->str, key->len};
-		dff_value_fetch (batch->call, text, first_row_read, batch);
+		dff_value_fetch (batch->call, text, original_row_read, batch);
 		return;
 	}
 	dff_reply_record_failed (batch->call, outcome);
@@ -261,38 +262,38 @@
 }
 
 static bool
-refuse_line (struct dff_call *call, guint line, struct dff_job_rejection *fault)
+refuse_line (struct dff_call *call, guint line, struct dff_job_rejection *rejection)
 {
-	char *detail = g_strdup_printf ("line %u: %s", line, fault->detail);
-	g_free (fault->detail);
-	fault->detail = detail;
-	dff_reply_job_fault (call, fault);
+	char *detail = g_strdup_printf ("line %u: %s", line, rejection->detail);
+	g_free (rejection->detail);
+	rejection->detail = detail;
+	dff_reply_job_rejection (call, rejection);
 	return false;
 }
 
-/* Reads one line. Returns false, with the call answered, when it has a fault. */
+/* Reads one line. Returns false, with the call answered, when it has a rejection. */
 static bool
 read_line (struct dff_call *call, struct dff_str line, GPtrArray *jobs)
 {
 	struct dff_entry *entry = call->entry;
-	struct dff_job_rejection fault = {.status = 0};
+	struct dff_job_rejection rejection = {.status = 0};
 	struct dff_job_row *row = dff_job_parse (line, &call->principal.name,
-						 &entry->options.settings->region, &fault);
+						 &entry->options.settings->region, &rejection);
 	if (row == NULL)
-		return refuse_line (call, jobs->len + 1, &fault);
+		return refuse_line (call, jobs->len + 1, &rejection);
 	g_ptr_array_add (jobs, row);
-	if (!dff_admission_check (entry, row, &fault))
-		return refuse_line (call, jobs->len, &fault);
+	if (!dff_admission_check (entry, row, &rejection))
+		return refuse_line (call, jobs->len, &rejection);
 	const struct dff_job_row *first = jobs->pdata[0];
 	if (dff_name_equal (&row->spec.region, &first->spec.region))
 		return true;
-	fault.status = 400;
-	fault.code = "mixed_regions";
-	fault.detail = g_strdup ("region: all jobs of a batch are in one region");
-	return refuse_line (call, jobs->len, &fault);
+	rejection.status = 400;
+	rejection.code = "mixed_regions";
+	rejection.detail = g_strdup ("region: all jobs of a batch are in one region");
+	return refuse_line (call, jobs->len, &rejection);
 }
 
-/* Reads the lines of the body. Returns NULL, with the call answered, when one has a fault. */
+/* Reads the lines of the body. Returns NULL, with the call answered, when one has a rejection. */
 static GPtrArray *
 read_lines (struct dff_call *call, int64_t manifest)
 {
@@ -319,7 +320,7 @@
 }
 
 static void
-name_jobs (struct batch *batch)
+assign_job_ids (struct batch *batch)
 {
 	struct dff_call *call = batch->call;
 	char traceparent[DFF_TRACEPARENT_LEN + 1];
@@ -339,7 +340,8 @@
 {
 	struct dff_entry *entry = call->entry;
 	int64_t manifest = 0;
-	if (!dff_call_header_int (call, "Batch-Count", 1, BATCH_MAX, &manifest) || manifest == 0) {
+	if (!dff_call_header_int (call, "Batch-Count", 1, MAX_BATCH_JOBS, &manifest) ||
+	    manifest == 0) {
 		dff_reply_refused (call, 400, "invalid_batch_count",
 				   "Batch-Count: the number of jobs is expected.");
 		return;
@@ -347,7 +349,7 @@
 	GPtrArray *jobs = read_lines (call, manifest);
 	if (jobs == NULL)
 		return;
-	if (!dff_admission_has_room (call, (int32_t)manifest)) {
+	if (!dff_admission_check_queue (call, (int32_t)manifest)) {
 		g_ptr_array_unref (jobs);
 		return;
 	}
@@ -364,7 +366,7 @@
 	batch->row.accepted = -1;
 	dff_digest_hex (body, batch->row.digest);
 	call->subject = batch->id;
-	name_jobs (batch);
-	reserve_jobs (batch);
+	assign_job_ids (batch);
+	reserve_quota (batch);
 	record_batch (batch);
 }
--- a/entry/connection.c
+++ b/entry/connection.c
@@ -34,8 +34,8 @@
 	 * be used again while it is a key here. */
 	struct bufferevent *bev;
 	enum connection_state state;
-	int64_t since_ms;
-	bool probed;
+	int64_t state_since_ms;
+	bool keepalive_enabled;
 	bool over_limit;
 	bool closing;
 };
@@ -69,22 +69,21 @@
 	return connections;
 }
 
-static void
-bytes_received (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *ctx);
+static void handle_input (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *ctx);
 
 static void
-forget_input (gpointer key, gpointer value, gpointer data)
+remove_input_callback (gpointer key, gpointer value, gpointer data)
 {
 	(void)key;
 	(void)data;
 	struct connection *connection = value;
-	evbuffer_remove_cb (bufferevent_get_input (connection->bev), bytes_received, connection);
+	evbuffer_remove_cb (bufferevent_get_input (connection->bev), handle_input, connection);
 }
 
 void
 dff_connections_free (struct dff_connections *connections)
 {
-	g_hash_table_foreach (connections->by_bev, forget_input, NULL);
+	g_hash_table_foreach (connections->by_bev, remove_input_callback, NULL);
 	g_hash_table_destroy (connections->by_bev);
 	g_free (connections);
 }
@@ -93,11 +92,11 @@
 set_state (struct connection *connection, enum connection_state state)
 {
 	connection->state = state;
-	connection->since_ms = dff_clock_now_ms (connection->owner->clock);
+	connection->state_since_ms = dff_clock_now_ms (connection->owner->clock);
 }
 
 static void
-bytes_received (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *ctx)
+handle_input (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *ctx)
 {
 	(void)buffer;
 	struct connection *connection = ctx;
@@ -107,7 +106,7 @@
 
 /* bufferevent_free() clears the callbacks; a live connection always has evhttp's. */
 static bool
-is_gone (const struct connection *connection)
+is_freed (const struct connection *connection)
 {
 	bufferevent_event_cb event_cb = NULL;
 	bufferevent_getcb (connection->bev, NULL, NULL, &event_cb, NULL);
@@ -116,16 +115,16 @@
 
 /* Forgets the connections that evhttp has freed. */
 static void
-purge (struct dff_connections *connections)
+remove_freed (struct dff_connections *connections)
 {
 	GHashTableIter iter;
 	gpointer value;
 	g_hash_table_iter_init (&iter, connections->by_bev);
 	while (g_hash_table_iter_next (&iter, NULL, &value)) {
 		struct connection *connection = value;
-		if (!is_gone (connection))
+		if (!is_freed (connection))
 			continue;
-		forget_input (NULL, connection, NULL);
+		remove_input_callback (NULL, connection, NULL);
 		g_hash_table_iter_remove (&iter);
 	}
 }
@@ -136,14 +135,14 @@
 	static const struct timeval write_stall = {.tv_sec = WRITE_STALL_S};
 	/* The new connection has no callbacks yet and would be taken for one that is gone. */
 	if (dff_connections_count (connections) >= connections->max_connections)
-		purge (connections);
+		remove_freed (connections);
 	struct connection *connection = g_new0 (struct connection, 1);
 	connection->owner = connections;
 	connection->bev = bev;
 	bufferevent_incref (bev);
 	set_state (connection, DFF_CONNECTION_IDLE);
 	bufferevent_set_timeouts (bev, NULL, &write_stall);
-	evbuffer_add_cb (bufferevent_get_input (bev), bytes_received, connection);
+	evbuffer_add_cb (bufferevent_get_input (bev), handle_input, connection);
 	g_hash_table_insert (connections->by_bev, bev, connection);
 	if (dff_connections_count (connections) <= connections->max_connections)
 		return;
@@ -156,14 +155,14 @@
 /* A caller that vanished without a word (power, a middlebox that forgot the connection) would hold
  * its place for as long as it waits for a result. The kernel's probes find it. */
 static void
-probe (struct connection *connection)
+enable_keepalive (struct connection *connection)
 {
 	static const int on = 1;
 	static const int idle = KEEPALIVE_IDLE_S;
 	static const int interval = KEEPALIVE_INTERVAL_S;
 	static const int count = KEEPALIVE_COUNT;
 	evutil_socket_t fd = bufferevent_getfd (connection->bev);
-	connection->probed = true;
+	connection->keepalive_enabled = true;
 	setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof (on));
 	setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof (idle));
 	setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval, sizeof (interval));
@@ -172,29 +171,29 @@
 }
 
 void
-dff_connections_handling (struct dff_connections *connections, struct bufferevent *bev)
+dff_connections_begin_request (struct dff_connections *connections, struct bufferevent *bev)
 {
 	struct connection *connection = g_hash_table_lookup (connections->by_bev, bev);
 	if (connection == NULL)
 		return;
 	set_state (connection, DFF_CONNECTION_HANDLING);
 	bufferevent_setwatermark (bev, EV_READ, 0, READ_AHEAD_BYTES);
-	if (!connection->probed)
-		probe (connection);
+	if (!connection->keepalive_enabled)
+		enable_keepalive (connection);
 }
 
 void
-dff_connections_forget (struct dff_connections *connections, struct bufferevent *bev)
+dff_connections_remove (struct dff_connections *connections, struct bufferevent *bev)
 {
 	struct connection *connection = g_hash_table_lookup (connections->by_bev, bev);
 	if (connection == NULL)
 		return;
-	forget_input (NULL, connection, NULL);
+	remove_input_callback (NULL, connection, NULL);
 	g_hash_table_remove (connections->by_bev, bev);
 }
 
 void
-dff_connections_answered (struct dff_connections *connections, struct bufferevent *bev)
+dff_connections_end_request (struct dff_connections *connections, struct bufferevent *bev)
 {
 	struct connection *connection = g_hash_table_lookup (connections->by_bev, bev);
 	if (connection == NULL)
@@ -211,7 +210,7 @@
 	       const struct dff_connection_limits *limits,
 	       int64_t now_ms)
 {
-	int64_t age_ms = now_ms - connection->since_ms;
+	int64_t age_ms = now_ms - connection->state_since_ms;
 	if (connection->over_limit)
 		return true;
 	if (connection->state == DFF_CONNECTION_RECEIVING)
@@ -246,7 +245,7 @@
 	if (now_ms < connections->next_scan_ms)
 		return 0;
 	connections->next_scan_ms = now_ms + SCAN_MS;
-	purge (connections);
+	remove_freed (connections);
 	g_hash_table_iter_init (&iter, connections->by_bev);
 	while (g_hash_table_iter_next (&iter, NULL, &value)) {
 		struct connection *connection = value;
@@ -272,8 +271,8 @@
 	while (g_hash_table_iter_next (&iter, NULL, &value)) {
 		const struct connection *connection = value;
 		bool idle = connection->state == DFF_CONNECTION_IDLE &&
-			    now_ms - connection->since_ms >= idle_ms;
-		if (idle && !is_gone (connection))
+			    now_ms - connection->state_since_ms >= idle_ms;
+		if (idle && !is_freed (connection))
 			close_connection (connection);
 	}
 }
--- a/entry/connection.h
+++ b/entry/connection.h
@@ -34,13 +34,13 @@
 void dff_connections_add (struct dff_connections *connections, struct bufferevent *bev);
 
 /** A request is whole and is being worked on. */
-void dff_connections_handling (struct dff_connections *connections, struct bufferevent *bev);
+void dff_connections_begin_request (struct dff_connections *connections, struct bufferevent *bev);
 
 /** evhttp is about to free the connection. */
-void dff_connections_forget (struct dff_connections *connections, struct bufferevent *bev);
+void dff_connections_remove (struct dff_connections *connections, struct bufferevent *bev);
 
 /** The answer to the request is out. */
-void dff_connections_answered (struct dff_connections *connections, struct bufferevent *bev);
+void dff_connections_end_request (struct dff_connections *connections, struct bufferevent *bev);
 
 /**
  * dff_connections_tick:
--- a/entry/delivery.c
+++ b/entry/delivery.c
@@ -24,9 +24,9 @@
 	struct dff_result_ref result;
 	struct dff_assembly *assembly;
 	size_t next_chunk;
-	bool over;
+	bool finished;
 	/** The bytes belong to the answer now. */
-	bool handed_on;
+	bool bytes_detached;
 };
 
 /* A result on its way out: its bytes count until the last one is with the kernel. */
@@ -55,7 +55,7 @@
 		return;
 	if (delivery->assembly != NULL)
 		dff_assembly_free (delivery->assembly);
-	if (!delivery->handed_on)
+	if (!delivery->bytes_detached)
 		delivery->call->entry->delivery_bytes -= delivery->result.length;
 	dff_call_unref (delivery->call);
 	g_free (delivery);
@@ -71,21 +71,21 @@
 }
 
 static bool
-is_over (const struct delivery *delivery)
+is_finished (const struct delivery *delivery)
 {
-	return delivery->over || !dff_call_is_open (delivery->call);
+	return delivery->finished || !dff_call_is_open (delivery->call);
 }
 
 static void
 end_span (struct delivery *delivery, const char *outcome)
 {
 	struct dff_call *call = delivery->call;
-	delivery->over = true;
+	delivery->finished = true;
 	dff_span_end (call->entry->options.tracer, &delivery->span, &call->subject, outcome);
 }
 
 static void
-fail (struct delivery *delivery, int status, const char *code, const char *detail)
+reply_failure (struct delivery *delivery, int status, const char *code, const char *detail)
 {
 	struct dff_problem problem = {
 		.status = status,
@@ -111,29 +111,30 @@
 }
 
 static GBytes *
-hand_on (struct delivery *delivery, struct dff_str whole)
+detach_bytes (struct delivery *delivery, struct dff_str whole)
 {
 	struct outgoing *outgoing = g_new0 (struct outgoing, 1);
 	outgoing->entry = dff_entry_ref (delivery->call->entry);
 	outgoing->assembly = g_steal_pointer (&delivery->assembly);
 	outgoing->length = delivery->result.length;
-	delivery->handed_on = true;
+	delivery->bytes_detached = true;
 	return g_bytes_new_with_free_func (whole.data, whole.len, outgoing_free, outgoing);
 }
 
 static void
-succeed (struct delivery *delivery)
+reply_result (struct delivery *delivery)
 {
 	struct dff_str whole;
 	if (!dff_assembly_finish (delivery->assembly, &whole)) {
-		fail (delivery, 502, "result_damaged", "The result does not match its digest.");
+		reply_failure (delivery, 502, "result_damaged",
+			       "The result does not match its digest.");
 		return;
 	}
 	g_autofree char *digest = dff_digest_header (whole);
 	end_span (delivery, "ok");
 	dff_call_set_header (delivery->call, "Digest", digest);
 	dff_call_set_header (delivery->call, "Outcome", dff_outcome_name (delivery->outcome));
-	g_autoptr (GBytes) bytes = hand_on (delivery, whole);
+	g_autoptr (GBytes) bytes = detach_bytes (delivery, whole);
 	dff_reply_bytes (delivery->call, 200, "application/octet-stream", bytes);
 }
 
@@ -145,7 +146,7 @@
 
 /* Returns false when the object was tried often enough. */
 static bool
-retry (struct object_read *read)
+schedule_retry (struct object_read *read)
 {
 	struct dff_entry *entry = read->delivery->call->entry;
 	if (read->tries >= TRIES_MAX || entry->closed)
@@ -156,19 +157,20 @@
 }
 
 static void
-take_manifest (struct delivery *delivery, struct dff_str data)
+handle_manifest (struct delivery *delivery, struct dff_str data)
 {
 	const struct dff_result_ref *result = &delivery->result;
 	delivery->assembly = dff_assembly_new (data, result->length, result->digest);
 	if (delivery->assembly == NULL)
-		fail (delivery, 502, "result_damaged", "The result's manifest is not usable.");
+		reply_failure (delivery, 502, "result_damaged",
+			       "The result's manifest is not usable.");
 	else
 		read_chunks (delivery);
 }
 
 /* Returns false when the bytes are not the chunk's. */
 static bool
-take_chunk (struct delivery *delivery, size_t index, struct dff_str data)
+handle_chunk (struct delivery *delivery, size_t index, struct dff_str data)
 {
 	if (dff_assembly_add (delivery->assembly, index, data) == DFF_CHUNK_CORRUPT)
 		return false;
@@ -181,11 +183,11 @@
 {
 	struct delivery *delivery = read->delivery;
 	if (read->is_manifest)
-		take_manifest (delivery, data);
-	else if (!take_chunk (delivery, read->index, data)) {
-		if (retry (read))
+		handle_manifest (delivery, data);
+	else if (!handle_chunk (delivery, read->index, data)) {
+		if (schedule_retry (read))
 			return;
-		fail (delivery, 502, "result_damaged", "A part of the result is damaged.");
+		reply_failure (delivery, 502, "result_damaged", "A part of the result is damaged.");
 	}
 	read_free (read);
 }
@@ -195,7 +197,7 @@
 {
 	struct object_read *read = user;
 	struct delivery *delivery = read->delivery;
-	if (is_over (delivery)) {
+	if (is_finished (delivery)) {
 		read_free (read);
 		return;
 	}
@@ -203,12 +205,13 @@
 		object_found (read, result->data);
 		return;
 	}
-	if (retry (read))
+	if (schedule_retry (read))
 		return;
 	if (result->outcome == DFF_OBJECT_NOT_FOUND)
-		fail (delivery, 503, "result_incomplete", "A part of the result is missing.");
+		reply_failure (delivery, 503, "result_incomplete",
+			       "A part of the result is missing.");
 	else
-		fail (delivery, 503, "store_unavailable", "The store does not answer.");
+		reply_failure (delivery, 503, "store_unavailable", "The store does not answer.");
 	read_free (read);
 }
 
@@ -217,7 +220,7 @@
 {
 	const struct dff_object_store *objects = read->delivery->call->entry->options.objects;
 	struct dff_str key = {read->key->str, read->key->len};
-	if (is_over (read->delivery)) {
+	if (is_finished (read->delivery)) {
 		read_free (read);
 		return;
 	}
@@ -251,12 +254,12 @@
 	size_t n_chunks = dff_assembly_n_chunks (delivery->assembly);
 	bool first = delivery->next_chunk == 0;
 	if (dff_assembly_is_complete (delivery->assembly)) {
-		succeed (delivery);
+		reply_result (delivery);
 		return;
 	}
 	/* Each chunk that was taken makes room for one more. */
 	size_t n = first ? CHUNKS_AT_ONCE : 1;
-	for (size_t i = 0; i < n && delivery->next_chunk < n_chunks && !delivery->over; i++)
+	for (size_t i = 0; i < n && delivery->next_chunk < n_chunks && !delivery->finished; i++)
 		read_next_chunk (delivery);
 }
 
@@ -280,7 +283,7 @@
 
 /* Results are held in memory whole, so that none goes out in part; together they are bounded. */
 static bool
-refuse_no_room (struct dff_call *call, int64_t length)
+refuse_over_memory_limit (struct dff_call *call, int64_t length)
 {
 	struct dff_entry *entry = call->entry;
 	struct dff_problem problem = {
@@ -324,7 +327,7 @@
 		dff_reply_error (call, 502, "result_too_large", "The result is over 32 MiB.");
 		return;
 	}
-	if (refuse_no_room (call, row->result.length))
+	if (refuse_over_memory_limit (call, row->result.length))
 		return;
 	struct delivery *delivery = g_new0 (struct delivery, 1);
 	delivery->call = dff_call_ref (call);
--- a/entry/dispatch.c
+++ b/entry/dispatch.c
@@ -10,7 +10,7 @@
 #define AVOID_REFUSED_MS 200
 /** Range of the first back-off, ms; doubled with each retry. */
 #define BACKOFF_MS 20
-/** Less than this is not worth sending, ms. */
+/** Less than this is not worth worker_request, ms. */
 #define DEADLINE_MIN_MS 2
 /** An idempotent request without an answer for this long, ms, or for this many times what requests
  * took lately, goes to a second worker as well; at the latest when half of its time is over. */
@@ -19,8 +19,8 @@
 /** Weight of the newest sample in the average of service times. */
 #define AVERAGE_WEIGHT 0.1
 
-/** One sending of a request to a worker. */
-struct sending {
+/** One worker_request of a request to a worker. */
+struct worker_request {
 	struct dff_request *request;
 	/** Outlives the requests, whose state may be gone when a late answer comes. */
 	struct dff_entry *entry;
@@ -44,16 +44,17 @@
 
 /* Seconds until a caller who found no worker should come back. */
 static int32_t
-come_back_s (struct dff_request *request)
+jittered_retry_after_s (struct dff_request *request)
 {
 	return 1 + g_rand_int_range (request->owner->entry->rng, 0, 2);
 }
 
 static void
-count_service_time (const struct sending *sending)
+count_service_time (const struct worker_request *worker_request)
 {
-	struct dff_requests *requests = sending->entry->requests;
-	double taken_ms = (double)(dff_entry_now_ms (sending->entry) - sending->sent_ms);
+	struct dff_requests *requests = worker_request->entry->requests;
+	double taken_ms =
+		(double)(dff_entry_now_ms (worker_request->entry) - worker_request->sent_ms);
 	if (requests->service_ms == 0)
 		requests->service_ms = taken_ms;
 	requests->service_ms += AVERAGE_WEIGHT * (taken_ms - requests->service_ms);
@@ -77,7 +78,7 @@
 }
 
 static void
-backoff_over (void *user)
+backoff_elapsed (void *user)
 {
 	struct dff_request *request = user;
 	request->timer = NULL;
@@ -92,22 +93,25 @@
 	double range_ms = BACKOFF_MS * pow (2, request->n_sent - 1);
 	double wait_ms = g_rand_double_range (request->owner->entry->rng, range_ms / 2, range_ms);
 	request->state = DFF_REQUEST_BACKING_OFF;
-	dff_request_set_timer (request, now_ms (request) + (int64_t)wait_ms, backoff_over);
+	dff_request_set_timer (request, now_ms (request) + (int64_t)wait_ms, backoff_elapsed);
 }
 
 /* The request is known not to have run, or may run twice: it goes on to another worker while there
- * is time and the budget allows. What cannot go on is answered now; waiting would not help it. */
+ * is time and the budget allows. What cannot go on is worker_replied now; waiting would not help
+ * it. */
 static void
-move_on (struct dff_request *request)
+retry_on_other_worker (struct dff_request *request)
 {
 	struct dff_requests *requests = request->owner;
 	if (remaining_ms (request) < DEADLINE_MIN_MS || request->n_sent >= SENT_MAX) {
-		dff_request_give_up (request, "upstream_unavailable", come_back_s (request));
+		dff_request_give_up (request, "upstream_unavailable",
+				     jittered_retry_after_s (request));
 		return;
 	}
 	if (!dff_retry_budget_withdraw (&requests->budget)) {
 		(*requests->counters.retries_denied)++;
-		dff_request_give_up (request, "upstream_unavailable", come_back_s (request));
+		dff_request_give_up (request, "upstream_unavailable",
+				     jittered_retry_after_s (request));
 		return;
 	}
 	(*requests->counters.retries)++;
@@ -115,19 +119,19 @@
 }
 
 static void
-note_worker (const struct sending *sending, const struct dff_request_result *result)
+update_worker (const struct worker_request *worker_request, const struct dff_request_result *result)
 {
-	struct dff_slots *slots = sending->entry->requests->slots;
-	int64_t now = dff_entry_now_ms (sending->entry);
-	dff_slots_release (slots, &sending->worker);
+	struct dff_slots *slots = worker_request->entry->requests->slots;
+	int64_t now = dff_entry_now_ms (worker_request->entry);
+	dff_slots_release (slots, &worker_request->worker);
 	if (result->leaving)
-		dff_slots_handle_worker_leaving (slots, &sending->worker, now);
+		dff_slots_handle_worker_leaving (slots, &worker_request->worker, now);
 	if (result->outcome == DFF_WORKER_OK)
-		count_service_time (sending);
+		count_service_time (worker_request);
 	else if (result->outcome == DFF_WORKER_REFUSED)
-		dff_slots_avoid (slots, &sending->worker, now + AVOID_REFUSED_MS);
+		dff_slots_avoid (slots, &worker_request->worker, now + AVOID_REFUSED_MS);
 	else
-		dff_slots_avoid (slots, &sending->worker, now + AVOID_UNREACHABLE_MS);
+		dff_slots_avoid (slots, &worker_request->worker, now + AVOID_UNREACHABLE_MS);
 }
 
 static void
@@ -140,32 +144,32 @@
 	if (result->outcome == DFF_WORKER_UNCERTAIN)
 		request->maybe_ran = true;
 	/* Another worker still has it. */
-	if (request->n_open > 0)
+	if (request->n_outstanding > 0)
 		return;
 	/* A second start of a request that may have run is what its caller forbade. Symptom: a
 	 * client is billed twice. */
 	if (request->maybe_ran && !request->idempotent)
-		dff_request_give_up (request, "upstream_lost", come_back_s (request));
+		dff_request_give_up (request, "upstream_lost", jittered_retry_after_s (request));
 	else
-		move_on (request);
+		retry_on_other_worker (request);
 }
 
 static void
-answered (void *user, const struct dff_request_result *result)
+worker_replied (void *user, const struct dff_request_result *result)
 {
-	struct sending *sending = user;
-	struct dff_request *request = sending->request;
-	struct dff_entry *entry = sending->entry;
-	request->n_open--;
+	struct worker_request *worker_request = user;
+	struct dff_request *request = worker_request->request;
+	struct dff_entry *entry = worker_request->entry;
+	request->n_outstanding--;
 	if (!entry->closed) {
-		note_worker (sending, result);
+		update_worker (worker_request, result);
 		if (request->state != DFF_REQUEST_ENDED)
 			handle_result (request, result);
-		dff_requests_pump (entry->requests);
+		dff_requests_dispatch_waiting (entry->requests);
 	}
 	dff_request_unref (request);
 	dff_entry_unref (entry);
-	g_free (sending);
+	g_free (worker_request);
 }
 
 static void
@@ -175,28 +179,28 @@
 	const struct dff_worker_client *workers = entry->options.workers;
 	struct dff_str body = {request->body->str, request->body->len};
 	char traceparent[DFF_TRACEPARENT_LEN + 1];
-	struct sending *sending = g_new0 (struct sending, 1);
-	sending->request = dff_request_ref (request);
-	sending->entry = dff_entry_ref (entry);
-	sending->worker = slot->worker;
-	sending->sent_ms = now_ms (request);
+	struct worker_request *worker_request = g_new0 (struct worker_request, 1);
+	worker_request->request = dff_request_ref (request);
+	worker_request->entry = dff_entry_ref (entry);
+	worker_request->worker = slot->worker;
+	worker_request->sent_ms = now_ms (request);
 	dff_trace_context_format (&request->span.context, traceparent);
 	request->state = DFF_REQUEST_SENT;
 	request->worker = slot->worker;
 	request->n_sent++;
-	request->n_open++;
+	request->n_outstanding++;
 	dff_deadlines_clear (entry->deadlines, &request->timer);
 	if (request->idempotent)
 		arm_hedge (request);
 	workers->request (workers->ctx, &slot->address, &request->service, &request->upstream_id,
 			  body, dff_str_from (traceparent), (int32_t)remaining_ms (request),
-			  answered, sending);
+			  worker_replied, worker_request);
 }
 
 /* Symptom: an assistant waits until the deadline for a request that every other worker would have
- * answered. Sequence: something between here and the worker has lost track of the connection; what
- * is sent on it vanishes, while new connections work. Cause: only the deadline ends the wait. The
- * first answer counts; the budget of retries bounds what is sent twice. */
+ * worker_replied. Sequence: something between here and the worker has lost track of the connection;
+ * what is sent on it vanishes, while new connections work. Cause: only the deadline ends the wait.
+ * The first answer counts; the budget of retries bounds what is sent twice. */
 static void
 hedge_due (void *user)
 {
@@ -228,7 +232,8 @@
 			       hedge_due);
 }
 
-/* Time until a request that joins the queue now can be answered, by what requests took lately. */
+/* Time until a request that joins the queue now can be worker_replied, by what requests took
+ * lately. */
 static int64_t
 expected_wait_ms (const struct dff_requests *requests)
 {
@@ -238,17 +243,17 @@
 }
 
 static void
-wait_over (void *user)
+wait_timed_out (void *user)
 {
 	struct dff_request *request = user;
 	request->timer = NULL;
 	dff_request_ref (request);
-	dff_request_give_up (request, "overloaded", come_back_s (request));
+	dff_request_give_up (request, "overloaded", jittered_retry_after_s (request));
 	dff_request_unref (request);
 }
 
-/* A request that cannot be answered in time is told so at once, rather than after a wait that only
- * keeps others from their slots. */
+/* A request that cannot be worker_replied in time is told so at once, rather than after a wait that
+ * only keeps others from their slots. */
 static void
 wait_for_slot (struct dff_request *request)
 {
@@ -261,7 +266,7 @@
 	}
 	request->state = DFF_REQUEST_WAITING;
 	g_queue_push_tail (&requests->waiting, request);
-	dff_request_set_timer (request, request->deadline_ms - DEADLINE_MIN_MS, wait_over);
+	dff_request_set_timer (request, request->deadline_ms - DEADLINE_MIN_MS, wait_timed_out);
 }
 
 /* Symptom: a request that is not idempotent runs after its caller was told, through another
@@ -269,7 +274,7 @@
  * the caller sends it again elsewhere, gets not_run there, and then the first one's turn comes.
  * Cause: requests sent for nobody. */
 static bool
-is_wanted (const struct dff_request *request)
+is_still_needed (const struct dff_request *request)
 {
 	for (guint i = 0; i < request->calls->len; i++) {
 		if (dff_call_is_open (request->calls->pdata[i]))
@@ -284,10 +289,10 @@
 	struct dff_requests *requests = request->owner;
 	struct dff_slot slot;
 	if (remaining_ms (request) < DEADLINE_MIN_MS || requests->entry->closed) {
-		dff_request_give_up (request, "overloaded", come_back_s (request));
+		dff_request_give_up (request, "overloaded", jittered_retry_after_s (request));
 		return;
 	}
-	if (!is_wanted (request)) {
+	if (!is_still_needed (request)) {
 		dff_request_give_up (request, "caller_gone", 0);
 		return;
 	}
@@ -304,17 +309,17 @@
 		return;
 	case DFF_SLOT_NO_GRANT:
 	default:
-		dff_request_give_up (request, "no_worker", come_back_s (request));
+		dff_request_give_up (request, "no_worker", jittered_retry_after_s (request));
 	}
 }
 
 void
-dff_requests_pump (struct dff_requests *requests)
+dff_requests_dispatch_waiting (struct dff_requests *requests)
 {
 	struct dff_slot slot;
 	while (!g_queue_is_empty (&requests->waiting)) {
 		struct dff_request *request = g_queue_peek_head (&requests->waiting);
-		if (!is_wanted (request)) {
+		if (!is_still_needed (request)) {
 			dff_request_give_up (request, "caller_gone", 0);
 			continue;
 		}
@@ -323,7 +328,8 @@
 		if (outcome == DFF_SLOT_BUSY)
 			return;
 		if (outcome == DFF_SLOT_NO_GRANT) {
-			dff_request_give_up (request, "no_worker", come_back_s (request));
+			dff_request_give_up (request, "no_worker",
+					     jittered_retry_after_s (request));
 			continue;
 		}
 		g_queue_pop_head (&requests->waiting);
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -228,11 +228,11 @@
  * registry of counters, and then the store answers what the entry had asked. Cause: the answer's
  * handling counts into the registry. */
 static void
-stop_counting (struct dff_entry *entry)
+redirect_counters (struct dff_entry *entry)
 {
 	int64_t **pointers = (int64_t **)&entry->counters;
 	for (size_t i = 0; i < sizeof (entry->counters) / sizeof (int64_t *); i++)
-		pointers[i] = &entry->uncounted;
+		pointers[i] = &entry->discarded_counter;
 }
 
 void
@@ -248,7 +248,7 @@
 	dff_core_free (entry->admission);
 	dff_team_quota_free (entry->quota);
 	SSL_CTX_free (entry->tls);
-	stop_counting (entry);
+	redirect_counters (entry);
 	dff_entry_unref (entry);
 }
 
--- a/entry/entry_private.h
+++ b/entry/entry_private.h
@@ -65,7 +65,7 @@
 	bool drain_requested;
 	struct dff_entry_counters counters;
 	/** What @counters point to once the entry is closed. */
-	int64_t uncounted;
+	int64_t discarded_counter;
 };
 
 struct dff_entry *dff_entry_ref (struct dff_entry *entry);
--- a/entry/job_cancel.c
+++ b/entry/job_cancel.c
@@ -1,5 +1,5 @@
 #include "common/log.h"
-#include "entry/cancel_wave.h"
+#include "entry/bulk_cancel.h"
 #include "entry/entry_private.h"
 #include "entry/job_fetch.h"
 #include "entry/job_json.h"
@@ -90,7 +90,7 @@
 	     struct dff_job_row *row,
 	     void *user)
 {
-	if (outcome == DFF_FETCH_FOUND && !dff_auth_sees_team (call, &row->spec.team))
+	if (outcome == DFF_FETCH_FOUND && !dff_auth_may_see_team (call, &row->spec.team))
 		outcome = DFF_FETCH_MISSING;
 	if (outcome != DFF_FETCH_FOUND) {
 		dff_reply_fetch_failed (call, outcome);
@@ -134,9 +134,9 @@
 		dff_reply_error (call, 400, "invalid_query", "team: a team's name is expected");
 		return;
 	}
-	if (!dff_auth_sees_team (call, &team)) {
+	if (!dff_auth_may_see_team (call, &team)) {
 		dff_reply_error (call, 404, "not_found", "There is no such team.");
 		return;
 	}
-	dff_cancel_wave (call, dff_str_from ("job/"), &team, NULL);
+	dff_bulk_cancel (call, dff_str_from ("job/"), &team, NULL);
 }
--- a/entry/job_json.c
+++ b/entry/job_json.c
@@ -13,13 +13,13 @@
 struct int_field {
 	const char *name;
 	size_t offset;
-	int32_t min, max, preset;
+	int32_t min, max, default_value;
 };
 
 struct bool_field {
 	const char *name;
 	size_t offset;
-	bool preset;
+	bool default_value;
 };
 
 static const struct int_field int_fields[] = {
@@ -42,21 +42,21 @@
 					   "payload"};
 
 void
-dff_job_rejection_clear (struct dff_job_rejection *fault)
+dff_job_rejection_clear (struct dff_job_rejection *rejection)
 {
-	g_free (fault->detail);
-	fault->detail = NULL;
-	fault->status = 0;
+	g_free (rejection->detail);
+	rejection->detail = NULL;
+	rejection->status = 0;
 }
 
 static bool G_GNUC_PRINTF (2, 3)
-	set_fault (struct dff_job_rejection *fault, const char *format, ...)
+	set_rejection (struct dff_job_rejection *rejection, const char *format, ...)
 {
 	va_list args;
 	va_start (args, format);
-	fault->status = 400;
-	fault->code = "invalid_job";
-	fault->detail = g_strdup_vprintf (format, args);
+	rejection->status = 400;
+	rejection->code = "invalid_job";
+	rejection->detail = g_strdup_vprintf (format, args);
 	va_end (args);
 	return false;
 }
@@ -80,56 +80,61 @@
 }
 
 static bool
-check_names (json_t *json, struct dff_job_rejection *fault)
+check_names (json_t *json, struct dff_job_rejection *rejection)
 {
 	const char *name = NULL;
 	json_t *value = NULL;
 	json_object_foreach (json, name, value)
 	{
 		if (!is_known_field (name))
-			return set_fault (fault, "%.64s: no such member", name);
+			return set_rejection (rejection, "%.64s: no such member", name);
 	}
 	return true;
 }
 
 static bool
-read_ints (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *fault)
+read_ints (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *rejection)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS (int_fields); i++) {
 		const struct int_field *field = &int_fields[i];
 		int32_t *target = (int32_t *)((char *)spec + field->offset);
 		const json_t *value = json_object_get (json, field->name);
-		*target = field->preset;
+		*target = field->default_value;
 		if (value == NULL)
 			continue;
 		json_int_t number = json_integer_value (value);
 		if (!json_is_integer (value) || number < field->min || number > field->max)
-			return set_fault (fault, "%s: a whole number from %d to %d is expected",
-					  field->name, field->min, field->max);
+			return set_rejection (rejection,
+					      "%s: a whole number from %d to %d is expected",
+					      field->name, field->min, field->max);
 		*target = (int32_t)number;
 	}
 	return true;
 }
 
 static bool
-read_bools (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *fault)
+read_bools (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *rejection)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS (bool_fields); i++) {
 		const struct bool_field *field = &bool_fields[i];
 		bool *target = (bool *)((char *)spec + field->offset);
 		const json_t *value = json_object_get (json, field->name);
-		*target = field->preset;
+		*target = field->default_value;
 		if (value == NULL)
 			continue;
 		if (!json_is_boolean (value))
-			return set_fault (fault, "%s: true or false is expected", field->name);
+			return set_rejection (rejection, "%s: true or false is expected",
+					      field->name);
 		*target = json_is_true (value);
 	}
 	return true;
 }
 
 static bool
-read_name (json_t *json, const char *field, struct dff_name *name, struct dff_job_rejection *fault)
+read_name (json_t *json,
+	   const char *field,
+	   struct dff_name *name,
+	   struct dff_job_rejection *rejection)
 {
 	const json_t *value = json_object_get (json, field);
 	struct dff_str text = {json_string_value (value), json_string_length (value)};
@@ -137,14 +142,14 @@
 		return true;
 	if (text.data != NULL && dff_name_parse (text, name))
 		return true;
-	return set_fault (fault,
-			  "%s: a name of at most %d letters, digits, '-', '_', '.' and ':' is "
-			  "expected",
-			  field, DFF_NAME_MAX);
+	return set_rejection (rejection,
+			      "%s: a name of at most %d letters, digits, '-', '_', '.' and ':' is "
+			      "expected",
+			      field, DFF_NAME_MAX);
 }
 
 static bool
-read_adjacency (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *fault)
+read_adjacency (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *rejection)
 {
 	const json_t *value = json_object_get (json, "adjacent");
 	spec->adjacency = DFF_ADJACENCY_NONE;
@@ -155,63 +160,66 @@
 		return true;
 	}
 	if (!json_is_string (value) || !g_str_equal (json_string_value (value), "rack"))
-		return set_fault (fault, "adjacent: true, false or \"rack\" is expected");
+		return set_rejection (rejection, "adjacent: true, false or \"rack\" is expected");
 	spec->adjacency = DFF_ADJACENCY_RACK;
 	return true;
 }
 
 static bool
-read_declared (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *fault)
+read_declared (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *rejection)
 {
 	const json_t *value = json_object_get (json, "declared_s");
 	double seconds = value == NULL ? DECLARED_DEFAULT_S : json_number_value (value);
 	bool in_range = isfinite (seconds) && seconds > 0 && seconds <= DECLARED_MAX_S;
 	if ((value != NULL && !json_is_number (value)) || !in_range)
-		return set_fault (fault, "declared_s: a number above 0 and up to %.0f is expected",
-				  DECLARED_MAX_S);
+		return set_rejection (rejection,
+				      "declared_s: a number above 0 and up to %.0f is expected",
+				      DECLARED_MAX_S);
 	spec->declared_ms = MAX (1, (int64_t)(seconds * 1000));
 	return true;
 }
 
 static bool
-read_payload (json_t *json, struct dff_job_row *row, struct dff_job_rejection *fault)
+read_payload (json_t *json, struct dff_job_row *row, struct dff_job_rejection *rejection)
 {
 	json_t *value = json_object_get (json, "payload");
 	if (value == NULL)
 		return true;
 	if (!json_is_object (value))
-		return set_fault (fault, "payload: an object is expected");
+		return set_rejection (rejection, "payload: an object is expected");
 	g_autofree char *text = json_dumps (value, JSON_COMPACT);
 	g_string_assign (row->payload, text);
 	return true;
 }
 
 static bool
-read_attempts (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *fault)
+read_attempts (json_t *json, struct dff_job_spec *spec, struct dff_job_rejection *rejection)
 {
 	if (json_object_get (json, "max_attempts") == NULL)
 		spec->max_attempts = spec->idempotent ? ATTEMPTS_DEFAULT : 1;
 	if (!spec->idempotent && spec->max_attempts != 1)
-		return set_fault (fault, "max_attempts: 1 is expected where idempotent is false");
+		return set_rejection (rejection,
+				      "max_attempts: 1 is expected where idempotent is false");
 	return true;
 }
 
 static bool
-read_job (json_t *json, struct dff_job_row *row, struct dff_job_rejection *fault)
+read_job (json_t *json, struct dff_job_row *row, struct dff_job_rejection *rejection)
 {
 	struct dff_job_spec *spec = &row->spec;
 	if (!json_is_object (json))
-		return set_fault (fault, "a JSON object is expected");
-	if (!check_names (json, fault) || !read_ints (json, spec, fault) ||
-	    !read_bools (json, spec, fault) || !read_adjacency (json, spec, fault) ||
-	    !read_declared (json, spec, fault) || !read_attempts (json, spec, fault) ||
-	    !read_name (json, "service", &spec->service, fault) ||
-	    !read_name (json, "region", &spec->region, fault) || !read_payload (json, row, fault))
+		return set_rejection (rejection, "a JSON object is expected");
+	if (!check_names (json, rejection) || !read_ints (json, spec, rejection) ||
+	    !read_bools (json, spec, rejection) || !read_adjacency (json, spec, rejection) ||
+	    !read_declared (json, spec, rejection) || !read_attempts (json, spec, rejection) ||
+	    !read_name (json, "service", &spec->service, rejection) ||
+	    !read_name (json, "region", &spec->region, rejection) ||
+	    !read_payload (json, row, rejection))
 		return false;
 	if (dff_name_is_empty (&spec->service))
-		return set_fault (fault, "service: is needed");
+		return set_rejection (rejection, "service: is needed");
 	if (spec->region.len > DFF_REGION_NAME_MAX)
-		return set_fault (fault, "region: at most %d bytes", DFF_REGION_NAME_MAX);
+		return set_rejection (rejection, "region: at most %d bytes", DFF_REGION_NAME_MAX);
 	return true;
 }
 
@@ -219,20 +227,20 @@
 dff_job_parse (struct dff_str text,
 	       const struct dff_name *team,
 	       const struct dff_name *default_region,
-	       struct dff_job_rejection *fault)
+	       struct dff_job_rejection *rejection)
 {
 	json_error_t error;
-	fault->status = 0;
-	fault->detail = NULL;
+	rejection->status = 0;
+	rejection->detail = NULL;
 	json_t *json = json_loadb (text.data, text.len, LOAD_FLAGS, &error);
 	if (json == NULL) {
-		set_fault (fault, "column %d: %s", error.column, error.text);
-		fault->code = "malformed_json";
+		set_rejection (rejection, "column %d: %s", error.column, error.text);
+		rejection->code = "malformed_json";
 		return NULL;
 	}
 	struct dff_job_row *row = dff_job_row_new ();
 	row->spec.team = *team;
-	bool valid = read_job (json, row, fault);
+	bool valid = read_job (json, row, rejection);
 	json_decref (json);
 	if (!valid) {
 		dff_job_row_free (row);
@@ -291,7 +299,7 @@
 }
 
 static void
-add_end (json_t *json, const struct dff_job_row *row)
+add_outcome (json_t *json, const struct dff_job_row *row)
 {
 	if (row->state != DFF_JOB_ROW_ENDED)
 		return;
@@ -321,7 +329,7 @@
 		json_object_set_new (json, "reason", json_string (row->reason.data));
 	if (!dff_name_is_empty (&row->batch))
 		json_object_set_new (json, "batch", json_string (row->batch.data));
-	add_end (json, row);
+	add_outcome (json, row);
 	return json;
 }
 
--- a/entry/job_json.h
+++ b/entry/job_json.h
@@ -15,18 +15,18 @@
 	int status;
 	/** Stable code. Static. */
 	const char *code;
-	/** For people; owned by the fault, see dff_job_rejection_clear(). */
+	/** For people; owned by the rejection, see dff_job_rejection_clear(). */
 	char *detail;
 };
 
-void dff_job_rejection_clear (struct dff_job_rejection *fault);
+void dff_job_rejection_clear (struct dff_job_rejection *rejection);
 
 /**
  * dff_job_parse:
  * @text: one JSON object
  * @team: the team that submits
  * @default_region: region where the object names none
- * @fault: (out): what is wrong
+ * @rejection: (out): what is wrong
  *
  * Checks syntax, unknown members, types and ranges; the id is left empty.
  *
@@ -35,7 +35,7 @@
 struct dff_job_row *dff_job_parse (struct dff_str text,
 				   const struct dff_name *team,
 				   const struct dff_name *default_region,
-				   struct dff_job_rejection *fault);
+				   struct dff_job_rejection *rejection);
 
 /** Writes the job as callers read it. */
 json_t *dff_job_to_json (const struct dff_job_row *row);
--- a/entry/job_read.c
+++ b/entry/job_read.c
@@ -11,7 +11,7 @@
 	     void *user)
 {
 	(void)user;
-	if (outcome == DFF_FETCH_FOUND && !dff_auth_sees_team (call, &row->spec.team))
+	if (outcome == DFF_FETCH_FOUND && !dff_auth_may_see_team (call, &row->spec.team))
 		outcome = DFF_FETCH_MISSING;
 	if (outcome == DFF_FETCH_FOUND)
 		dff_reply_json (call, 200, dff_job_to_json (row));
--- a/entry/job_submit.c
+++ b/entry/job_submit.c
@@ -18,14 +18,14 @@
 	/** Hash of the Idempotency-Key; empty: none was given. */
 	struct dff_name hash;
 	/** It counts for its team although it is not on record yet. */
-	bool reserved;
+	bool quota_reserved;
 };
 
 static void
 submission_free (struct submission *submission)
 {
 	struct dff_entry *entry = submission->call->entry;
-	if (submission->reserved && !entry->closed)
+	if (submission->quota_reserved && !entry->closed)
 		dff_team_quota_remove (entry->quota, &submission->row->spec.id);
 	dff_job_row_free (submission->row);
 	dff_call_unref (submission->call);
@@ -49,10 +49,10 @@
 }
 
 static void
-first_job_read (struct dff_call *call,
-		enum dff_fetch_outcome outcome,
-		struct dff_job_row *row,
-		void *user)
+original_job_read (struct dff_call *call,
+		   enum dff_fetch_outcome outcome,
+		   struct dff_job_row *row,
+		   void *user)
 {
 	struct submission *submission = user;
 	if (outcome == DFF_FETCH_UNAVAILABLE) {
@@ -69,17 +69,17 @@
 }
 
 static void
-first_id_read (struct dff_call *call,
-	       enum dff_fetch_outcome outcome,
-	       struct dff_str value,
-	       int64_t revision,
-	       void *user)
+original_id_read (struct dff_call *call,
+		  enum dff_fetch_outcome outcome,
+		  struct dff_str value,
+		  int64_t revision,
+		  void *user)
 {
 	(void)revision;
 	struct submission *submission = user;
 	struct dff_name id;
 	if (outcome == DFF_FETCH_FOUND && dff_name_parse (value, &id)) {
-		dff_job_fetch (call, &id, first_job_read, submission);
+		dff_job_fetch (call, &id, original_job_read, submission);
 		return;
 	}
 	dff_reply_store_unavailable (call);
@@ -88,11 +88,11 @@
 
 /* The same submission was recorded before, perhaps through another process. */
 static void
-find_first (struct submission *submission)
+find_original (struct submission *submission)
 {
 	g_autoptr (GString) key = dff_idempotency_row_key (&submission->hash);
 	struct dff_str text = {key->str, key->len};
-	dff_value_fetch (submission->call, text, first_id_read, submission);
+	dff_value_fetch (submission->call, text, original_id_read, submission);
 }
 
 static void
@@ -102,7 +102,7 @@
 	const struct dff_job_spec *spec = &submission->row->spec;
 	submission->row->revision = revision;
 	(*entry->counters.jobs_accepted)++;
-	submission->reserved = false;
+	submission->quota_reserved = false;
 	dff_peer_send_job_hint (entry->options.peer, &spec->id);
 	dff_peer_send_job_watch (entry->options.peer, &spec->id);
 	dff_log (DFF_LOG_ENTRY, DFF_LOG_INFO, "Job accepted. job=%s team=%s", spec->id.data,
@@ -123,7 +123,7 @@
 		return;
 	}
 	if (outcome == DFF_ENTRY_RECORD_CONFLICT && !dff_name_is_empty (&submission->hash)) {
-		find_first (submission);
+		find_original (submission);
 		return;
 	}
 	dff_reply_record_failed (submission->call, outcome);
@@ -158,7 +158,8 @@
 	call->subject = row->spec.id;
 	/* Counted only once they are on record, any number of jobs that arrive together would pass
 	 * the team's bound. */
-	submission->reserved = dff_team_quota_add (entry->quota, &row->spec.id, &row->spec.team);
+	submission->quota_reserved =
+		dff_team_quota_add (entry->quota, &row->spec.id, &row->spec.team);
 	record_job (submission);
 }
 
@@ -180,7 +181,7 @@
 dff_job_submit (struct dff_call *call)
 {
 	struct dff_entry *entry = call->entry;
-	struct dff_job_rejection fault = {.status = 0};
+	struct dff_job_rejection rejection = {.status = 0};
 	struct dff_name hash;
 	call->may_repeat = dff_call_header (call, "Idempotency-Key") != NULL;
 	if (dff_refuse_new_work (call))
@@ -200,13 +201,13 @@
 		return;
 	}
 	struct dff_job_row *row = dff_job_parse (dff_call_body (call), &call->principal.name,
-						 &entry->options.settings->region, &fault);
-	if (row == NULL || !dff_admission_check (entry, row, &fault)) {
-		dff_reply_job_fault (call, &fault);
+						 &entry->options.settings->region, &rejection);
+	if (row == NULL || !dff_admission_check (entry, row, &rejection)) {
+		dff_reply_job_rejection (call, &rejection);
 		g_clear_pointer (&row, dff_job_row_free);
 		return;
 	}
-	if (!dff_admission_has_room (call, 1)) {
+	if (!dff_admission_check_queue (call, 1)) {
 		dff_job_row_free (row);
 		return;
 	}
--- a/entry/pool_admin.c
+++ b/entry/pool_admin.c
@@ -14,21 +14,21 @@
 /** Faults of a file that are listed at the most. */
 #define ERRORS_MAX 50
 
-struct application {
+struct pool_update {
 	struct dff_call *call;
 	/** Generation it is based on. */
 	int64_t base;
 	GString *text;
 };
 
-static void read_current (struct application *application);
+static void read_current (struct pool_update *pool_update);
 
 static void
-application_free (struct application *application)
+pool_update_free (struct pool_update *pool_update)
 {
-	g_string_free (application->text, TRUE);
-	dff_call_unref (application->call);
-	g_free (application);
+	g_string_free (pool_update->text, TRUE);
+	dff_call_unref (pool_update->call);
+	g_free (pool_update);
 }
 
 static void
@@ -48,11 +48,11 @@
 }
 
 static void
-reply_other_generation (struct application *application, int64_t generation)
+reply_other_generation (struct pool_update *pool_update, int64_t generation)
 {
 	g_autofree char *detail = g_strdup_printf (
 		"Generation %" PRId64 " is on record, the file is based on %" PRId64 ".",
-		generation, application->base);
+		generation, pool_update->base);
 	json_t *extra = json_pack ("{s:I}", "generation", (json_int_t)generation);
 	struct dff_problem problem = {
 		.status = 412,
@@ -60,39 +60,39 @@
 		.detail = detail,
 		.extra = extra,
 	};
-	set_etag (application->call, generation);
-	dff_reply_problem (application->call, &problem);
+	set_etag (pool_update->call, generation);
+	dff_reply_problem (pool_update->call, &problem);
 	json_decref (extra);
-	application_free (application);
+	pool_update_free (pool_update);
 }
 
 static void
-reply_applied (struct application *application, int64_t generation, int64_t revision)
+reply_applied (struct pool_update *pool_update, int64_t generation, int64_t revision)
 {
-	struct dff_call *call = application->call;
+	struct dff_call *call = pool_update->call;
 	struct dff_entry *entry = call->entry;
-	struct dff_str text = {application->text->str, application->text->len};
+	struct dff_str text = {pool_update->text->str, pool_update->text->len};
 	if (entry->options.pool_committed != NULL && !entry->closed)
 		entry->options.pool_committed (entry->options.ctx, generation, revision, text);
 	set_etag (call, generation);
 	dff_reply_json (call, 200, json_pack ("{s:I}", "generation", (json_int_t)generation));
-	application_free (application);
+	pool_update_free (pool_update);
 }
 
 static void
 pool_recorded (void *user, enum dff_entry_record_outcome outcome, int64_t revision)
 {
-	struct application *application = user;
-	struct dff_call *call = application->call;
+	struct pool_update *pool_update = user;
+	struct dff_call *call = pool_update->call;
 	if (outcome == DFF_ENTRY_RECORD_DONE) {
 		dff_log (DFF_LOG_ENTRY, DFF_LOG_INFO,
 			 "Pool file committed. generation=%" PRId64 " operator=%s",
-			 application->base + 1, call->principal.name.data);
-		reply_applied (application, application->base + 1, revision);
+			 pool_update->base + 1, call->principal.name.data);
+		reply_applied (pool_update, pool_update->base + 1, revision);
 		return;
 	}
 	if (outcome == DFF_ENTRY_RECORD_CONFLICT && !call->entry->closed) {
-		read_current (application);
+		read_current (pool_update);
 		return;
 	}
 	struct dff_problem unknown = {
@@ -106,38 +106,38 @@
 		dff_reply_problem (call, &unknown);
 	else
 		dff_reply_store_unavailable (call);
-	application_free (application);
+	pool_update_free (pool_update);
 }
 
 static void
-record_pool (struct application *application, int64_t revision)
+record_pool (struct pool_update *pool_update, int64_t revision)
 {
-	struct dff_str text = {application->text->str, application->text->len};
-	g_autoptr (GString) value = dff_pool_row_encode (application->base + 1, text);
-	dff_call_record_row (application->call, dff_str_from (DFF_POOL_ROW_KEY),
+	struct dff_str text = {pool_update->text->str, pool_update->text->len};
+	g_autoptr (GString) value = dff_pool_row_encode (pool_update->base + 1, text);
+	dff_call_record_row (pool_update->call, dff_str_from (DFF_POOL_ROW_KEY),
 			     (struct dff_str){value->str, value->len}, revision, pool_recorded,
-			     application);
+			     pool_update);
 }
 
 static void
-compare_current (struct application *application, struct dff_str value, int64_t revision)
+compare_current (struct pool_update *pool_update, struct dff_str value, int64_t revision)
 {
 	int64_t generation = 0;
 	g_autoptr (GString) recorded = dff_pool_row_decode (value, &generation, NULL);
 	if (recorded == NULL) {
-		dff_reply_store_unavailable (application->call);
-		application_free (application);
+		dff_reply_store_unavailable (pool_update->call);
+		pool_update_free (pool_update);
 		return;
 	}
-	/* The answer to an earlier sending of this very application may have been lost. */
+	/* The answer to an earlier sending of this very pool_update may have been lost. */
 	bool repeated =
-		generation == application->base + 1 && g_string_equal (application->text, recorded);
+		generation == pool_update->base + 1 && g_string_equal (pool_update->text, recorded);
 	if (repeated)
-		reply_applied (application, generation, revision);
-	else if (generation != application->base)
-		reply_other_generation (application, generation);
+		reply_applied (pool_update, generation, revision);
+	else if (generation != pool_update->base)
+		reply_other_generation (pool_update, generation);
 	else
-		record_pool (application, revision);
+		record_pool (pool_update, revision);
 }
 
 static void
@@ -147,28 +147,28 @@
 	      int64_t revision,
 	      void *user)
 {
-	struct application *application = user;
+	struct pool_update *pool_update = user;
 	if (outcome == DFF_FETCH_FOUND) {
-		compare_current (application, value, revision);
+		compare_current (pool_update, value, revision);
 	} else if (outcome == DFF_FETCH_UNAVAILABLE) {
 		dff_reply_store_unavailable (call);
-		application_free (application);
-	} else if (application->base == 0) {
-		record_pool (application, 0);
+		pool_update_free (pool_update);
+	} else if (pool_update->base == 0) {
+		record_pool (pool_update, 0);
 	} else {
-		reply_other_generation (application, 0);
+		reply_other_generation (pool_update, 0);
 	}
 }
 
 static void
-read_current (struct application *application)
+read_current (struct pool_update *pool_update)
 {
-	dff_value_fetch (application->call, dff_str_from (DFF_POOL_ROW_KEY), current_read,
-			 application);
+	dff_value_fetch (pool_update->call, dff_str_from (DFF_POOL_ROW_KEY), current_read,
+			 pool_update);
 }
 
 static void
-reply_faults (struct dff_call *call, const GPtrArray *errors)
+reply_pool_errors (struct dff_call *call, const GPtrArray *errors)
 {
 	json_t *list = json_array ();
 	for (guint i = 0; i < errors->len && i < ERRORS_MAX; i++)
@@ -214,12 +214,12 @@
 	}
 	DFF_AUTO (dff_pool) pool = dff_pool_parse (text, "pool", errors, &error);
 	if (pool == NULL) {
-		reply_faults (call, errors);
+		reply_pool_errors (call, errors);
 		return;
 	}
-	struct application *application = g_new0 (struct application, 1);
-	application->call = dff_call_ref (call);
-	application->base = base;
-	application->text = g_string_new_len (text.data, (gssize)text.len);
-	read_current (application);
+	struct pool_update *pool_update = g_new0 (struct pool_update, 1);
+	pool_update->call = dff_call_ref (call);
+	pool_update->base = base;
+	pool_update->text = g_string_new_len (text.data, (gssize)text.len);
+	read_current (pool_update);
 }
--- a/entry/record.c
+++ b/entry/record.c
@@ -13,15 +13,15 @@
 };
 
 static const char *
-outcome_word (enum dff_entry_record_outcome outcome)
+outcome_name (enum dff_entry_record_outcome outcome)
 {
-	static const char *const words[] = {
+	static const char *const names[] = {
 		[DFF_ENTRY_RECORD_DONE] = "done",
 		[DFF_ENTRY_RECORD_CONFLICT] = "conflict",
 		[DFF_ENTRY_RECORD_NOT_DONE] = "not_done",
 		[DFF_ENTRY_RECORD_UNKNOWN] = "unknown",
 	};
-	return words[outcome];
+	return names[outcome];
 }
 
 static void
@@ -31,8 +31,8 @@
 	struct dff_name none = {.len = 0};
 	dff_deadlines_clear (entry->deadlines, &pending->timeout);
 	if (!entry->closed) {
-		const char *word = outcome_word (outcome);
-		dff_span_end (entry->options.tracer, &pending->span, &none, word);
+		const char *name = outcome_name (outcome);
+		dff_span_end (entry->options.tracer, &pending->span, &none, name);
 	}
 	if (outcome == DFF_ENTRY_RECORD_UNKNOWN)
 		(*entry->counters.record_unknown)++;
--- a/entry/request.c
+++ b/entry/request.c
@@ -118,7 +118,7 @@
 
 /* Later submissions with the key go their own way. */
 static void
-leave_key (struct dff_request *request)
+release_key (struct dff_request *request)
 {
 	GHashTable *by_hash = request->owner->by_hash;
 	if (g_hash_table_lookup (by_hash, &request->hash) == request)
@@ -126,13 +126,13 @@
 }
 
 void
-dff_request_forget (struct dff_request *request)
+dff_request_remove (struct dff_request *request)
 {
 	struct dff_requests *requests = request->owner;
 	g_autofree char *key = dff_request_key (request);
 	dff_deadlines_clear (requests->entry->deadlines, &request->timer);
 	g_hash_table_remove (requests->by_id, key);
-	leave_key (request);
+	release_key (request);
 	g_hash_table_remove (requests->by_upstream_id, &request->upstream_id);
 }
 
@@ -148,7 +148,7 @@
 caller_lost (struct dff_call *call, void *user)
 {
 	struct dff_request *request = user;
-	request->lost_caller = true;
+	request->caller_disconnected = true;
 	call->on_lost = NULL;
 }
 
@@ -203,7 +203,7 @@
 	 * answer to that is late; another process records the key and runs it; then a submission
 	 * comes here. Cause: the end that is still in memory is taken for what is on record. */
 	if (request->proven_not_run)
-		leave_key (request);
+		release_key (request);
 	reply_to_callers (request);
 	dff_request_store (request);
 }
@@ -247,7 +247,7 @@
 void
 dff_requests_tick (struct dff_requests *requests)
 {
-	dff_requests_pump (requests);
+	dff_requests_dispatch_waiting (requests);
 }
 
 void
--- a/entry/request_private.h
+++ b/entry/request_private.h
@@ -43,7 +43,7 @@
 	int64_t deadline_ms;
 	int32_t n_sent;
 	/** Workers that have it and have not answered. */
-	int32_t n_open;
+	int32_t n_outstanding;
 	/** Where it was sent last. */
 	struct dff_name worker;
 	/** It was sent, and it is not known what became of it. */
@@ -59,7 +59,7 @@
 	GPtrArray *calls;
 	struct dff_answer *answer;
 	/** Some caller's connection broke before the answer. */
-	bool lost_caller;
+	bool caller_disconnected;
 
 	/* Not idempotent only. */
 	/** Hash of the Idempotency-Key. */
@@ -135,7 +135,7 @@
 void dff_request_unref (struct dff_request *request);
 
 /** Forgets an ended request. */
-void dff_request_forget (struct dff_request *request);
+void dff_request_remove (struct dff_request *request);
 
 /** Sets the deadline that the request waits for, in place of the former one. */
 void dff_request_set_timer (struct dff_request *request, int64_t due_ms, dff_deadline_func func);
@@ -144,7 +144,7 @@
 void dff_request_dispatch (struct dff_request *request);
 
 /** Sends on who waits for a slot, and gives up who cannot get one any more. */
-void dff_requests_pump (struct dff_requests *requests);
+void dff_requests_dispatch_waiting (struct dff_requests *requests);
 
 /** Puts the attempt on record, then dispatches; or answers from the record. */
 void dff_attempt_begin (struct dff_request *request);
--- a/entry/request_read.c
+++ b/entry/request_read.c
@@ -9,7 +9,7 @@
 #define START_DIGITS 4
 
 /** Who made an id. */
-struct id_maker {
+struct id_origin {
 	/** The beginning of the instance's name. */
 	struct dff_str instance;
 	/** dff_peer_start_id() of the process; 0: not known. */
@@ -39,44 +39,44 @@
 
 /* Reads who made an id. Returns false for ids that no process made. */
 static bool
-id_maker (const struct dff_name *id, struct id_maker *maker)
+id_origin (const struct dff_name *id, struct id_origin *origin)
 {
 	const char *dot = strrchr (id->data, '.');
 	if (dot == NULL || strlen (dot + 1) != ID_DIGITS)
 		return false;
-	maker->instance.data = id->data;
-	maker->instance.len = (size_t)(dot - id->data);
+	origin->instance.data = id->data;
+	origin->instance.len = (size_t)(dot - id->data);
 	char digits[START_DIGITS + 1] = "";
 	memcpy (digits, dot + 1, START_DIGITS);
-	maker->start = (uint32_t)g_ascii_strtoull (digits, NULL, 16);
+	origin->start = (uint32_t)g_ascii_strtoull (digits, NULL, 16);
 	return true;
 }
 
 static bool
-is_instance (const struct dff_name *name, struct dff_str part)
+has_instance_prefix (const struct dff_name *name, struct dff_str part)
 {
 	return name->len >= part.len && memcmp (name->data, part.data, part.len) == 0;
 }
 
 static bool
-is_self (const struct dff_entry *entry, const struct id_maker *maker)
+is_self (const struct dff_entry *entry, const struct id_origin *origin)
 {
-	return is_instance (&entry->options.settings->instance, maker->instance);
+	return has_instance_prefix (&entry->options.settings->instance, origin->instance);
 }
 
 /* Symptom: who repeats a request of a process that was killed is held until the deadline and told
  * to come back, for ever. Sequence: another process takes its name within seconds. Cause: the name
  * is alive. The number that each process draws when it starts tells them apart. */
 static bool
-is_alive (struct dff_entry *entry, const struct id_maker *maker)
+is_alive (struct dff_entry *entry, const struct id_origin *origin)
 {
 	const GArray *members = dff_peer_members (entry->options.peer);
 	for (guint i = 0; i < members->len; i++) {
 		const struct dff_member *member = &g_array_index (members, struct dff_member, i);
-		bool replaced = maker->start != 0 && member->start_id != 0 &&
-				member->start_id != maker->start;
+		bool replaced = origin->start != 0 && member->start_id != 0 &&
+				member->start_id != origin->start;
 		if (member->state != DFF_MEMBER_DEAD && !replaced &&
-		    is_instance (&member->instance.id, maker->instance))
+		    has_instance_prefix (&member->instance.id, origin->instance))
 			return true;
 	}
 	return false;
@@ -85,11 +85,11 @@
 bool
 dff_request_owner_is_gone (struct dff_entry *entry, const struct dff_name *id)
 {
-	struct id_maker maker;
-	if (!id_maker (id, &maker))
+	struct id_origin origin;
+	if (!id_origin (id, &origin))
 		return false;
 	/* A request of this process's own predecessor. */
-	return is_self (entry, &maker) || !is_alive (entry, &maker);
+	return is_self (entry, &origin) || !is_alive (entry, &origin);
 }
 
 /* No answer is kept: the request is in progress elsewhere, or lost, or was never there. */
@@ -97,10 +97,10 @@
 reply_without_answer (struct dff_call *call)
 {
 	struct dff_entry *entry = call->entry;
-	struct id_maker maker;
-	if (!id_maker (&call->subject, &maker) || is_self (entry, &maker))
+	struct id_origin origin;
+	if (!id_origin (&call->subject, &origin) || is_self (entry, &origin))
 		dff_reply_error (call, 404, "not_found", "No answer is kept under this id.");
-	else if (is_alive (entry, &maker))
+	else if (is_alive (entry, &origin))
 		reply_in_progress (call);
 	else
 		reply_unknown (call);
--- a/entry/result.c
+++ b/entry/result.c
@@ -27,7 +27,7 @@
 	struct dff_deadline *timeout;
 	/** Its row is being read. */
 	bool reading;
-	bool gone;
+	bool removed;
 };
 
 struct dff_results {
@@ -38,7 +38,7 @@
 	guint next_waiter;
 	int64_t next_reread_ms;
 	bool rereading;
-	/** How often the number of rows in one reading is halved for now. */
+	/** How often the number of rows in one reading is reduced for now. */
 	int32_t n_halvings;
 };
 
@@ -56,7 +56,7 @@
 	struct dff_entry *entry = waiter->call->entry;
 	dff_deadlines_clear (entry->deadlines, &waiter->timeout);
 	waiter->call->on_lost = NULL;
-	waiter->gone = true;
+	waiter->removed = true;
 	if (!waiter->reading)
 		waiter_free (waiter);
 }
@@ -69,7 +69,7 @@
 }
 
 static struct waiter *
-take_waiter (struct dff_results *results)
+pop_waiter (struct dff_results *results)
 {
 	guint n = results->waiters->len;
 	return n == 0 ? NULL : g_ptr_array_steal_index_fast (results->waiters, n - 1);
@@ -109,7 +109,7 @@
 {
 	struct waiter *waiter = user;
 	waiter->reading = false;
-	if (waiter->gone) {
+	if (waiter->removed) {
 		waiter_free (waiter);
 		return;
 	}
@@ -152,7 +152,7 @@
 	     void *user)
 {
 	int64_t wait_ms = GPOINTER_TO_INT (user);
-	if (outcome == DFF_FETCH_FOUND && !dff_auth_sees_team (call, &row->spec.team))
+	if (outcome == DFF_FETCH_FOUND && !dff_auth_may_see_team (call, &row->spec.team))
 		outcome = DFF_FETCH_MISSING;
 	if (outcome != DFF_FETCH_FOUND)
 		dff_reply_fetch_failed (call, outcome);
@@ -189,7 +189,7 @@
 dff_results_free (struct dff_results *results)
 {
 	struct waiter *waiter;
-	while ((waiter = take_waiter (results)) != NULL)
+	while ((waiter = pop_waiter (results)) != NULL)
 		release_waiter (waiter);
 	g_ptr_array_unref (results->waiters);
 	g_free (results);
@@ -206,10 +206,10 @@
 }
 
 static void
-send_away (struct dff_results *results)
+reply_to_all_waiters (struct dff_results *results)
 {
 	struct waiter *waiter;
-	while ((waiter = take_waiter (results)) != NULL) {
+	while ((waiter = pop_waiter (results)) != NULL) {
 		reply_not_ended (waiter->call);
 		release_waiter (waiter);
 	}
@@ -219,7 +219,7 @@
  * no row is ever read again, callers whose notice was lost wait in vain, and ended jobs count for
  * their team for good. Fewer rows are read the next time, and more again when that worked. */
 static void
-adapt_share (struct dff_results *results, enum dff_table_outcome outcome)
+adapt_reread_size (struct dff_results *results, enum dff_table_outcome outcome)
 {
 	int32_t change = outcome == DFF_TABLE_OK ? -1 : 1;
 	results->n_halvings = CLAMP (results->n_halvings + change, 0, HALVINGS_MAX);
@@ -231,7 +231,7 @@
 	struct dff_entry *entry = user;
 	if (!entry->closed) {
 		entry->results->rereading = false;
-		adapt_share (entry->results, result->outcome);
+		adapt_reread_size (entry->results, result->outcome);
 	}
 	for (size_t i = 0; i < result->n_rows && !entry->closed; i++) {
 		const struct dff_table_row *read = &result->rows[i];
@@ -244,7 +244,7 @@
 }
 
 static guint
-halved (const struct dff_results *results, guint n)
+reduced (const struct dff_results *results, guint n)
 {
 	return MAX (1, n >> results->n_halvings);
 }
@@ -252,10 +252,10 @@
 static GArray *
 jobs_to_reread (struct dff_results *results)
 {
-	GArray *jobs =
-		dff_team_quota_sample (results->entry->quota, halved (results, REREAD_COUNTED_MAX));
+	GArray *jobs = dff_team_quota_sample (results->entry->quota,
+					      reduced (results, REREAD_COUNTED_MAX));
 	guint n_waiters = results->waiters->len;
-	guint n = MIN (n_waiters, halved (results, REREAD_WAITING_MAX));
+	guint n = MIN (n_waiters, reduced (results, REREAD_WAITING_MAX));
 	for (guint i = 0; i < n; i++) {
 		const struct waiter *waiter =
 			results->waiters->pdata[results->next_waiter++ % n_waiters];
@@ -291,7 +291,7 @@
 {
 	int64_t now_ms = dff_entry_now_ms (results->entry);
 	if (results->entry->leaving)
-		send_away (results);
+		reply_to_all_waiters (results);
 	if (results->rereading || now_ms < results->next_reread_ms)
 		return;
 	results->next_reread_ms = now_ms + REREAD_MS;
--- a/entry/retry_budget.c
+++ b/entry/retry_budget.c
@@ -3,29 +3,29 @@
 #include <glib.h>
 
 /** One retry, in hundredths. */
-#define RETRY 100
+#define RETRY_COST 100
 /** What one success adds: one retry for ten successes. */
 #define DEPOSIT 10
-#define START (20 * RETRY)
-#define MOST (200 * RETRY)
+#define INITIAL_BALANCE (20 * RETRY_COST)
+#define MAX_BALANCE (200 * RETRY_COST)
 
 void
 dff_retry_budget_init (struct dff_retry_budget *budget)
 {
-	budget->hundredths = START;
+	budget->hundredths = INITIAL_BALANCE;
 }
 
 void
 dff_retry_budget_deposit (struct dff_retry_budget *budget)
 {
-	budget->hundredths = MIN (MOST, budget->hundredths + DEPOSIT);
+	budget->hundredths = MIN (MAX_BALANCE, budget->hundredths + DEPOSIT);
 }
 
 bool
 dff_retry_budget_withdraw (struct dff_retry_budget *budget)
 {
-	if (budget->hundredths < RETRY)
+	if (budget->hundredths < RETRY_COST)
 		return false;
-	budget->hundredths -= RETRY;
+	budget->hundredths -= RETRY_COST;
 	return true;
 }
--- a/entry/slots.c
+++ b/entry/slots.c
@@ -8,9 +8,9 @@
 	bool same_data_centre;
 	bool listed_leaving;
 	/** Said so itself; stands until the list forgets the worker or it is granted anew. */
-	bool said_leaving;
+	bool reported_leaving;
 	/** When it was last told so. */
-	int64_t said_leaving_ms;
+	int64_t reported_leaving_ms;
 	int32_t granted;
 	int32_t in_use;
 	int64_t avoid_until_ms;
@@ -25,7 +25,7 @@
 	GHashTable *by_id;
 	/** Elements: struct slot_worker *: those that may be used in the same data centre; stale
 	 * when @changed. */
-	GPtrArray *near;
+	GPtrArray *local;
 	bool changed;
 	/** Scratch space of dff_slots_acquire(): struct slot_worker *. */
 	GPtrArray *candidates;
@@ -41,7 +41,7 @@
 	slots->rng = g_rand_new_with_seed ((guint32)(seed ^ (seed >> 32)));
 	slots->workers = g_ptr_array_new_with_free_func (g_free);
 	slots->by_id = g_hash_table_new (dff_name_hash, dff_name_equal_func);
-	slots->near = g_ptr_array_new ();
+	slots->local = g_ptr_array_new ();
 	slots->candidates = g_ptr_array_new ();
 	return slots;
 }
@@ -52,7 +52,7 @@
 	g_rand_free (slots->rng);
 	g_hash_table_destroy (slots->by_id);
 	g_ptr_array_unref (slots->workers);
-	g_ptr_array_unref (slots->near);
+	g_ptr_array_unref (slots->local);
 	g_ptr_array_unref (slots->candidates);
 	g_free (slots);
 }
@@ -77,13 +77,13 @@
 }
 
 static void
-forget_unlisted (struct dff_slots *slots)
+remove_unlisted (struct dff_slots *slots)
 {
 	for (guint i = slots->workers->len; i > 0; i--) {
 		struct slot_worker *worker = slots->workers->pdata[i - 1];
 		if (!dff_name_is_empty (&worker->address))
 			continue;
-		worker->said_leaving = false;
+		worker->reported_leaving = false;
 		if (worker->in_use > 0 || worker->granted > 0)
 			continue;
 		g_hash_table_remove (slots->by_id, &worker->id);
@@ -110,7 +110,7 @@
 		worker->same_data_centre =
 			dff_name_equal (&instance->data_centre, &slots->data_centre);
 	}
-	forget_unlisted (slots);
+	remove_unlisted (slots);
 	slots->changed = true;
 }
 
@@ -119,12 +119,12 @@
  * never have forgotten the worker. The holder grants no slots of one that it knows to be leaving.
  */
 static void
-take_grant (struct dff_slots *slots, const struct dff_grant *grant, int64_t now_ms)
+apply_grant (struct dff_slots *slots, const struct dff_grant *grant, int64_t now_ms)
 {
 	struct slot_worker *worker = ensure_worker (slots, &grant->worker);
 	worker->granted = MAX (0, grant->slots);
-	if (now_ms >= worker->said_leaving_ms + DFF_SLOTS_LEAVING_HOLDDOWN_MS)
-		worker->said_leaving = false;
+	if (now_ms >= worker->reported_leaving_ms + DFF_SLOTS_LEAVING_HOLDDOWN_MS)
+		worker->reported_leaving = false;
 }
 
 void
@@ -147,7 +147,7 @@
 		worker->granted = 0;
 	}
 	for (size_t i = 0; i < n_grants; i++)
-		take_grant (slots, &grants[i], now_ms);
+		apply_grant (slots, &grants[i], now_ms);
 }
 
 void
@@ -156,8 +156,8 @@
 				 int64_t now_ms)
 {
 	struct slot_worker *worker = ensure_worker (slots, name);
-	worker->said_leaving = true;
-	worker->said_leaving_ms = now_ms;
+	worker->reported_leaving = true;
+	worker->reported_leaving_ms = now_ms;
 	slots->changed = true;
 }
 
@@ -170,7 +170,7 @@
 static bool
 is_usable (const struct slot_worker *worker)
 {
-	return worker->granted > 0 && !worker->listed_leaving && !worker->said_leaving &&
+	return worker->granted > 0 && !worker->listed_leaving && !worker->reported_leaving &&
 	       !dff_name_is_empty (&worker->address);
 }
 
@@ -227,26 +227,26 @@
 }
 
 static void
-collect_near (struct dff_slots *slots)
+collect_local (struct dff_slots *slots)
 {
 	slots->changed = false;
-	g_ptr_array_set_size (slots->near, 0);
+	g_ptr_array_set_size (slots->local, 0);
 	for (guint i = 0; i < slots->workers->len; i++) {
 		struct slot_worker *worker = slots->workers->pdata[i];
 		if (is_usable (worker) && worker->same_data_centre)
-			g_ptr_array_add (slots->near, worker);
+			g_ptr_array_add (slots->local, worker);
 	}
 }
 
 /* The usual case, without a look at every worker. Returns NULL when it has no answer. */
 static struct slot_worker *
-choose_near (struct dff_slots *slots, int64_t now_ms)
+choose_local (struct dff_slots *slots, int64_t now_ms)
 {
 	if (slots->changed)
-		collect_near (slots);
-	if (slots->near->len == 0)
+		collect_local (slots);
+	if (slots->local->len == 0)
 		return NULL;
-	struct slot_worker *worker = less_loaded_of_two (slots, slots->near);
+	struct slot_worker *worker = less_loaded_of_two (slots, slots->local);
 	bool free = worker->in_use < worker->granted;
 	return free && worker->avoid_until_ms <= now_ms ? worker : NULL;
 }
@@ -256,7 +256,7 @@
 {
 	if (now_ms >= slots->expires_ms)
 		return DFF_SLOT_NO_GRANT;
-	struct slot_worker *worker = choose_near (slots, now_ms);
+	struct slot_worker *worker = choose_local (slots, now_ms);
 	if (worker == NULL && !collect_candidates (slots, now_ms))
 		return DFF_SLOT_NO_GRANT;
 	if (worker == NULL && slots->candidates->len == 0)
--- a/tests/entry/harness.c
+++ b/tests/entry/harness.c
@@ -219,7 +219,7 @@
 }
 
 static void
-tell_instances (struct harness *harness)
+publish_instances (struct harness *harness)
 {
 	for (int i = 0; i < HARNESS_PROCESSES; i++) {
 		const struct harness_process *process = &harness->processes[i];
@@ -260,7 +260,7 @@
 	harness->instances[2] = instance ("w1", DFF_INSTANCE_WORKER);
 	harness->instances[3] = instance ("w2", DFF_INSTANCE_WORKER);
 	harness->n_instances = 4;
-	tell_instances (harness);
+	publish_instances (harness);
 	harness_run (harness, 500);
 	return harness;
 }
@@ -290,7 +290,7 @@
 	harness_kill (harness, index);
 	harness->processes[index].n_replaced++;
 	start_process (harness, index);
-	tell_instances (harness);
+	publish_instances (harness);
 }
 
 void
@@ -371,5 +371,5 @@
 		if (g_str_equal (harness->instances[i].id.data, worker))
 			harness->instances[i].leaving = true;
 	}
-	tell_instances (harness);
+	publish_instances (harness);
 }
