--- a/entry/admission.c
+++ b/entry/admission.c
@@ -6,11 +6,11 @@
 #include "entry/entry_private.h"
 #include "entry/reply.h"
 
-/** Bytes of an Idempotency-Key at the most. */
+/** Maximum length of an Idempotency-Key, bytes. */
 #define KEY_MAX 255
-/** Hex digits of a SHA-256 that identify a submission. */
+/** Hex digits of the SHA-256 that are kept to identify a submission. */
 #define HASH_DIGITS 32
-/** When a caller beyond the team's bound should come back at the earliest, s. */
+/** Minimum Retry-After of a caller whose team has reached its limit of queued jobs, s. */
 #define BUSY_RETRY_S 5
 
 static bool
@@ -114,7 +114,8 @@
 void
 dff_reply_job_rejection (struct dff_call *call, struct dff_job_rejection *rejection)
 {
-	/* What depends on the pool in force may have been accepted under an earlier one. */
+	/* A check against the current pool does not prove that the job never ran: an earlier call
+	 * may have been accepted under an earlier pool. */
 	struct dff_problem problem = {
 		.status = rejection->status,
 		.code = rejection->code,
--- a/entry/answer.h
+++ b/entry/answer.h
@@ -10,12 +10,12 @@
 #include "entry/call.h"
 #include "entry/reply.h"
 
-/* The final answer to a short request, as a value: it is sent, attached callers get it too, and it
- * is kept in the object store when its caller's connection broke. */
+/* The final answer to a short request, as a value. It is sent to all attached callers, and stored
+ * in the object store when a caller's connection was lost. */
 
 struct dff_answer {
 	int status;
-	/** Static or interned. */
+	/** Static or interned string. */
 	const char *content_type;
 	GString *body;
 	enum dff_outcome outcome;
@@ -36,18 +36,20 @@
 		       const struct dff_answer *answer,
 		       const struct dff_name *request);
 
-/** Sends an answer that was kept: as it is when it completed, else 410 with its outcome. */
+/** Sends a stored answer: unchanged when its outcome is completed, otherwise 410 with the
+ * outcome. */
 void dff_reply_kept_answer (struct dff_call *call,
 			    const struct dff_answer *answer,
 			    const struct dff_name *request);
 
-/** Writes "answer/TEAM/REQUEST". Teams cannot read each other's, as the key holds the team. */
+/** Returns: "answer/TEAM/REQUEST". The key holds the team, so that no team can read another one's
+ * answers. */
 GString *dff_answer_key (const struct dff_name *team, const struct dff_name *request);
 
-/** One line of JSON with length and digest, and then the body. */
+/** Returns: one line of JSON with the length and digest of the body, followed by the body. */
 GString *dff_answer_encode (const struct dff_answer *answer);
 
-/** Returns: (transfer full) (nullable): NULL when the object is malformed or cut. */
+/** Returns: (transfer full) (nullable): NULL when the object is malformed or truncated. */
 struct dff_answer *dff_answer_decode (struct dff_str object);
 
 #endif
--- a/entry/assembly.h
+++ b/entry/assembly.h
@@ -9,9 +9,9 @@
 #include "common/str.h"
 
 /*
- * Puts a result together from its chunks: {"length", "digest", "chunks": [{"offset", "length",
- * "digest", "key"}]}. Chunks may arrive late, twice, in any order or cut; the whole is handed out
- * only when every byte and the digest of the whole are right.
+ * Assembles a result from its chunks. The manifest is {"length", "digest", "chunks": [{"offset",
+ * "length", "digest", "key"}]}. Chunks may arrive late, twice, truncated or in any order. The
+ * result is returned only when every byte is there and its digest is correct.
  */
 
 struct dff_assembly;
@@ -28,11 +28,13 @@
 /**
  * dff_assembly_new:
  * @manifest: the manifest object
- * @length: of the whole, as recorded with the job
- * @digest: of the whole, as recorded with the job, hex
+ * @length: length of the complete result, bytes, as recorded with the job
+ * @digest: SHA-256 of the complete result, hex, as recorded with the job
  *
- * Returns: (nullable): NULL when the manifest is malformed, does not agree with the record, or its
- * chunks leave a gap or overlap. A chunk that is listed twice counts once.
+ * A chunk that is listed twice is read once.
+ *
+ * Returns: (nullable): NULL when the manifest is malformed, differs from the recorded length or
+ * digest, or its chunks leave a gap or overlap.
  */
 struct dff_assembly *dff_assembly_new (struct dff_str manifest, int64_t length, const char *digest);
 
@@ -46,21 +48,22 @@
 
 enum dff_chunk_outcome {
 	DFF_CHUNK_ACCEPTED,
-	/** Taken before; ignored. */
+	/** The chunk was added before; the bytes are ignored. */
 	DFF_CHUNK_DUPLICATE,
-	/** Other length or digest than the manifest says; ignored, to be read again. */
+	/** Length or digest differ from the manifest; the bytes are ignored and the chunk has to be
+	 * read again. */
 	DFF_CHUNK_CORRUPT,
 };
 
-/** Takes the bytes of a chunk in. */
+/** Adds the bytes of a chunk. */
 enum dff_chunk_outcome
 dff_assembly_add (struct dff_assembly *assembly, size_t index, struct dff_str data);
 
-/** Whether every chunk was taken. */
+/** Returns: whether every chunk was added. */
 bool dff_assembly_is_complete (const struct dff_assembly *assembly);
 
-/** Sets @whole to the result, valid as long as the assembly. Returns: false when it is not complete
- * or its digest is not the recorded one. */
+/** Sets @whole to the complete result, valid as long as the assembly. Returns: false when chunks
+ * are missing or the digest differs from the recorded one. */
 bool dff_assembly_finish (const struct dff_assembly *assembly, struct dff_str *whole);
 
 #endif
--- a/entry/attempt.c
+++ b/entry/attempt.c
@@ -6,20 +6,21 @@
 #include "entry/request_private.h"
 
 /*
- * The record of a request that is not idempotent: the row "attempt/HASH" is written, on condition
- * that it does not exist, before the request is sent, and its outcome after. Whoever comes with the
- * same key gets the recorded outcome and sends nothing.
+ * Records of requests that are not idempotent. The row "attempt/HASH" is written before the request
+ * is sent, on condition that the row does not exist; the outcome is written to it afterwards. A
+ * later call with the same key gets the recorded outcome and sends nothing.
  */
 
 /** Interval at which another process's open attempt is read again, ms. */
 #define REREAD_MS 500
-/** An open attempt is given up on when it is older than its deadline by this, ms. */
+/** An open attempt of another process is reported as unknown when it is older than its deadline
+ * plus this, ms. */
 #define OPEN_GRACE_MS 2000
-/** Times that an attempt is begun anew because the other one's row was gone. */
+/** Maximum restarts of an attempt after the row that it conflicted with was deleted. */
 #define RESTARTS_MAX 3
-/** Times that an answer is offered to the object store. */
+/** Maximum tries to put an answer in the object store. */
 #define PUT_TRIES_MAX 10
-/** Time between tries to store an outcome, ms. */
+/** Delay before an outcome that could not be stored is stored again, ms. */
 #define STORE_RETRY_MS 1000
 
 struct attempt_row {
@@ -88,7 +89,8 @@
 	dff_request_fail (request, &problem);
 }
 
-/* Nothing was sent and nothing will be; what an earlier call with the same key did is not known. */
+/* This call sent nothing to a worker and will not. Whether an earlier call with the same key ran
+ * the request is not known. */
 static void
 fail_not_recorded (struct dff_request *request)
 {
@@ -157,9 +159,9 @@
 	read_row (request);
 }
 
-/* Another process has the attempt, or had it and died. It is waited for as long as it may still
- * end by itself, and not longer: a caller who is held although nobody will ever answer repeats its
- * call until it gives up without an outcome. */
+/* Another process has the attempt, or had it and died. The wait lasts only while that process can
+ * still end the attempt. If nobody can end it, a caller that is kept waiting times out, repeats its
+ * call and finally gives up without an outcome. */
 static void
 wait_for_other_process (struct dff_request *request, const struct attempt_row *row)
 {
@@ -251,7 +253,8 @@
 	dff_span_end (tracer, &request->record_span, &request->id, outcome);
 }
 
-/* The row stands. Without a caller who waits the request is not sent: its answer was given. */
+/* The row is written. A request that has ended meanwhile is not sent, because its callers already
+ * have their answer. */
 static void
 row_written (struct dff_request *request, int64_t revision)
 {
@@ -287,8 +290,8 @@
 	dff_request_unref (request);
 }
 
-/* The store keeps silent about the row. Whatever becomes of it, nothing was sent and nothing will
- * be; if it turns out to be written it is deleted again, so that the key can be used. */
+/* The store has not answered the write of the row. The request was not sent and will not be. If the
+ * row turns out to be written, it is deleted again, so that the key can be reused. */
 static void
 record_timed_out (void *user)
 {
@@ -352,8 +355,8 @@
 	dff_request_unref (request);
 }
 
-/* Records the end; a request that is proven not to have run leaves no row, so that its key can be
- * used again. */
+/* Records the outcome. The row of a request that is proven not to have run is deleted, so that its
+ * key can be reused. */
 static void
 record_outcome (struct dff_request *request)
 {
--- a/entry/auth.h
+++ b/entry/auth.h
@@ -5,29 +5,28 @@
 
 #include "entry/call.h"
 
-/* Who may make a call. */
+/* Authentication, and which callers may make which calls. */
 
 enum dff_audience {
 	DFF_AUDIENCE_ANYBODY,
 	DFF_AUDIENCE_TEAM,
 	DFF_AUDIENCE_OPERATOR,
 	DFF_AUDIENCE_TEAM_OR_OPERATOR,
-	/** An operator, or, before the first pool is in force, the holder of the bootstrap token.
-	 */
+	/** An operator. Before the first pool is applied: the owner of the bootstrap token. */
 	DFF_AUDIENCE_POOL_WRITER,
 };
 
 /**
  * dff_auth_check:
  *
- * Sets the call's principal. Where the caller may not make the call, it is answered: 401, 403, or
- * 503 while no pool is in force.
+ * Sets the call's principal. A call that is not allowed is answered with 401 or 403, or with 503
+ * while there is no pool.
  *
- * Returns: whether the call may go on.
+ * Returns: whether the call is allowed.
  */
 bool dff_auth_check (struct dff_call *call, enum dff_audience audience);
 
-/** Whether the caller may see what belongs to @team. */
+/** Returns: whether the caller may see what belongs to @team. */
 bool dff_auth_may_see_team (const struct dff_call *call, const struct dff_name *team);
 
 #endif
--- a/entry/batch_read.c
+++ b/entry/batch_read.c
@@ -9,10 +9,10 @@
 #include "entry/reply.h"
 #include "entry/route.h"
 
-/** Rows read at once. */
+/** Rows read in one page. */
 #define PAGE_ROWS 500
 
-/** A job's category in the count; outcomes have their own values. */
+/** Category under which a job is counted. For ended jobs it equals the outcome. */
 enum tally_category {
 	DFF_TALLY_ABSENT = 0,
 	DFF_TALLY_COMPLETED = DFF_OUTCOME_COMPLETED,
@@ -30,8 +30,8 @@
 	GString *prefix;
 	int32_t manifest;
 	int64_t after;
-	/** One enum tally_category a job: a row that changes while the pages are read comes again,
-	 * and counts once. */
+	/** The enum tally_category of each job, by index. A row that changes during the scan is
+	 * read again and is still counted once. */
 	uint8_t *categories;
 };
 
@@ -128,7 +128,7 @@
 	read_page (tally);
 }
 
-/* What to do with the batch once its row was read and may be seen by the caller. */
+/* Called with the batch's row once it was read and the caller may see it. */
 typedef void (*batch_func) (struct dff_call *call, const struct dff_batch_row *row);
 
 struct batch_fetch {
--- a/entry/batch_submit.c
+++ b/entry/batch_submit.c
@@ -10,11 +10,12 @@
 #include "entry/record.h"
 #include "entry/reply.h"
 
-/** Jobs of one batch being recorded at once. */
+/** Maximum number of jobs of one batch that are being written at the same time. */
 #define MAX_WRITES_IN_PROGRESS 256
-/** Jobs in one batch at the most; the index is part of the id. */
+/** Maximum number of jobs in one batch; the index of a job is part of its id. */
 #define MAX_BATCH_JOBS 100000
-/** Hints to the holder for one batch; it finds the others by its own reading. */
+/** Maximum number of hints sent to the holder for one batch; the holder finds the other jobs in its
+ * own scan. */
 #define HINTS_MAX 16
 
 struct batch {
@@ -26,12 +27,12 @@
 	int64_t revision;
 	/** Elements: struct dff_job_row *, owned. */
 	GPtrArray *jobs;
-	/** One a job: it counts for its team although it is not on record yet. */
+	/** For each job: whether it counts towards its team's quota without being recorded yet. */
 	bool *quota_reserved;
 	guint next;
 	int32_t in_progress;
 	int32_t n_recorded;
-	/** Some job was recorded before, by an earlier sending of the same batch. */
+	/** Some job was already recorded by an earlier submission of the same batch. */
 	bool repeated;
 	enum dff_entry_record_outcome failure;
 };
@@ -44,8 +45,8 @@
 	dff_job_row_free (row);
 }
 
-/* Counted only once they are on record, the jobs of any number of batches that arrive together
- * would pass the team's bound. */
+/* Counts the jobs before they are recorded. Otherwise any number of batches submitted at the same
+ * time would exceed the team's limit. */
 static void
 reserve_quota (struct batch *batch)
 {
@@ -94,7 +95,7 @@
 	batch_free (batch);
 }
 
-/* Some jobs may be on record and will run: neither "not run" nor "accepted" would be the truth. */
+/* Some jobs may be recorded and will run, so neither "not run" nor "accepted" is correct. */
 static void
 reply_incomplete (struct batch *batch)
 {
@@ -115,7 +116,7 @@
 	batch_free (batch);
 }
 
-/* Whatever becomes of this write, the jobs are on record. */
+/* All jobs are recorded, whether or not this write succeeded. */
 static void
 count_recorded (void *user, enum dff_entry_record_outcome outcome, int64_t revision)
 {
@@ -138,7 +139,7 @@
 
 struct job_write {
 	struct batch *batch;
-	/** Of the job. */
+	/** Index of the job in the batch. */
 	guint index;
 };
 
@@ -271,7 +272,7 @@
 	return false;
 }
 
-/* Reads one line. Returns false, with the call answered, when it has a rejection. */
+/* Reads one line. Returns false, with the call answered, when the line is rejected. */
 static bool
 read_line (struct dff_call *call, struct dff_str line, GPtrArray *jobs)
 {
@@ -293,7 +294,7 @@
 	return refuse_line (call, jobs->len, &rejection);
 }
 
-/* Reads the lines of the body. Returns NULL, with the call answered, when one has a rejection. */
+/* Reads the lines of the body. Returns NULL, with the call answered, when one is rejected. */
 static GPtrArray *
 read_lines (struct dff_call *call, int64_t manifest)
 {
--- a/entry/bulk_cancel.c
+++ b/entry/bulk_cancel.c
@@ -6,9 +6,10 @@
 #include "entry/record.h"
 #include "entry/reply.h"
 
-/** Rows read at once, which also bounds the writes in progress. */
+/** Rows read in one page; also the maximum number of writes in progress. */
 #define PAGE_ROWS 200
-/** Hints to the holder for one page; it finds the others by its own reading. */
+/** Maximum number of hints sent to the holder for one page; the holder finds the other jobs in its
+ * own scan. */
 #define HINTS_MAX 16
 
 struct cancellation {
@@ -22,7 +23,7 @@
 	int32_t n_cancelled;
 	bool failed;
 	bool more;
-	/** Some job changed between the reading and the write. */
+	/** The row of some job changed between its read and its write. */
 	bool conflicted;
 };
 
@@ -64,8 +65,8 @@
 	json_decref (json);
 }
 
-/* A job that the holder changed between the reading and the write has a higher revision now, so the
- * next page holds it again. */
+/* A row that the holder changed between the read and the write has a higher revision now, so that
+ * it is on the next page again. */
 static void
 finish_page (struct cancellation *cancellation)
 {
--- a/entry/bulk_cancel.h
+++ b/entry/bulk_cancel.h
@@ -5,12 +5,12 @@
 
 /**
  * dff_bulk_cancel:
- * @prefix: of the rows' keys
- * @team: (nullable): only this team's jobs
- * @batch: (nullable): named in the answer
+ * @prefix: key prefix of the jobs' rows
+ * @team: (nullable): cancel only this team's jobs
+ * @batch: (nullable): id of the batch for the answer
  *
- * Puts a cancellation on record for every job under @prefix that has not ended, and answers
- * 202 {"cancelling": N}. Repeating it is harmless.
+ * Records a cancellation for every job under @prefix that has not ended, and answers 202
+ * {"cancelling": N}. Repeating the call has no further effect.
  */
 void dff_bulk_cancel (struct dff_call *call,
 		      struct dff_str prefix,
--- a/entry/call.c
+++ b/entry/call.c
@@ -58,8 +58,9 @@
 	g_free (call);
 }
 
-/* evhttp takes a request off a connection that broke while the request was being worked on, and
- * leaves freeing it to whoever works on it; on every other way it frees the request itself. */
+/* When a connection breaks while its request is being handled, evhttp detaches the request from the
+ * connection and leaves it to the handler to free. In all other cases evhttp frees the request
+ * itself. */
 static void
 connection_closed (struct evhttp_connection *connection, void *ctx)
 {
@@ -92,10 +93,10 @@
 	dff_call_unref (call);
 }
 
-/* While a request is worked on evhttp does not look at its connection. Symptom: a caller that hung
- * up keeps its place until the answer is written. Reading stays on, so that the end of the stream
- * is seen; evhttp's own read callback must not run meanwhile, as it takes bytes that a client sends
- * ahead for a broken invariant and ends the process. */
+/* evhttp does not watch the connection while its request is being handled, so that a caller that
+ * hung up would hold its connection until the answer is written. Reading therefore stays enabled,
+ * and the end of the stream is seen. evhttp's own read callback has to be off meanwhile: it treats
+ * bytes that a client sends ahead as a broken invariant and ends the process. */
 void
 dff_call_watch_loss (struct dff_call *call)
 {
--- a/entry/call.h
+++ b/entry/call.h
@@ -15,8 +15,8 @@
 #include "pool/pool.h"
 
 /*
- * One HTTP call: from a whole request to the answer, or to the loss of its connection. Counted by
- * references, because the store's answers may come after the connection is gone.
+ * One HTTP call, from a complete request to the answer or the loss of the connection. Calls are
+ * reference-counted, because the store may answer after the connection is lost.
  */
 
 struct dff_entry;
@@ -24,16 +24,16 @@
 struct dff_call {
 	struct dff_entry *entry;
 	int32_t refs;
-	/** NULL once answered, or once the connection is gone. */
+	/** NULL once the call is answered or the connection is lost. */
 	struct evhttp_request *request;
-	/** The connection was gone before the answer. */
+	/** The connection was lost before the answer. */
 	bool lost;
-	/** Whether the connection's end is waited for; holds a reference. */
+	/** A callback for the loss of the connection is set; it holds a reference. */
 	bool watched;
 	struct dff_principal principal;
-	/** It submits work under a key that an earlier call may have submitted before. */
+	/** The call submits work under a key that an earlier call may have used. */
 	bool may_repeat;
-	/** The name in the path ("/v1/jobs/NAME"); empty where there is none. */
+	/** The name in the path ("/v1/jobs/NAME"); empty when the path has none. */
 	struct dff_name subject;
 	struct evkeyvalq query;
 	struct dff_span span;
@@ -43,20 +43,20 @@
 	void *on_lost_user;
 };
 
-/** Takes over a request that evhttp hands out. Returns: the call, with one reference. */
+/** Takes ownership of a request from evhttp. Returns: the call, with one reference. */
 struct dff_call *dff_call_new (struct dff_entry *entry, struct evhttp_request *request);
 
 struct dff_call *dff_call_ref (struct dff_call *call);
 
 void dff_call_unref (struct dff_call *call);
 
-/** Lets an unanswered call learn that its caller went away. */
+/** Watches the connection of an unanswered call, so that a caller that disconnects is detected. */
 void dff_call_watch_loss (struct dff_call *call);
 
-/** Ends what dff_call_watch_loss() began; the call still has its request. */
+/** Undoes dff_call_watch_loss(). The call must still have its request. */
 void dff_call_unwatch_loss (struct dff_call *call);
 
-/** Whether the caller still waits for the answer. */
+/** Returns: whether the caller is still connected and waits for the answer. */
 bool dff_call_is_open (const struct dff_call *call);
 
 /** Returns: (nullable): a header of the request. */
@@ -65,11 +65,11 @@
 /** Returns: (nullable): a parameter of the query. */
 const char *dff_call_query (const struct dff_call *call, const char *name);
 
-/** Returns: the body, valid as long as the call is open. */
+/** Returns: the body of the request, valid while the call is open. */
 struct dff_str dff_call_body (struct dff_call *call);
 
-/** Reads a header that holds a whole number. Returns: false when it is there and is none, or is out
- * of range. *@value stays as it is when the header is absent. */
+/** Reads a header that holds an integer. *@value stays unchanged when the header is absent.
+ * Returns: false when the header is not an integer or is out of range. */
 bool dff_call_header_int (
 	const struct dff_call *call, const char *name, int64_t min, int64_t max, int64_t *value);
 
--- a/entry/connection.c
+++ b/entry/connection.c
@@ -6,18 +6,19 @@
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
-/** Interval at which connections are looked at, ms. */
+/** Interval at which connections are checked against their limits, ms. */
 #define SCAN_MS 50
-/** An idle keep-alive connection is closed after this long, ms. */
+/** Idle time after which a keep-alive connection is closed, ms. */
 #define IDLE_LIMIT_MS 75000
-/** An answer that makes no progress for this long is cut, s. */
+/** Time without progress after which an answer that is being written is aborted, s. */
 #define WRITE_STALL_S 30
-/** Bytes a client may send ahead while its request is worked on. */
+/** Bytes that a client may send ahead while its request is being handled. */
 #define READ_AHEAD_BYTES 65536
-/** Connections accepted beyond the limit, to be closed at once, before accepting pauses. */
+/** Number of connections above the limit that are accepted, to be closed at once, before accepting
+ * is paused. */
 #define OVERFLOW_MAX 32
 
-/** Dead peers are found after IDLE + INTERVAL * COUNT seconds of silence. */
+/** A dead peer is detected after IDLE + INTERVAL * COUNT seconds without a packet. */
 #define KEEPALIVE_IDLE_S 15
 #define KEEPALIVE_INTERVAL_S 5
 #define KEEPALIVE_COUNT 3
@@ -30,8 +31,8 @@
 
 struct connection {
 	struct dff_connections *owner;
-	/** A reference of its own: evhttp frees its one without telling, and the address must not
-	 * be used again while it is a key here. */
+	/** Holds a reference. evhttp frees the bufferevent without a notification, and its address
+	 * must not be reused while it is a key of the table. */
 	struct bufferevent *bev;
 	enum connection_state state;
 	int64_t state_since_ms;
@@ -104,7 +105,7 @@
 		set_state (connection, DFF_CONNECTION_RECEIVING);
 }
 
-/* bufferevent_free() clears the callbacks; a live connection always has evhttp's. */
+/* bufferevent_free() clears the callbacks; a live connection always has those of evhttp. */
 static bool
 is_freed (const struct connection *connection)
 {
@@ -113,7 +114,7 @@
 	return event_cb == NULL;
 }
 
-/* Forgets the connections that evhttp has freed. */
+/* Removes the connections that evhttp has freed. */
 static void
 remove_freed (struct dff_connections *connections)
 {
@@ -133,7 +134,8 @@
 dff_connections_add (struct dff_connections *connections, struct bufferevent *bev)
 {
 	static const struct timeval write_stall = {.tv_sec = WRITE_STALL_S};
-	/* The new connection has no callbacks yet and would be taken for one that is gone. */
+	/* Called before the new connection is added: it has no callbacks yet and would be taken for
+	 * a freed one. */
 	if (dff_connections_count (connections) >= connections->max_connections)
 		remove_freed (connections);
 	struct connection *connection = g_new0 (struct connection, 1);
@@ -152,8 +154,9 @@
 		evconnlistener_disable (connections->listener);
 }
 
-/* A caller that vanished without a word (power, a middlebox that forgot the connection) would hold
- * its place for as long as it waits for a result. The kernel's probes find it. */
+/* A caller that disappears without closing its connection (power loss, a middlebox that dropped the
+ * connection) would hold it for as long as it waits for a result. The kernel's keep-alive probes
+ * detect this. */
 static void
 enable_keepalive (struct connection *connection)
 {
@@ -198,8 +201,8 @@
 	struct connection *connection = g_hash_table_lookup (connections->by_bev, bev);
 	if (connection == NULL)
 		return;
-	/* evhttp leaves a body in the input until it is whole: a limit here would stop any body
-	 * that is larger, for good. It has its own limit for them. */
+	/* evhttp leaves a body in the input buffer until it is complete. A watermark here would
+	 * stall every larger body for good; evhttp has its own limit on the size of bodies. */
 	bufferevent_setwatermark (bev, EV_READ, 0, 0);
 	bool more = evbuffer_get_length (bufferevent_get_input (bev)) > 0;
 	set_state (connection, more ? DFF_CONNECTION_RECEIVING : DFF_CONNECTION_IDLE);
@@ -215,14 +218,15 @@
 		return true;
 	if (connection->state == DFF_CONNECTION_RECEIVING)
 		return age_ms >= limits->request_timeout_ms;
-	/* Idle connections must not keep new callers out. */
+	/* When the limit of connections is reached, idle ones are closed earlier, so that new
+	 * callers can connect. */
 	bool full = dff_connections_count (connection->owner) >= limits->max_connections;
 	int64_t idle_limit_ms = full ? limits->request_timeout_ms : IDLE_LIMIT_MS;
 	return connection->state == DFF_CONNECTION_IDLE && age_ms >= idle_limit_ms;
 }
 
-/* evhttp owns the connection and gives no handle to one that has sent no request yet. After the
- * shutdown it reads the end of the stream and frees the connection by itself. */
+/* evhttp owns the connection and provides no handle to one that has not sent a request yet. After
+ * the shutdown evhttp reads the end of the stream and frees the connection itself. */
 static void
 close_connection (const struct connection *connection)
 {
--- a/entry/connection.h
+++ b/entry/connection.h
@@ -11,15 +11,15 @@
 #include "common/clock.h"
 
 /*
- * Callers' connections: how many there are, and what each one is doing, so that slow, idle and
- * half-open clients are closed in bounded time and memory.
+ * Tracks callers' connections and their state, so that slow, idle and half-open clients are closed
+ * in bounded time and memory.
  */
 
 struct dff_connections;
 
 struct dff_connection_limits {
 	int32_t max_connections;
-	/** Time from the first byte of a request to its last, ms. */
+	/** Maximum time from the first byte of a request to its last, ms. */
 	int32_t request_timeout_ms;
 };
 
@@ -30,31 +30,31 @@
 
 DFF_DEFINE_CLEANUP (dff_connections, dff_connections_free);
 
-/** Takes over the accounting of a connection that was just accepted. */
+/** Starts tracking a connection that was just accepted. */
 void dff_connections_add (struct dff_connections *connections, struct bufferevent *bev);
 
-/** A request is whole and is being worked on. */
+/** Handles a complete request, which is now being worked on. */
 void dff_connections_begin_request (struct dff_connections *connections, struct bufferevent *bev);
 
-/** evhttp is about to free the connection. */
+/** Stops tracking a connection that evhttp is about to free. */
 void dff_connections_remove (struct dff_connections *connections, struct bufferevent *bev);
 
-/** The answer to the request is out. */
+/** Handles that the answer to the request was sent. */
 void dff_connections_end_request (struct dff_connections *connections, struct bufferevent *bev);
 
 /**
  * dff_connections_tick:
  * @listener: paused while there are too many connections
  *
- * Forgets the connections that are gone and closes those past a limit.
+ * Removes the connections that are freed and closes those past a limit.
  *
- * Returns: how many were closed.
+ * Returns: the number of connections closed.
  */
 int32_t dff_connections_tick (struct dff_connections *connections,
 			      const struct dff_connection_limits *limits,
 			      struct evconnlistener *listener);
 
-/** Closes connections that have waited for a next request for @idle_ms. */
+/** Closes connections that have been idle for at least @idle_ms. */
 void dff_connections_close_idle (struct dff_connections *connections, int64_t idle_ms);
 
 int32_t dff_connections_count (const struct dff_connections *connections);
--- a/entry/delivery.c
+++ b/entry/delivery.c
@@ -5,15 +5,16 @@
 #include "entry/entry_private.h"
 #include "entry/reply.h"
 
-/** A result is put together in memory before its first byte goes out; bytes at the most. */
+/** Maximum size of a result, bytes. A result is assembled in memory before its first byte is
+ * sent. */
 #define RESULT_MAX_BYTES (INT64_C (32) << 20)
-/** Bytes of all results that are being put together or sent, at the most. */
+/** Maximum size of all results that are being assembled or sent, bytes. */
 #define DELIVERY_MAX_BYTES (INT64_C (64) << 20)
-/** Chunks of one result being read at once. */
+/** Chunks of one result that are read at the same time. */
 #define CHUNKS_AT_ONCE 4
-/** Times that an object is read before it is given up. */
+/** Maximum reads of one object. */
 #define TRIES_MAX 4
-/** Time before an object that is late or damaged is read again, ms; doubled each time. */
+/** Delay before a missing or damaged object is read again, ms; doubled with each try. */
 #define RETRY_MS 100
 
 struct delivery {
@@ -25,11 +26,12 @@
 	struct dff_assembly *assembly;
 	size_t next_chunk;
 	bool finished;
-	/** The bytes belong to the answer now. */
+	/** The bytes belong to the answer now and are no longer counted by the delivery. */
 	bool bytes_detached;
 };
 
-/* A result on its way out: its bytes count until the last one is with the kernel. */
+/* A result that is being sent. Its bytes count towards DELIVERY_MAX_BYTES until the last one was
+ * passed to the kernel. */
 struct outgoing {
 	struct dff_entry *entry;
 	struct dff_assembly *assembly;
@@ -144,7 +146,7 @@
 	read_object (user);
 }
 
-/* Returns false when the object was tried often enough. */
+/* Returns false when the object was read TRIES_MAX times or the entry is closed. */
 static bool
 schedule_retry (struct object_read *read)
 {
@@ -168,7 +170,7 @@
 		read_chunks (delivery);
 }
 
-/* Returns false when the bytes are not the chunk's. */
+/* Returns false when the bytes do not match the chunk's length and digest. */
 static bool
 handle_chunk (struct delivery *delivery, size_t index, struct dff_str data)
 {
@@ -257,7 +259,7 @@
 		reply_result (delivery);
 		return;
 	}
-	/* Each chunk that was taken makes room for one more. */
+	/* Each chunk that was added allows one more read. */
 	size_t n = first ? CHUNKS_AT_ONCE : 1;
 	for (size_t i = 0; i < n && delivery->next_chunk < n_chunks && !delivery->finished; i++)
 		read_next_chunk (delivery);
@@ -281,7 +283,8 @@
 	json_decref (extra);
 }
 
-/* Results are held in memory whole, so that none goes out in part; together they are bounded. */
+/* Results are held in memory completely, so that none is sent in part. Their total size is
+ * bounded. */
 static bool
 refuse_over_memory_limit (struct dff_call *call, int64_t length)
 {
@@ -301,9 +304,8 @@
 	return false;
 }
 
-/* A result belongs to the trace of its job, whoever fetches it, so that one tree shows the whole
- * way.
- */
+/* The span of a result belongs to the trace of its job, whoever fetches the result, so that one
+ * trace shows the job from submission to delivery. */
 static struct dff_span
 begin_span (const struct dff_call *call, const struct dff_job_row *row)
 {
@@ -331,7 +333,7 @@
 		return;
 	struct delivery *delivery = g_new0 (struct delivery, 1);
 	delivery->call = dff_call_ref (call);
-	/* The reads hold the references. */
+	/* Only the reads hold references to the delivery. */
 	delivery->outcome = row->outcome;
 	delivery->result = row->result;
 	delivery->span = begin_span (call, row);
--- a/entry/delivery.h
+++ b/entry/delivery.h
@@ -4,7 +4,8 @@
 #include "cell/job_row.h"
 #include "entry/call.h"
 
-/** Answers @call with the result of a job that has ended: whole, or not at all. */
+/** Answers @call with the result of a job that has ended: the complete result, or an error and none
+ * of its bytes. */
 void dff_delivery_begin (struct dff_call *call, const struct dff_job_row *row);
 
 #endif
--- a/entry/dispatch.c
+++ b/entry/dispatch.c
@@ -3,26 +3,27 @@
 #include "common/log.h"
 #include "entry/request_private.h"
 
-/** Workers that one request is sent to at the most. */
+/** Maximum number of workers that one request is sent to. */
 #define SENT_MAX 4
-/** A worker that could not be reached, or refused, is avoided for so long, ms. */
+/** Time for which a worker is avoided after it could not be reached, or refused a request, ms. */
 #define AVOID_UNREACHABLE_MS 1000
 #define AVOID_REFUSED_MS 200
-/** Range of the first back-off, ms; doubled with each retry. */
+/** Upper bound of the first backoff, ms; doubled with each retry. */
 #define BACKOFF_MS 20
-/** Less than this is not worth worker_request, ms. */
+/** A request with less time than this until its deadline is not sent, ms. */
 #define DEADLINE_MIN_MS 2
-/** An idempotent request without an answer for this long, ms, or for this many times what requests
- * took lately, goes to a second worker as well; at the latest when half of its time is over. */
+/** Hedging: an idempotent request is also sent to a second worker when it has no answer after
+ * HEDGE_MIN_MS or HEDGE_FACTOR times the average service time, whichever is longer, and at the
+ * latest after half of its remaining time. */
 #define HEDGE_MIN_MS 500
 #define HEDGE_FACTOR 5
-/** Weight of the newest sample in the average of service times. */
+/** Weight of the newest sample in the average service time. */
 #define AVERAGE_WEIGHT 0.1
 
-/** One worker_request of a request to a worker. */
+/** One request sent to one worker. */
 struct worker_request {
 	struct dff_request *request;
-	/** Outlives the requests, whose state may be gone when a late answer comes. */
+	/** Holds a reference: an answer may arrive after the requests' state is freed. */
 	struct dff_entry *entry;
 	struct dff_name worker;
 	int64_t sent_ms;
@@ -42,7 +43,7 @@
 	return request->deadline_ms - now_ms (request);
 }
 
-/* Seconds until a caller who found no worker should come back. */
+/* Retry-After for a caller whose request found no worker, s. */
 static int32_t
 jittered_retry_after_s (struct dff_request *request)
 {
@@ -96,9 +97,9 @@
 	dff_request_set_timer (request, now_ms (request) + (int64_t)wait_ms, backoff_elapsed);
 }
 
-/* The request is known not to have run, or may run twice: it goes on to another worker while there
- * is time and the budget allows. What cannot go on is worker_replied now; waiting would not help
- * it. */
+/* Retries on another worker a request that did not run or may run twice, while there is time and
+ * the retry budget allows it. Otherwise the request is answered now, because waiting would not
+ * help. */
 static void
 retry_on_other_worker (struct dff_request *request)
 {
@@ -143,11 +144,11 @@
 	}
 	if (result->outcome == DFF_WORKER_UNCERTAIN)
 		request->maybe_ran = true;
-	/* Another worker still has it. */
+	/* Another worker is still running the request. */
 	if (request->n_outstanding > 0)
 		return;
-	/* A second start of a request that may have run is what its caller forbade. Symptom: a
-	 * client is billed twice. */
+	/* The caller forbade a second start of a request that may have run: a client could be
+	 * billed twice. */
 	if (request->maybe_ran && !request->idempotent)
 		dff_request_give_up (request, "upstream_lost", jittered_retry_after_s (request));
 	else
@@ -197,10 +198,10 @@
 			  worker_replied, worker_request);
 }
 
-/* Symptom: an assistant waits until the deadline for a request that every other worker would have
- * worker_replied. Sequence: something between here and the worker has lost track of the connection;
- * what is sent on it vanishes, while new connections work. Cause: only the deadline ends the wait.
- * The first answer counts; the budget of retries bounds what is sent twice. */
+/* A middlebox may lose track of the connection to a worker: requests sent on it vanish while new
+ * connections work. Without hedging the caller would wait until its deadline although any other
+ * worker would have answered. The first answer counts; the retry budget limits the number of
+ * requests sent twice. */
 static void
 hedge_due (void *user)
 {
@@ -232,8 +233,8 @@
 			       hedge_due);
 }
 
-/* Time until a request that joins the queue now can be worker_replied, by what requests took
- * lately. */
+/* Estimates the time until a request that joins the queue now is answered, ms, from the average
+ * service time. */
 static int64_t
 expected_wait_ms (const struct dff_requests *requests)
 {
@@ -252,8 +253,8 @@
 	dff_request_unref (request);
 }
 
-/* A request that cannot be worker_replied in time is told so at once, rather than after a wait that
- * only keeps others from their slots. */
+/* A request that cannot be answered in time is refused at once. Letting it wait would only delay
+ * the requests behind it. */
 static void
 wait_for_slot (struct dff_request *request)
 {
@@ -269,10 +270,9 @@
 	dff_request_set_timer (request, request->deadline_ms - DEADLINE_MIN_MS, wait_timed_out);
 }
 
-/* Symptom: a request that is not idempotent runs after its caller was told, through another
- * process, that it was not run. Sequence: the caller's connection breaks while the request waits,
- * the caller sends it again elsewhere, gets not_run there, and then the first one's turn comes.
- * Cause: requests sent for nobody. */
+/* A request that is not idempotent must not be sent once all its callers are gone. Otherwise a
+ * caller whose connection broke while the request waited for a slot could send it again through
+ * another process, be told not_run there, and the first request would run afterwards. */
 static bool
 is_still_needed (const struct dff_request *request)
 {
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -12,9 +12,9 @@
 #include "entry/route.h"
 
 /** While draining, a connection without a request for this long is closed, ms. A request that was
- * sent on it a moment ago has arrived by then, and is answered. */
+ * already on its way has arrived by then and is answered. */
 #define DRAIN_IDLE_MS 500
-/** Bytes of a request's line and headers at the most. */
+/** Maximum size of a request's line and headers, bytes. */
 #define MAX_HEADER_BYTES 16384
 
 static GQuark
@@ -224,9 +224,9 @@
 	return NULL;
 }
 
-/* Symptom: the process crashes at its end. Sequence: the entry is freed, its owner frees the
- * registry of counters, and then the store answers what the entry had asked. Cause: the answer's
- * handling counts into the registry. */
+/* The store may answer a read or write of the entry after the entry is freed and its owner has
+ * freed the metrics registry. The callbacks still count, so the counters are redirected; otherwise
+ * the process crashes on shutdown. */
 static void
 redirect_counters (struct dff_entry *entry)
 {
@@ -240,7 +240,8 @@
 {
 	entry->closed = true;
 	evhttp_free (entry->http);
-	/* Nobody is left to wait: whatever has a deadline gives up now, and frees what it holds. */
+	/* No caller is left. Running every timer ends all pending waits and frees what they
+	 * hold. */
 	dff_deadlines_run (entry->deadlines, INT64_MAX);
 	dff_connections_free (entry->connections);
 	dff_requests_free (entry->requests);
--- a/entry/entry_private.h
+++ b/entry/entry_private.h
@@ -16,7 +16,7 @@
 #include "entry/result.h"
 #include "entry/team_quota.h"
 
-/* State of one entry, shared by the files of this directory. */
+/* State of one entry, shared by the files of this folder. */
 
 struct dff_entry_counters {
 	int64_t *calls;
@@ -35,11 +35,11 @@
 
 struct dff_entry {
 	struct dff_entry_options options;
-	/** One for the owner and one for each call in progress: table and store callbacks may come
-	 * after the owner let go. */
+	/** One reference for the owner and one for each call in progress: table and store callbacks
+	 * may come after the owner has freed the entry. */
 	int32_t refs;
 	bool closed;
-	/** Calls in progress, also those whose connection is gone. */
+	/** Calls in progress, including those whose connection is lost. */
 	int32_t n_calls;
 	struct evhttp *http;
 	struct evhttp_bound_socket *socket;
@@ -48,23 +48,24 @@
 	struct dff_deadlines *deadlines;
 	const struct dff_pool *pool; /**< Borrowed. */
 	GString *pool_text;
-	/** Holds no job: it only judges whether a job can ever run. */
+	/** Has no jobs; only checks whether a job can ever run on the pool. */
 	struct dff_core *admission;
 	struct dff_team_quota *quota;
 	struct dff_requests *requests;
 	struct dff_results *results;
 	GRand *rng;
-	/** Bytes of results that are being put together or sent. */
+	/** Bytes of all results that are being assembled or sent. */
 	int64_t delivery_bytes;
 	bool isolated;
-	/** Grants have come at least once: without, every short request would be refused. */
+	/** Grants were received at least once. Before, every short request would be refused, so the
+	 * process is not ready. */
 	bool has_grants;
-	/** Unready, and still taking what the balancer sends. */
+	/** Not ready, but still accepting the calls that the load balancer sends. */
 	bool leaving;
 	bool draining;
 	bool drain_requested;
 	struct dff_entry_counters counters;
-	/** What @counters point to once the entry is closed. */
+	/** Target of all pointers in @counters once the entry is closed. */
 	int64_t discarded_counter;
 };
 
@@ -74,7 +75,7 @@
 
 int64_t dff_entry_now_ms (const struct dff_entry *entry);
 
-/** Returns: seconds until a refused caller should come back, jittered, at least 1. */
+/** Returns: Retry-After for a refused caller, s, jittered, at least 1. */
 int32_t dff_entry_retry_after_s (struct dff_entry *entry);
 
 /** Returns: a name of 32 random hex digits. */
--- a/entry/job_cancel.c
+++ b/entry/job_cancel.c
@@ -7,7 +7,7 @@
 #include "entry/reply.h"
 #include "entry/route.h"
 
-/** Writes that lost against the holder of the cell before the caller is asked to come back. */
+/** Maximum writes that conflict with the holder's before the caller is asked to retry later. */
 #define TRIES_MAX 8
 
 struct cancellation {
--- a/entry/job_fetch.c
+++ b/entry/job_fetch.c
@@ -60,7 +60,7 @@
 	if (outcome == DFF_FETCH_FOUND)
 		row = dff_job_row_decode (value, revision, &error);
 	if (error != NULL) {
-		dff_log (DFF_LOG_ENTRY, DFF_LOG_ERROR, "Job row cannot be read. error=\"%s\"",
+		dff_log (DFF_LOG_ENTRY, DFF_LOG_ERROR, "Job row cannot be decoded. error=\"%s\"",
 			 error->message);
 		outcome = DFF_FETCH_UNAVAILABLE;
 	}
--- a/entry/job_json.c
+++ b/entry/job_json.c
@@ -3,11 +3,11 @@
 #include <math.h>
 #include <stddef.h>
 
-/** Longest declared run time: 30 days. */
+/** Maximum declared run time: 30 days. */
 #define DECLARED_MAX_S (30.0 * 24 * 3600)
 #define DECLARED_DEFAULT_S 600.0
 #define ATTEMPTS_DEFAULT 3
-/** Nesting of the payload at the most is bounded by jansson itself (JSON_PARSER_MAX_DEPTH). */
+/** jansson itself limits the nesting depth of the payload (JSON_PARSER_MAX_DEPTH). */
 #define LOAD_FLAGS JSON_REJECT_DUPLICATES
 
 struct int_field {
--- a/entry/job_submit.c
+++ b/entry/job_submit.c
@@ -10,14 +10,14 @@
 #include "entry/reply.h"
 #include "entry/route.h"
 
-/* One job: checked, put on record, and only then answered. */
+/* Submission of a single job: validated, recorded, and only then answered. */
 
 struct submission {
 	struct dff_call *call;
 	struct dff_job_row *row;
 	/** Hash of the Idempotency-Key; empty: none was given. */
 	struct dff_name hash;
-	/** It counts for its team although it is not on record yet. */
+	/** The job counts towards its team's quota without being recorded yet. */
 	bool quota_reserved;
 };
 
@@ -86,7 +86,8 @@
 	submission_free (submission);
 }
 
-/* The same submission was recorded before, perhaps through another process. */
+/* A submission with the same key is already recorded, perhaps by another process. Reads the job
+ * that it created. */
 static void
 find_original (struct submission *submission)
 {
@@ -156,8 +157,8 @@
 	dff_trace_context_format (&call->span.context, traceparent);
 	g_string_assign (row->traceparent, traceparent);
 	call->subject = row->spec.id;
-	/* Counted only once they are on record, any number of jobs that arrive together would pass
-	 * the team's bound. */
+	/* Counts the job before it is recorded. Otherwise any number of jobs submitted at the same
+	 * time would exceed the team's limit. */
 	submission->quota_reserved =
 		dff_team_quota_add (entry->quota, &row->spec.id, &row->spec.team);
 	record_job (submission);
--- a/entry/pool_admin.c
+++ b/entry/pool_admin.c
@@ -8,15 +8,15 @@
 #include "entry/route.h"
 #include "pool/pool_row.h"
 
-/* The pool file as operators read and apply it: whole, and only on top of the generation that it
- * was based on. */
+/* Reading and updating of the pool file by operators. The file is always read and replaced as a
+ * whole, and an update must be based on the current generation. */
 
-/** Faults of a file that are listed at the most. */
+/** Maximum number of a file's errors that are listed. */
 #define ERRORS_MAX 50
 
 struct pool_update {
 	struct dff_call *call;
-	/** Generation it is based on. */
+	/** Generation that the update is based on. */
 	int64_t base;
 	GString *text;
 };
@@ -129,7 +129,8 @@
 		pool_update_free (pool_update);
 		return;
 	}
-	/* The answer to an earlier sending of this very pool_update may have been lost. */
+	/* The update may already be recorded: the answer to the same call, sent earlier, was
+	 * lost. */
 	bool repeated =
 		generation == pool_update->base + 1 && g_string_equal (pool_update->text, recorded);
 	if (repeated)
--- a/entry/reply.c
+++ b/entry/reply.c
@@ -60,7 +60,7 @@
 				     evhttp_connection_get_bufferevent (connection));
 }
 
-/* Sends @buffer, which is taken over. */
+/* Sends @buffer and takes ownership of it. */
 static void
 send_buffer (struct dff_call *call, int status, const char *content_type, struct evbuffer *buffer)
 {
@@ -159,10 +159,10 @@
 	dff_reply_problem (call, &problem);
 }
 
-/* Symptom: a caller is told that its job was not run, and the job runs. Sequence: the answer to the
- * submission is lost on its way to the caller, who sends it again to another process; that one
- * refuses it, as the store is down, the team's queue is full or it is stopping. Cause: "this call
- * recorded nothing" is taken for "nothing is recorded". */
+/* A call that recorded nothing does not prove that nothing is recorded. When the answer to a
+ * submission is lost, the caller may send it again to another process, which refuses it because the
+ * store is down, the team's queue is full or the process is draining. Reporting not_run there would
+ * be false: the job of the first call runs. */
 enum dff_outcome
 dff_refusal_outcome (const struct dff_call *call)
 {
--- a/entry/request.c
+++ b/entry/request.c
@@ -3,7 +3,7 @@
 #include "entry/reply.h"
 #include "entry/request_private.h"
 
-/** Bytes of an instance name that go into request ids. */
+/** Maximum length of the instance name in a request id, bytes. */
 #define INSTANCE_MAX 40
 
 static void
@@ -63,7 +63,8 @@
 	return requests;
 }
 
-/* The worker client may still call back for a request that was sent. */
+/* The worker client may still call back for a request that was sent, so the request outlives its
+ * owner. */
 static void
 abandon_request (gpointer key, gpointer value, gpointer user)
 {
@@ -116,7 +117,7 @@
 	return g_strdup_printf ("%s/%s", request->team.data, request->id.data);
 }
 
-/* Later submissions with the key go their own way. */
+/* Later submissions with the key do not join this request any more. */
 static void
 release_key (struct dff_request *request)
 {
@@ -198,10 +199,9 @@
 	count_outcome (requests, answer->outcome);
 	dff_span_end (entry->options.tracer, &request->span, &request->id,
 		      dff_outcome_name (answer->outcome));
-	/* Symptom: a submission is told that it was not run, and the same key has run through
-	 * another process. Sequence: an attempt ends as not run, its row is deleted, the store's
-	 * answer to that is late; another process records the key and runs it; then a submission
-	 * comes here. Cause: the end that is still in memory is taken for what is on record. */
+	/* A not_run outcome in memory must not be reported to later submissions: the attempt's row
+	 * is deleted, and before the store has confirmed that, another process may record the same
+	 * key and run it. */
 	if (request->proven_not_run)
 		release_key (request);
 	reply_to_callers (request);
--- a/entry/request.h
+++ b/entry/request.h
@@ -9,14 +9,14 @@
 #include "common/str.h"
 #include "peer/peer.h"
 
-/* Short requests: from the caller to a worker and back. */
+/* Short requests, from the caller to a worker and back. */
 
 struct dff_entry;
 struct dff_requests;
 
 struct dff_requests *dff_requests_new (struct dff_entry *entry);
 
-/** Ends what is in progress without an answer. */
+/** Drops the requests in progress without answering them. */
 void dff_requests_free (struct dff_requests *requests);
 
 DFF_DEFINE_CLEANUP (dff_requests, dff_requests_free);
@@ -35,12 +35,13 @@
 			      size_t n_grants,
 			      int32_t valid_ms);
 
-/** Whether nothing is in progress and every outcome that is to be recorded is. */
+/** Returns: whether no request is in progress and every outcome that has to be recorded is
+ * recorded. */
 bool dff_requests_is_idle (const struct dff_requests *requests);
 
 struct dff_requests_stats {
 	int32_t in_progress;
-	/** Of these: waiting for a slot. */
+	/** Requests in progress that wait for a slot. */
 	int32_t waiting;
 	int32_t slots_granted;
 	int32_t slots_in_use;
--- a/entry/request_private.h
+++ b/entry/request_private.h
@@ -12,19 +12,19 @@
 #include "entry/slots.h"
 
 /*
- * State of short requests, shared by request.c (life), dispatch.c (way to a worker) and attempt.c
- * (record of those that are not idempotent).
+ * State of short requests, shared by request.c (lifecycle), dispatch.c (choice of worker, retries)
+ * and attempt.c (records of requests that are not idempotent).
  */
 
 enum dff_request_state {
-	/** Its attempt is being put on record, or another process's is waited for. */
+	/** The row of its attempt is being written, or it waits for another process's attempt. */
 	DFF_REQUEST_RECORDING,
-	/** Waits for a slot, in order. */
+	/** Waits in the queue for a slot. */
 	DFF_REQUEST_WAITING,
-	/** Waits before it goes to another worker. */
+	/** Waits before a retry on another worker. */
 	DFF_REQUEST_BACKING_OFF,
 	DFF_REQUEST_SENT,
-	/** Has its final answer; kept until the answer is stored, where it must be. */
+	/** Has its final answer. Kept until the answer is stored, if it has to be. */
 	DFF_REQUEST_ENDED,
 };
 
@@ -32,9 +32,9 @@
 	struct dff_requests *owner;
 	int32_t refs;
 	enum dff_request_state state;
-	/** What the caller knows it by; unique within the team. */
+	/** Id for callers; unique within the team. */
 	struct dff_name id;
-	/** What workers know it by; unique in the system. */
+	/** Id for workers; unique in the system. */
 	struct dff_name upstream_id;
 	struct dff_name team;
 	struct dff_name service;
@@ -42,40 +42,40 @@
 	bool idempotent;
 	int64_t deadline_ms;
 	int32_t n_sent;
-	/** Workers that have it and have not answered. */
+	/** Workers that have the request and have not answered. */
 	int32_t n_outstanding;
-	/** Where it was sent last. */
+	/** The worker that it was sent to last. */
 	struct dff_name worker;
-	/** It was sent, and it is not known what became of it. */
+	/** It was sent to a worker, and whether it ran is not known. */
 	bool maybe_ran;
-	/** It has ended, and this process never sent it to a worker that may have taken it. */
+	/** It has ended, and this process never sent it to a worker that may have accepted it. */
 	bool proven_not_run;
-	/** What is known of it while this process has put nothing on record. */
+	/** Outcome to report while this process has not recorded the attempt. */
 	enum dff_outcome refusal_outcome;
 	struct dff_span span;
-	/** The one deadline that it waits for. */
+	/** The only timer of the request; which one depends on @state. */
 	struct dff_deadline *timer;
 	/** Elements: struct dff_call *, each with a reference. */
 	GPtrArray *calls;
 	struct dff_answer *answer;
-	/** Some caller's connection broke before the answer. */
+	/** The connection of some caller broke before the answer. */
 	bool caller_disconnected;
 
-	/* Not idempotent only. */
+	/* Only for requests that are not idempotent. */
 	/** Hash of the Idempotency-Key. */
 	struct dff_name hash;
 	/** SHA-256 of the body. */
 	char digest[DFF_DIGEST_HEX_LEN + 1];
-	/** The write of the attempt's row is under way; holds a reference. */
+	/** The attempt's row is being written; holds a reference. */
 	bool recording;
 	uint64_t ticket;
 	struct dff_span record_span;
-	/** Revision of the attempt's row when this process wrote it; 0: it did not. */
+	/** Revision of the attempt's row if this process wrote it; 0: it did not. */
 	int64_t revision;
-	/** When another process's open attempt was first seen; 0: never. */
+	/** Time when another process's open attempt was first seen, ms; 0: never. */
 	int64_t open_since_ms;
 	int32_t n_restarts;
-	/** The answer is in the object store. */
+	/** The answer is in the object store, or storing it was given up. */
 	bool answer_kept;
 	int32_t store_tries;
 };
@@ -104,61 +104,64 @@
 	GHashTable *by_id;
 	/** struct dff_name * (hash) -> struct dff_request *: those that are not idempotent. */
 	GHashTable *by_hash;
-	/** Elements: struct dff_request *, state WAITING. */
+	/** Elements: struct dff_request *, in state WAITING. */
 	GQueue waiting;
-	/** Moving average of the time a worker takes, ms; 0: not known yet. */
+	/** Moving average of the time that a worker takes, ms; 0: not known yet. */
 	double service_ms;
 	struct dff_request_counters counters;
 };
 
-/** Returns: a new id that begins with this process's name. */
+/** Returns: a new id that begins with the name of this process. */
 struct dff_name dff_request_id_new (struct dff_entry *entry);
 
-/** Returns: "TEAM/ID", which callers know the request by. */
+/** Returns: "TEAM/ID", with the id for callers. */
 char *dff_request_key (const struct dff_request *request);
 
-/** Adds @call to those who get the answer. */
+/** Adds @call to the calls that get the answer. */
 void dff_request_attach (struct dff_request *request, struct dff_call *call);
 
-/** Ends the request: everybody gets @answer, which is taken over. */
+/** Ends the request and sends @answer to all its callers. Takes ownership of @answer. */
 void dff_request_finish (struct dff_request *request, struct dff_answer *answer);
 
-/** Ends the request with a problem. */
+/** Ends the request with an error answer. */
 void dff_request_fail (struct dff_request *request, const struct dff_problem *problem);
 
-/** Gives a request up that cannot be brought to an end: not_run where that is proven, else unknown.
- * Its callers get the answer at once. */
+/** Ends a request that cannot be completed. Its outcome is not_run where that is proven, otherwise
+ * unknown. Its callers are answered at once. */
 void dff_request_give_up (struct dff_request *request, const char *code, int32_t retry_after_s);
 
 struct dff_request *dff_request_ref (struct dff_request *request);
 
 void dff_request_unref (struct dff_request *request);
 
-/** Forgets an ended request. */
+/** Removes an ended request from all tables. */
 void dff_request_remove (struct dff_request *request);
 
-/** Sets the deadline that the request waits for, in place of the former one. */
+/** Sets the timer of the request, which replaces the previous one. */
 void dff_request_set_timer (struct dff_request *request, int64_t due_ms, dff_deadline_func func);
 
-/** Sends the request to a worker, or lets it wait for a slot, or gives it up. */
+/** Sends the request to a worker, queues it until a slot is free, or ends it when no worker can run
+ * it in time. */
 void dff_request_dispatch (struct dff_request *request);
 
-/** Sends on who waits for a slot, and gives up who cannot get one any more. */
+/** Sends queued requests while slots are free, and ends those that can no longer get one. */
 void dff_requests_dispatch_waiting (struct dff_requests *requests);
 
-/** Puts the attempt on record, then dispatches; or answers from the record. */
+/** Records the attempt and then dispatches the request. If the attempt is already recorded, answers
+ * from the record. */
 void dff_attempt_begin (struct dff_request *request);
 
 /**
  * dff_request_owner_is_gone:
- * @id: of a request that this process does not have
+ * @id: id of a request that this process does not have
  *
- * Returns: whether the process that made @id is known to be dead, or to have been replaced by a
- * process of the same name. Not known of ids that callers chose.
+ * Returns: whether the process that created @id is known to be dead or to have been replaced by a
+ * process of the same name. False for ids that callers chose.
  */
 bool dff_request_owner_is_gone (struct dff_entry *entry, const struct dff_name *id);
 
-/** Stores the outcome of an ended request where it must outlive this process, then forgets it. */
+/** Stores the outcome of an ended request where it has to outlive this process, then removes the
+ * request. */
 void dff_request_store (struct dff_request *request);
 
 #endif
--- a/entry/request_read.c
+++ b/entry/request_read.c
@@ -4,13 +4,14 @@
 #include "entry/request_private.h"
 #include "entry/route.h"
 
-/** Digits behind the instance in an id that a process made, and how many of them tell its start. */
+/** Number of digits after the instance name in a generated id, and how many of them identify the
+ * start of the process. */
 #define ID_DIGITS 16
 #define START_DIGITS 4
 
-/** Who made an id. */
+/** The process that created an id. */
 struct id_origin {
-	/** The beginning of the instance's name. */
+	/** The instance name, possibly truncated. */
 	struct dff_str instance;
 	/** dff_peer_start_id() of the process; 0: not known. */
 	uint32_t start;
@@ -37,7 +38,7 @@
 	dff_reply_problem (call, &problem);
 }
 
-/* Reads who made an id. Returns false for ids that no process made. */
+/* Parses the origin of an id. Returns false for ids that no process generated. */
 static bool
 id_origin (const struct dff_name *id, struct id_origin *origin)
 {
@@ -64,9 +65,10 @@
 	return has_instance_prefix (&entry->options.settings->instance, origin->instance);
 }
 
-/* Symptom: who repeats a request of a process that was killed is held until the deadline and told
- * to come back, for ever. Sequence: another process takes its name within seconds. Cause: the name
- * is alive. The number that each process draws when it starts tells them apart. */
+/* A process that was killed may be replaced within seconds by another one with the same name. If
+ * the name alone were checked, a caller that repeats a request of the dead process would wait until
+ * its deadline and be asked to retry, without end. The number that each process draws at its start
+ * distinguishes the two. */
 static bool
 is_alive (struct dff_entry *entry, const struct id_origin *origin)
 {
@@ -88,11 +90,12 @@
 	struct id_origin origin;
 	if (!id_origin (id, &origin))
 		return false;
-	/* A request of this process's own predecessor. */
+	/* An id with this process's own name belongs to its predecessor. */
 	return is_self (entry, &origin) || !is_alive (entry, &origin);
 }
 
-/* No answer is kept: the request is in progress elsewhere, or lost, or was never there. */
+/* No answer is stored: the request is in progress in another process, was lost, or never
+ * existed. */
 static void
 reply_without_answer (struct dff_call *call)
 {
--- a/entry/request_submit.c
+++ b/entry/request_submit.c
@@ -6,13 +6,13 @@
 #include "entry/request_private.h"
 #include "entry/route.h"
 
-/* Short requests as they come from callers: checked, and begun. */
+/* Submission of short requests: validation and start. */
 
-/** Bytes of a Request-Id that a caller chose. */
+/** Maximum length of a Request-Id that a caller chose, bytes. */
 #define REQUEST_ID_MAX 40
-/** Longest deadline that a caller may set, ms; the service's own still holds. */
+/** Maximum deadline that a caller may set, ms. The service's own timeout also applies. */
 #define DEADLINE_MAX_MS 3600000
-/** When a caller beyond the limit of requests should come back, s. */
+/** Minimum Retry-After for a caller above the limit of requests, s. */
 #define BUSY_RETRY_S 1
 
 /* Reads the Idempotent header. Returns false when it is neither "true" nor "false". */
@@ -168,7 +168,8 @@
 	dff_request_unref (request);
 }
 
-/* Whether the request's id is in use by another one of the same team. */
+/* Refuses the call if another request of the same team uses its Request-Id. Returns whether it was
+ * refused. */
 static bool
 refuse_id_in_use (struct dff_call *call, const struct parsed_request *parsed)
 {
@@ -183,8 +184,8 @@
 	return true;
 }
 
-/* Joins a submission with the same key that is in progress here. Returns false when there is none.
- */
+/* Attaches the call to a request with the same key that is in progress in this process. Returns
+ * false when there is none. */
 static bool
 join_attempt (struct dff_call *call, const struct parsed_request *parsed)
 {
--- a/entry/result.c
+++ b/entry/result.c
@@ -7,17 +7,18 @@
 #include "entry/reply.h"
 #include "entry/route.h"
 
-/** Longest long poll, ms. */
+/** Maximum time of a long poll, ms. */
 #define WAIT_MAX_MS 60000
-/** Interval at which rows of waiting jobs are read again, in turns, ms. */
+/** Interval at which rows of waiting jobs are read again, ms; each time a part of them in turn. */
 #define REREAD_MS 3000
-/** Waiting jobs, and jobs that count for their team, in one such reading: for nine processes with
- * many callers this is 450 rows a second, of the 2,000 that everybody shares. */
+/** Maximum number of jobs with waiting callers, and of jobs that count towards their team's quota,
+ * in one such read. Nine processes with many callers read 450 rows a second with these limits, of
+ * the 2,000 that all processes share. */
 #define REREAD_WAITING_MAX 100
 #define REREAD_COUNTED_MAX 50
-/** Down to one row of each kind. */
+/** With so many halvings, one row of each kind is read. */
 #define HALVINGS_MAX 6
-/** When the caller of an unfinished job should come back, s. */
+/** Retry-After for the caller of an unfinished job, s. */
 #define POLL_AGAIN_S 1
 
 struct waiter {
@@ -25,7 +26,7 @@
 	struct dff_call *call;
 	struct dff_name job;
 	struct dff_deadline *timeout;
-	/** Its row is being read. */
+	/** The job's row is being read. */
 	bool reading;
 	bool removed;
 };
@@ -34,11 +35,11 @@
 	struct dff_entry *entry;
 	/** Elements: struct waiter *. */
 	GPtrArray *waiters;
-	/** Where the next reading goes on, modulo the number of waiters. */
+	/** Index of the next waiter to read, modulo the number of waiters. */
 	guint next_waiter;
 	int64_t next_reread_ms;
 	bool rereading;
-	/** How often the number of rows in one reading is reduced for now. */
+	/** How often the number of rows in one read is currently halved. */
 	int32_t n_halvings;
 };
 
@@ -49,7 +50,8 @@
 	g_free (waiter);
 }
 
-/* The waiter is off the list; it is freed once its row is not being read any more. */
+/* Frees a waiter that is off the list. While its row is being read, the callback of the read frees
+ * it. */
 static void
 release_waiter (struct waiter *waiter)
 {
@@ -215,9 +217,10 @@
 	}
 }
 
-/* Rows may have up to half a MB, and an answer of the table that is too long is dropped. Symptom:
- * no row is ever read again, callers whose notice was lost wait in vain, and ended jobs count for
- * their team for good. Fewer rows are read the next time, and more again when that worked. */
+/* Rows may have up to half a MB, and the table drops an answer that is too long. If the same number
+ * of rows were requested again, no row would ever be read: callers whose notification was lost
+ * would wait in vain, and ended jobs would count towards their team's quota for good. The number is
+ * halved after each failed read and doubled after each successful one. */
 static void
 adapt_reread_size (struct dff_results *results, enum dff_table_outcome outcome)
 {
@@ -264,8 +267,9 @@
 	return jobs;
 }
 
-/* A notice that a job has ended may be lost on its way from the holder, or the holder may have
- * died. Symptom: a technician's long poll runs out although the result is there. */
+/* A notification that a job has ended may be lost on its way from the holder, or the holder may
+ * have died. Without reading the rows again, a long poll would time out although the result
+ * exists. */
 static void
 reread (struct dff_results *results)
 {
--- a/entry/result.h
+++ b/entry/result.h
@@ -4,23 +4,23 @@
 #include "common/cleanup.h"
 #include "common/str.h"
 
-/* Callers who wait for the end of a job, and the results on their way to them. */
+/* Callers that wait for the end of a job, and the delivery of results to them. */
 
 struct dff_entry;
 struct dff_results;
 
 struct dff_results *dff_results_new (struct dff_entry *entry);
 
-/** Drops who still waits, without an answer. */
+/** Drops all waiting callers without answering them. */
 void dff_results_free (struct dff_results *results);
 
 DFF_DEFINE_CLEANUP (dff_results, dff_results_free);
 
-/** Wakes who waits for @job. */
+/** Wakes the callers that wait for @job. */
 void dff_results_job_ended (struct dff_results *results, const struct dff_name *job);
 
-/** Reads the rows of waiting jobs again from time to time, as notices may be lost, and sends
- * everybody away when the process drains. */
+/** Reads the rows of waiting jobs again at intervals, because notifications may be lost. When the
+ * process is leaving, answers all waiting callers that the job has not ended. */
 void dff_results_tick (struct dff_results *results);
 
 #endif
--- a/entry/retry_budget.c
+++ b/entry/retry_budget.c
@@ -2,9 +2,9 @@
 
 #include <glib.h>
 
-/** One retry, in hundredths. */
+/** Cost of one retry, in hundredths. */
 #define RETRY_COST 100
-/** What one success adds: one retry for ten successes. */
+/** Deposit of one success, in hundredths: ten successes pay for one retry. */
 #define DEPOSIT 10
 #define INITIAL_BALANCE (20 * RETRY_COST)
 #define MAX_BALANCE (200 * RETRY_COST)
--- a/entry/retry_budget.h
+++ b/entry/retry_budget.h
@@ -4,21 +4,21 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Retries as a share of recent successes, so that a failing fleet is not asked more than a healthy
- * one. */
+/* Limits retries to a share of recent successes, so that failing workers do not get more requests
+ * than healthy ones. */
 
 struct dff_retry_budget {
-	/** Retries left, in hundredths. */
+	/** Balance in hundredths of a retry. */
 	int32_t hundredths;
 };
 
-/** Starts with a few retries, so that a process without history can make some. */
+/** Sets a balance of some retries, so that a process that has just started can make some. */
 void dff_retry_budget_init (struct dff_retry_budget *budget);
 
-/** A request was answered. */
+/** Handles a successful request. */
 void dff_retry_budget_deposit (struct dff_retry_budget *budget);
 
-/** Takes one retry. Returns: false when there is none left. */
+/** Withdraws one retry. Returns: false when the balance is too low. */
 bool dff_retry_budget_withdraw (struct dff_retry_budget *budget);
 
 #endif
--- a/entry/route.c
+++ b/entry/route.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* Ordered by pattern and then method, for the reader; the table is short enough to walk. */
+/* Ordered by pattern and then method for readability. The table is short enough for a linear
+ * search. */
 static const struct dff_route routes[] = {
 	{"/healthz", EVHTTP_REQ_GET, DFF_AUDIENCE_ANYBODY, dff_health_read},
 	{"/metrics", EVHTTP_REQ_GET, DFF_AUDIENCE_ANYBODY, dff_metrics_read},
@@ -22,7 +23,7 @@
 	{"/v1/status", EVHTTP_REQ_GET, DFF_AUDIENCE_OPERATOR, dff_status_read},
 };
 
-/* Returns whether @path has the form of @pattern; @subject is the segment that '*' stands for. */
+/* Returns whether @path matches @pattern. @subject: the segment that '*' matched. */
 static bool
 match_pattern (const char *pattern, const char *path, struct dff_str *subject)
 {
--- a/entry/route.h
+++ b/entry/route.h
@@ -7,14 +7,14 @@
 #include "entry/auth.h"
 #include "entry/call.h"
 
-/* The calls that there are, by method and path. */
+/* The table of HTTP calls, by method and path. */
 
 struct dff_route {
-	/** Path; "*" stands for one segment, a name. */
+	/** Path; "*" matches one segment, which has to be a name. */
 	const char *pattern;
 	enum evhttp_cmd_type method;
 	enum dff_audience audience;
-	/** Answers the call, now or later. */
+	/** Answers the call, before or after it returns. */
 	void (*handle) (struct dff_call *call);
 };
 
@@ -23,7 +23,7 @@
 	DFF_ROUTE_NO_PATH,
 	/** The path exists, but not with this method. */
 	DFF_ROUTE_NO_METHOD,
-	/** The segment that "*" stands for is no name. */
+	/** The segment that "*" matched is not a valid name. */
 	DFF_ROUTE_BAD_NAME,
 };
 
@@ -31,14 +31,14 @@
  * dff_route_find:
  * @path: decoded path without query
  * @route: (out): the route when found
- * @subject: (out): the segment that "*" stood for
+ * @subject: (out): the segment that "*" matched
  */
 enum dff_route_match dff_route_find (enum evhttp_cmd_type method,
 				     const char *path,
 				     const struct dff_route **route,
 				     struct dff_name *subject);
 
-/* The handlers, one file for each group. */
+/* Handlers, one file for each group. */
 void dff_job_submit (struct dff_call *call);
 void dff_job_read (struct dff_call *call);
 void dff_job_cancel (struct dff_call *call);
--- a/entry/slots.c
+++ b/entry/slots.c
@@ -7,9 +7,10 @@
 	struct dff_name address; /**< Empty: not in the instance list. */
 	bool same_data_centre;
 	bool listed_leaving;
-	/** Said so itself; stands until the list forgets the worker or it is granted anew. */
+	/** The worker reported itself that it is leaving. Reset when the instance list no longer
+	 * has the worker, or when it gets a new grant. */
 	bool reported_leaving;
-	/** When it was last told so. */
+	/** Time of the last such report, ms. */
 	int64_t reported_leaving_ms;
 	int32_t granted;
 	int32_t in_use;
@@ -21,13 +22,13 @@
 	GRand *rng;
 	/** Elements: struct slot_worker *, owned. */
 	GPtrArray *workers;
-	/** struct dff_name * (the worker's own) -> struct slot_worker *. */
+	/** struct dff_name * (the worker's id member) -> struct slot_worker *. */
 	GHashTable *by_id;
-	/** Elements: struct slot_worker *: those that may be used in the same data centre; stale
-	 * when @changed. */
+	/** Elements: struct slot_worker *: the usable workers in the same data centre. Out of date
+	 * while @changed is set. */
 	GPtrArray *local;
 	bool changed;
-	/** Scratch space of dff_slots_acquire(): struct slot_worker *. */
+	/** Scratch space of dff_slots_acquire(). Elements: struct slot_worker *. */
 	GPtrArray *candidates;
 	int64_t epoch;
 	int64_t expires_ms;
@@ -114,10 +115,10 @@
 	slots->changed = true;
 }
 
-/* Symptom: a worker that was restarted under its id gets no requests any more. Cause: nobody tells
- * an entry that a worker is back, as only the holder hears of it; and the list, which lags, may
- * never have forgotten the worker. The holder grants no slots of one that it knows to be leaving.
- */
+/* A grant also means that a worker is back after a restart under the same id. Entries get no other
+ * signal: only the holder is notified that a worker is back, and the instance list, which lags, may
+ * never have dropped the worker. The holder grants no slots of a worker that it knows to be
+ * leaving. */
 static void
 apply_grant (struct dff_slots *slots, const struct dff_grant *grant, int64_t now_ms)
 {
@@ -135,8 +136,9 @@
 		      int64_t now_ms,
 		      int64_t expires_ms)
 {
-	/* A holder that was paused past its lease may still send grants when it resumes. Symptom: a
-	 * worker gets more requests than it has slots, as two holders gave the same ones away. */
+	/* A holder that was paused past the end of its lease may still send grants when it resumes.
+	 * Applying them would give a worker more requests than it has slots, because two holders
+	 * granted the same ones. */
 	if (epoch < slots->epoch)
 		return;
 	slots->epoch = epoch;
@@ -174,7 +176,8 @@
 	       !dff_name_is_empty (&worker->address);
 }
 
-/* Lower is better: what a candidate of another class must not beat. */
+/* Returns the preference class of a worker; lower is preferred. Load only decides within a
+ * class. */
 static int
 candidate_class (const struct slot_worker *worker, int64_t now_ms)
 {
@@ -182,7 +185,8 @@
 	return avoided + (worker->same_data_centre ? 0 : 1);
 }
 
-/* Fills in the candidates of the best class. Returns whether any worker may be used at all. */
+/* Collects the workers of the best class that have a free slot. Returns whether any worker is
+ * usable at all. */
 static bool
 collect_candidates (struct dff_slots *slots, int64_t now_ms)
 {
@@ -238,7 +242,8 @@
 	}
 }
 
-/* The usual case, without a look at every worker. Returns NULL when it has no answer. */
+/* Fast path for the usual case, without a scan of all workers. Returns NULL when the full scan is
+ * needed. */
 static struct slot_worker *
 choose_local (struct dff_slots *slots, int64_t now_ms)
 {
--- a/entry/team_quota.c
+++ b/entry/team_quota.c
@@ -5,16 +5,16 @@
 struct counted_job {
 	struct dff_name id;
 	struct dff_name team;
-	/** Its place in the order of sampling. */
+	/** Its position in @order of the quota. */
 	GList *position;
 };
 
 struct dff_team_quota {
-	/** struct dff_name * (the job's own) -> struct counted_job *, owned. */
+	/** struct dff_name * (the job's id member) -> struct counted_job *, owned. */
 	GHashTable *jobs;
 	/** struct dff_name * -> count. */
 	GHashTable *teams;
-	/** Elements: struct counted_job *; the next one to be sampled is first. */
+	/** Elements: struct counted_job *. The head is sampled next. */
 	GQueue order;
 };
 
