--- a/tests/entry/harness.c
+++ b/tests/entry/harness.c
@@ -132,7 +132,7 @@
 	options.transport.send = send_to_peer;
 	options.transport.ctx = process;
 	options.callbacks = callbacks;
-	options.seed = 3 + process->n_replaced;
+	options.seed = 3 + process->n_restarts;
 	process->peer = dff_peer_new (&options);
 }
 
@@ -164,8 +164,8 @@
 		.clock = &harness->clock.clock,
 		.metrics = process->metrics,
 		.tracer = process->tracer,
-		.table = &process->reads->table,
-		.objects = &process->reads->objects,
+		.table = &process->entry_platform->table,
+		.objects = &process->entry_platform->objects,
 		.recorder = process->recorder,
 		.workers = &harness->workers,
 		.peer = process->peer,
@@ -204,8 +204,8 @@
 					  keep_span, harness);
 	process->platform = dff_memory_open (harness->memory);
 	/* Its answers may still be on their way when the process is replaced. */
-	if (process->reads == NULL)
-		process->reads = dff_memory_open (harness->memory);
+	if (process->entry_platform == NULL)
+		process->entry_platform = dff_memory_open (harness->memory);
 	dff_recorder_options_init (&recorder);
 	recorder.table = &process->platform->table;
 	recorder.clock = &harness->clock.clock;
@@ -248,7 +248,7 @@
 	struct dff_memory_options memory = {.clock = &harness->clock.clock, .seed = 1};
 	harness->memory = dff_memory_new (&memory);
 	harness->holder = dff_memory_open (harness->memory);
-	harness->skipped_offset = -1;
+	harness->missing_chunk_offset = -1;
 	harness->workers.request = harness_request_worker;
 	harness->workers.ctx = harness;
 	g_queue_init (&harness->answers);
@@ -272,7 +272,7 @@
 	if (process->entry == NULL)
 		return;
 	dff_entry_free (process->entry);
-	memset (&process->reads->faults, 0, sizeof (process->reads->faults));
+	memset (&process->entry_platform->faults, 0, sizeof (process->entry_platform->faults));
 	dff_memory_close (process->platform);
 	dff_cell_free (process->cell);
 	dff_peer_free (process->peer);
@@ -288,7 +288,7 @@
 harness_replace (struct harness *harness, int index)
 {
 	harness_kill (harness, index);
-	harness->processes[index].n_replaced++;
+	harness->processes[index].n_restarts++;
 	start_process (harness, index);
 	publish_instances (harness);
 }
@@ -305,7 +305,7 @@
 		dff_memory_tick (harness->memory);
 	}
 	for (int i = 0; i < HARNESS_PROCESSES; i++)
-		dff_memory_close (harness->processes[i].reads);
+		dff_memory_close (harness->processes[i].entry_platform);
 	dff_memory_close (harness->holder);
 	dff_memory_free (harness->memory);
 	event_base_free (harness->base);
@@ -319,7 +319,7 @@
 	for (int i = 0; i < HARNESS_PROCESSES; i++) {
 		const struct harness_process *process = &harness->processes[i];
 		if (process->entry != NULL)
-			process->reads->faults = process->platform->faults;
+			process->entry_platform->faults = process->platform->faults;
 	}
 	event_base_loop (harness->base, EVLOOP_NONBLOCK);
 	harness->clock.now_ms++;
@@ -365,7 +365,7 @@
 }
 
 void
-harness_list_leaving (struct harness *harness, const char *worker)
+harness_set_listed_leaving (struct harness *harness, const char *worker)
 {
 	for (size_t i = 0; i < harness->n_instances; i++) {
 		if (g_str_equal (harness->instances[i].id.data, worker))
--- a/tests/entry/harness.h
+++ b/tests/entry/harness.h
@@ -30,7 +30,7 @@
 struct harness_process {
 	struct harness *harness;
 	/** Processes that had this name before. */
-	uint64_t n_replaced;
+	uint64_t n_restarts;
 	struct dff_name name;
 	struct dff_settings *settings;
 	struct dff_metrics *metrics;
@@ -38,7 +38,7 @@
 	struct dff_memory_handle *platform;
 	/** What the entry itself reads and keeps; has the faults of @platform, and outlives a
 	 * killed process, so that late answers come to an entry that is gone. */
-	struct dff_memory_handle *reads;
+	struct dff_memory_handle *entry_platform;
 	struct dff_recorder *recorder;
 	struct dff_peer *peer;
 	struct dff_cell *cell;
@@ -82,7 +82,7 @@
 	/** Paths; NULL: plain HTTP. */
 	const char *certificate, *key;
 	/** Parts of results at this offset are not written; -1: all are. */
-	int64_t skipped_offset;
+	int64_t missing_chunk_offset;
 };
 
 struct harness *harness_new (void);
@@ -104,7 +104,7 @@
 void harness_grant (struct harness *harness, int32_t slots, int32_t valid_ms);
 
 /** Says in the instance list that a worker is leaving. */
-void harness_list_leaving (struct harness *harness, const char *worker);
+void harness_set_listed_leaving (struct harness *harness, const char *worker);
 
 /** The process dies at once. */
 void harness_kill (struct harness *harness, int process);
--- a/tests/entry/harness_jobs.c
+++ b/tests/entry/harness_jobs.c
@@ -47,7 +47,7 @@
 		g_autofree char *key = g_strdup_printf ("part/%s/%zu", row->spec.id.data, offset);
 		g_autofree char *part_digest =
 			g_compute_checksum_for_string (G_CHECKSUM_SHA256, part, -1);
-		if ((int64_t)offset != harness->skipped_offset)
+		if ((int64_t)offset != harness->missing_chunk_offset)
 			harness_put_object (harness, key, part);
 		json_t *chunk =
 			json_pack ("{s:I,s:I,s:s,s:s}", "offset", (json_int_t)offset, "length",
--- a/tests/entry/test-assembly.c
+++ b/tests/entry/test-assembly.c
@@ -87,7 +87,7 @@
 }
 
 static void
-test_manifest_that_disagrees_with_the_record (void **state)
+test_manifest_differs_from_record (void **state)
 {
 	(void)state;
 	static const struct span one = {0, WHOLE_LEN};
@@ -116,7 +116,7 @@
  * arrive in another order than they were written, one twice, one cut, one damaged. Cause: chunks
  * appended as they come. */
 static void
-test_chunks_in_any_order_twice_cut_and_damaged (void **state)
+test_reordered_repeated_and_damaged_chunks (void **state)
 {
 	(void)state;
 	static const struct span chunks[] = {{0, 4}, {4, 4}, {8, 8}};
@@ -139,7 +139,7 @@
  * their chunks under the same keys; each chunk has the digest that the manifest gives it, the whole
  * does not have the digest on record. Cause: chunks were checked, the answer was not. */
 static void
-test_whole_answer_has_its_digest (void **state)
+test_result_digest_is_checked (void **state)
 {
 	(void)state;
 	static const char other[] = "another answer!!";
@@ -165,9 +165,9 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test (test_manifests),
-		cmocka_unit_test (test_manifest_that_disagrees_with_the_record),
-		cmocka_unit_test (test_chunks_in_any_order_twice_cut_and_damaged),
-		cmocka_unit_test (test_whole_answer_has_its_digest),
+		cmocka_unit_test (test_manifest_differs_from_record),
+		cmocka_unit_test (test_reordered_repeated_and_damaged_chunks),
+		cmocka_unit_test (test_result_digest_is_checked),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/entry/test-at-most-once.c
+++ b/tests/entry/test-at-most-once.c
@@ -12,8 +12,9 @@
 
 /*
  * Random schedules of requests that are not idempotent: a few keys, each sent several times through
- * both processes, while workers refuse, die or keep silent, the store is down, silent or loses
- * answers and delays writes, callers hang up, and one process may die. After every step:
+ * both processes, while workers refuse, die or keep silent, the store is down,
+ * silent or loses answers and delays writes, callers hang up, and one process may
+ * die. After every step:
  *
  *  - no key is run twice;
  *  - who is told "not run" is told so of a key that was not run before;
@@ -26,13 +27,13 @@
 #define KEYS 4
 #define CLIENTS_MAX 128
 /** An answer, or the end of a connection, is on its way through the sockets for so long, ms. */
-#define ON_ITS_WAY_MS 5
+#define IN_FLIGHT_MS 5
 
-struct sending {
+struct submission {
 	struct harness_client *client; /**< NULL: evaluated, or hung up. */
 	int key;
 	/** When it was answered or hung up; INT64_MAX: neither yet. */
-	int64_t over_ms;
+	int64_t ended_ms;
 };
 
 struct schedule {
@@ -40,10 +41,10 @@
 	GRand *rng;
 	/** Of deaths alone, so that the rest of a schedule is the same with and without; NULL:
 	 * none. */
-	GRand *death_rng;
+	GRand *kill_rng;
 	uint32_t seed;
-	struct sending sendings[CLIENTS_MAX];
-	int n_sendings;
+	struct submission submissions[CLIENTS_MAX];
+	int n_submissions;
 	int64_t ran_ms[KEYS]; /**< 0: not yet. */
 	char *answers[KEYS];
 	int n_outcomes[3]; /**< Completed, not run, unknown. */
@@ -55,37 +56,37 @@
 	struct schedule *schedule = ctx;
 	int64_t now_ms = schedule->harness->clock.now_ms;
 	int key = body.data[strlen ("{\"key\":")] - '0';
-	bool wanted = false;
-	for (int i = 0; i < schedule->n_sendings; i++) {
-		const struct sending *sending = &schedule->sendings[i];
-		if (sending->key == key && sending->over_ms + ON_ITS_WAY_MS > now_ms)
-			wanted = true;
+	bool has_caller = false;
+	for (int i = 0; i < schedule->n_submissions; i++) {
+		const struct submission *submission = &schedule->submissions[i];
+		if (submission->key == key && submission->ended_ms + IN_FLIGHT_MS > now_ms)
+			has_caller = true;
 	}
 	if (schedule->ran_ms[key] != 0)
 		fail_msg ("seed %u: key %d is run twice", schedule->seed, key);
-	if (!wanted)
+	if (!has_caller)
 		fail_msg ("seed %u: key %d is run for nobody", schedule->seed, key);
 	schedule->ran_ms[key] = now_ms;
 }
 
 static void
-check_answer (struct schedule *schedule, struct sending *sending)
+check_answer (struct schedule *schedule, struct submission *submission)
 {
-	const char *text = sending->client->received->str;
+	const char *text = submission->client->received->str;
 	int64_t now_ms = schedule->harness->clock.now_ms;
-	int64_t ran_ms = schedule->ran_ms[sending->key];
+	int64_t ran_ms = schedule->ran_ms[submission->key];
 	const char *body = strstr (text, "\r\n\r\n") + 4;
-	if (harness_client_status (sending->client) == 200) {
-		char **first = &schedule->answers[sending->key];
+	if (harness_client_status (submission->client) == 200) {
+		char **first = &schedule->answers[submission->key];
 		schedule->n_outcomes[0]++;
 		if (*first == NULL)
 			*first = g_strdup (body);
 		assert_string_equal (*first, body);
 	} else if (strstr (body, "\"outcome\":\"not_run\"") != NULL) {
 		schedule->n_outcomes[1]++;
-		if (ran_ms != 0 && ran_ms < now_ms - ON_ITS_WAY_MS)
+		if (ran_ms != 0 && ran_ms < now_ms - IN_FLIGHT_MS)
 			fail_msg ("seed %u: key %d is said not to run, and ran", schedule->seed,
-				  sending->key);
+				  submission->key);
 	} else if (strstr (body, "\"outcome\":\"completed\"") != NULL) {
 		/* It is on record that it ran, and its answer cannot be read now. */
 		assert_true (ran_ms != 0);
@@ -97,11 +98,11 @@
 }
 
 static void
-end_sending (struct schedule *schedule, struct sending *sending)
+end_submission (struct schedule *schedule, struct submission *submission)
 {
-	sending->over_ms = schedule->harness->clock.now_ms;
-	harness_client_free (sending->client);
-	sending->client = NULL;
+	submission->ended_ms = schedule->harness->clock.now_ms;
+	harness_client_free (submission->client);
+	submission->client = NULL;
 }
 
 static void
@@ -109,16 +110,16 @@
 {
 	for (int64_t i = 0; i < ms; i++) {
 		harness_step (schedule->harness);
-		for (int j = 0; j < schedule->n_sendings; j++) {
-			struct sending *sending = &schedule->sendings[j];
-			if (sending->client == NULL)
+		for (int j = 0; j < schedule->n_submissions; j++) {
+			struct submission *submission = &schedule->submissions[j];
+			if (submission->client == NULL)
 				continue;
-			bool whole = harness_client_is_whole (sending->client);
-			if (!whole && !sending->client->closed)
+			bool whole = harness_client_is_whole (submission->client);
+			if (!whole && !submission->client->closed)
 				continue;
 			if (whole)
-				check_answer (schedule, sending);
-			end_sending (schedule, sending);
+				check_answer (schedule, submission);
+			end_submission (schedule, submission);
 		}
 	}
 }
@@ -126,37 +127,37 @@
 static void
 send_request (struct schedule *schedule)
 {
-	if (schedule->n_sendings == CLIENTS_MAX)
+	if (schedule->n_submissions == CLIENTS_MAX)
 		return;
-	struct sending *sending = &schedule->sendings[schedule->n_sendings++];
-	sending->key = g_rand_int_range (schedule->rng, 0, KEYS);
-	sending->over_ms = INT64_MAX - ON_ITS_WAY_MS;
+	struct submission *submission = &schedule->submissions[schedule->n_submissions++];
+	submission->key = g_rand_int_range (schedule->rng, 0, KEYS);
+	submission->ended_ms = INT64_MAX - IN_FLIGHT_MS;
 	int process = g_rand_int_range (schedule->rng, 0, 2);
 	if (schedule->harness->processes[process].entry == NULL)
 		process = 1 - process;
-	sending->client = harness_connect (schedule->harness, process);
+	submission->client = harness_connect (schedule->harness, process);
 	g_autofree char *text = g_strdup_printf (
 		"POST /v1/services/drafting/requests HTTP/1.1\r\n"
 		"Authorization: Bearer casework-token\r\nIdempotent: false\r\n"
 		"Idempotency-Key: key-%d\r\nDeadline-Ms: 4000\r\nContent-Length: 9\r\n\r\n"
 		"{\"key\":%d}",
-		sending->key, sending->key);
-	harness_client_send (sending->client, text, strlen (text));
+		submission->key, submission->key);
+	harness_client_send (submission->client, text, strlen (text));
 }
 
 static void
 hang_up (struct schedule *schedule)
 {
-	if (schedule->n_sendings == 0)
+	if (schedule->n_submissions == 0)
 		return;
-	int index = g_rand_int_range (schedule->rng, 0, schedule->n_sendings);
-	struct sending *sending = &schedule->sendings[index];
-	if (sending->client != NULL)
-		end_sending (schedule, sending);
+	int index = g_rand_int_range (schedule->rng, 0, schedule->n_submissions);
+	struct submission *submission = &schedule->submissions[index];
+	if (submission->client != NULL)
+		end_submission (schedule, submission);
 }
 
 static void
-upset_worker (struct schedule *schedule)
+inject_worker_fault (struct schedule *schedule)
 {
 	static const struct harness_answer answers[] = {
 		{.outcome = DFF_WORKER_UNCERTAIN},
@@ -176,7 +177,7 @@
 }
 
 static void
-upset_store (struct schedule *schedule)
+inject_store_fault (struct schedule *schedule)
 {
 	struct harness *harness = schedule->harness;
 	int64_t until_ms = harness->clock.now_ms + g_rand_int_range (schedule->rng, 100, 8000);
@@ -208,23 +209,23 @@
 /* In about half of the schedules with deaths a process dies at some point; the other one goes on.
  */
 static void
-die (struct schedule *schedule)
+maybe_kill_process (struct schedule *schedule)
 {
-	if (schedule->death_rng != NULL && g_rand_int_range (schedule->death_rng, 0, 80) == 0)
+	if (schedule->kill_rng != NULL && g_rand_int_range (schedule->kill_rng, 0, 80) == 0)
 		harness_kill (schedule->harness, 1);
 }
 
 static void
-take_turn (struct schedule *schedule)
+run_turn (struct schedule *schedule)
 {
 	int turn = g_rand_int_range (schedule->rng, 0, 10);
-	die (schedule);
+	maybe_kill_process (schedule);
 	if (turn < 4)
 		send_request (schedule);
 	else if (turn < 6)
-		upset_worker (schedule);
+		inject_worker_fault (schedule);
 	else if (turn < 8)
-		upset_store (schedule);
+		inject_store_fault (schedule);
 	else if (turn < 9)
 		hang_up (schedule);
 	else
@@ -244,10 +245,10 @@
 	for (int i = 0; i < HARNESS_PROCESSES; i++)
 		harness->processes[i].settings->max_connections = CLIENTS_MAX;
 	for (int i = 0; i < TURNS; i++)
-		take_turn (schedule);
+		run_turn (schedule);
 	run (schedule, 20000);
-	for (int i = 0; i < schedule->n_sendings; i++) {
-		if (schedule->sendings[i].client != NULL)
+	for (int i = 0; i < schedule->n_submissions; i++) {
+		if (schedule->submissions[i].client != NULL)
 			fail_msg ("seed %u: no answer", schedule->seed);
 	}
 	harness_free (harness);
@@ -255,18 +256,18 @@
 
 /* Adds what its callers were told to @n_outcomes. */
 static void
-run_seed (uint32_t seed, bool with_deaths, int n_outcomes[3])
+run_seed (uint32_t seed, bool with_kills, int n_outcomes[3])
 {
 	struct schedule schedule = {.seed = seed, .rng = g_rand_new_with_seed (seed)};
-	if (with_deaths)
-		schedule.death_rng = g_rand_new_with_seed (~seed);
+	if (with_kills)
+		schedule.kill_rng = g_rand_new_with_seed (~seed);
 	run_schedule (&schedule);
 	for (int i = 0; i < 3; i++)
 		n_outcomes[i] += schedule.n_outcomes[i];
 	for (int i = 0; i < KEYS; i++)
 		g_free (schedule.answers[i]);
 	g_rand_free (schedule.rng);
-	g_clear_pointer (&schedule.death_rng, g_rand_free);
+	g_clear_pointer (&schedule.kill_rng, g_rand_free);
 }
 
 static void
@@ -288,7 +289,7 @@
  * process records and runs the key, and a submission joins the first attempt, still in memory.
  * Cause: what is in memory was taken for what is on record. */
 static void
-test_seeds_that_failed (void **state)
+test_late_row_deletion_seeds (void **state)
 {
 	(void)state;
 	static const uint32_t seeds[] = {2321};
@@ -303,7 +304,7 @@
 	signal (SIGPIPE, SIG_IGN);
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test (test_random_schedules),
-		cmocka_unit_test (test_seeds_that_failed),
+		cmocka_unit_test (test_late_row_deletion_seeds),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/entry/test-cancel-race.c
+++ b/tests/entry/test-cancel-race.c
@@ -77,7 +77,7 @@
  * the rows, the holder starts a job, the cancellation is written and fails on that row. Cause: a
  * failed condition was taken for a job that has ended. */
 static void
-test_job_that_starts_meanwhile_is_cancelled_too (void **state)
+test_job_that_starts_during_bulk_cancel (void **state)
 {
 	(void)state;
 	struct harness *harness = harness_new ();
@@ -111,7 +111,7 @@
 {
 	signal (SIGPIPE, SIG_IGN);
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_job_that_starts_meanwhile_is_cancelled_too),
+		cmocka_unit_test (test_job_that_starts_during_bulk_cancel),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/entry/test-failures.c
+++ b/tests/entry/test-failures.c
@@ -56,7 +56,7 @@
  * the batch again to another process. Cause: a batch is taken for whole because its row is there.
  */
 static void
-test_batch_recorded_in_part_is_completed (void **state)
+test_partly_recorded_batch_is_completed (void **state)
 {
 	(void)state;
 	struct harness *harness = harness_new ();
@@ -130,7 +130,7 @@
  * the row, the holder records the end, the cancellation is written. Cause: a write without regard
  * to what changed since the reading. */
 static void
-test_cancellation_does_not_undo_an_end (void **state)
+test_cancellation_does_not_overwrite_outcome (void **state)
 {
 	(void)state;
 	static const struct race_case cases[] = {
@@ -149,7 +149,7 @@
  * a job waits for the store, a request for its record, another for a worker, and a caller for a
  * result. Cause: answers come to what is already freed. */
 static void
-test_end_with_everything_in_flight (void **state)
+test_shutdown_with_work_in_flight (void **state)
 {
 	(void)state;
 	static const char *const requests[] = {
@@ -255,7 +255,7 @@
  * worker; the caller repeats it elsewhere. Cause: an open attempt was waited for until the caller's
  * deadline, also when nobody was left to end it. */
 static void
-test_attempt_of_a_dead_process_is_answered_at_once (void **state)
+test_attempt_of_dead_process (void **state)
 {
 	(void)state;
 	struct harness *harness = harness_new ();
@@ -290,7 +290,7 @@
  * request at a worker, and another one takes its name before it is missed. Cause: a name that is
  * alive was taken for the process that made the request. */
 static void
-test_attempt_of_a_replaced_process_is_answered_at_once (void **state)
+test_attempt_of_replaced_process (void **state)
 {
 	(void)state;
 	struct harness *harness = harness_new ();
@@ -319,12 +319,12 @@
 {
 	signal (SIGPIPE, SIG_IGN);
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_batch_recorded_in_part_is_completed),
-		cmocka_unit_test (test_cancellation_does_not_undo_an_end),
-		cmocka_unit_test (test_end_with_everything_in_flight),
+		cmocka_unit_test (test_partly_recorded_batch_is_completed),
+		cmocka_unit_test (test_cancellation_does_not_overwrite_outcome),
+		cmocka_unit_test (test_shutdown_with_work_in_flight),
 		cmocka_unit_test (test_calls_over_tls),
-		cmocka_unit_test (test_attempt_of_a_dead_process_is_answered_at_once),
-		cmocka_unit_test (test_attempt_of_a_replaced_process_is_answered_at_once),
+		cmocka_unit_test (test_attempt_of_dead_process),
+		cmocka_unit_test (test_attempt_of_replaced_process),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/entry/test-job-json.c
+++ b/tests/entry/test-job-json.c
@@ -16,15 +16,15 @@
 };
 
 static struct dff_job_row *
-parse (const char *text, struct dff_job_rejection *fault)
+parse (const char *text, struct dff_job_rejection *rejection)
 {
 	struct dff_name team = dff_name_from ("casework");
 	struct dff_name region = dff_name_from ("sk-central");
-	return dff_job_parse (dff_str_from (text), &team, &region, fault);
+	return dff_job_parse (dff_str_from (text), &team, &region, rejection);
 }
 
 static void
-test_faults (void **state)
+test_invalid_jobs (void **state)
 {
 	(void)state;
 	static const struct fault_case cases[] = {
@@ -58,15 +58,15 @@
 		 "max_attempts"},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
-		struct dff_job_rejection fault;
-		struct dff_job_row *row = parse (cases[i].text, &fault);
+		struct dff_job_rejection rejection;
+		struct dff_job_row *row = parse (cases[i].text, &rejection);
 		if (row != NULL)
 			fail_msg ("accepted: %s", cases[i].text);
-		assert_int_equal (fault.status, 400);
-		assert_string_equal (fault.code, cases[i].code);
-		if (strstr (fault.detail, cases[i].detail) == NULL)
-			fail_msg ("%s: %s", cases[i].text, fault.detail);
-		dff_job_rejection_clear (&fault);
+		assert_int_equal (rejection.status, 400);
+		assert_string_equal (rejection.code, cases[i].code);
+		if (strstr (rejection.detail, cases[i].detail) == NULL)
+			fail_msg ("%s: %s", cases[i].text, rejection.detail);
+		dff_job_rejection_clear (&rejection);
 	}
 }
 
@@ -74,28 +74,29 @@
 test_deep_nesting_is_refused (void **state)
 {
 	(void)state;
-	struct dff_job_rejection fault;
+	struct dff_job_rejection rejection;
 	g_autoptr (GString) text = g_string_new ("{\"service\":\"s\",\"payload\":{\"a\":");
 	for (int i = 0; i < 100000; i++)
 		g_string_append_c (text, '[');
-	assert_null (parse (text->str, &fault));
-	assert_string_equal (fault.code, "malformed_json");
-	dff_job_rejection_clear (&fault);
+	assert_null (parse (text->str, &rejection));
+	assert_string_equal (rejection.code, "malformed_json");
+	dff_job_rejection_clear (&rejection);
 }
 
 static void
-test_presets (void **state)
+test_default_values (void **state)
 {
 	(void)state;
-	struct dff_job_rejection fault;
-	DFF_AUTO (dff_job_row) row = parse ("{\"service\":\"s\"}", &fault);
+	struct dff_job_rejection rejection;
+	DFF_AUTO (dff_job_row) row = parse ("{\"service\":\"s\"}", &rejection);
 	assert_non_null (row);
 	assert_int_equal (row->spec.gang, 1);
 	assert_int_equal (row->spec.per_task.slots, 1);
 	assert_int_equal (row->spec.max_attempts, 3);
 	assert_true (row->spec.idempotent);
 	assert_string_equal (row->spec.region.data, "sk-central");
-	DFF_AUTO (dff_job_row) once = parse ("{\"service\":\"s\",\"idempotent\":false}", &fault);
+	DFF_AUTO (dff_job_row)
+	once = parse ("{\"service\":\"s\",\"idempotent\":false}", &rejection);
 	assert_int_equal (once->spec.max_attempts, 1);
 }
 
@@ -103,10 +104,10 @@
 test_same_submission (void **state)
 {
 	(void)state;
-	struct dff_job_rejection fault;
-	DFF_AUTO (dff_job_row) a = parse ("{\"service\":\"s\",\"payload\":{\"x\":1}}", &fault);
-	DFF_AUTO (dff_job_row) b = parse ("{\"payload\":{\"x\":1},\"service\":\"s\"}", &fault);
-	DFF_AUTO (dff_job_row) c = parse ("{\"service\":\"s\",\"payload\":{\"x\":2}}", &fault);
+	struct dff_job_rejection rejection;
+	DFF_AUTO (dff_job_row) a = parse ("{\"service\":\"s\",\"payload\":{\"x\":1}}", &rejection);
+	DFF_AUTO (dff_job_row) b = parse ("{\"payload\":{\"x\":1},\"service\":\"s\"}", &rejection);
+	DFF_AUTO (dff_job_row) c = parse ("{\"service\":\"s\",\"payload\":{\"x\":2}}", &rejection);
 	assert_true (dff_job_same_submission (a, b));
 	assert_false (dff_job_same_submission (a, c));
 }
@@ -115,9 +116,9 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_faults),
+		cmocka_unit_test (test_invalid_jobs),
 		cmocka_unit_test (test_deep_nesting_is_refused),
-		cmocka_unit_test (test_presets),
+		cmocka_unit_test (test_default_values),
 		cmocka_unit_test (test_same_submission),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/entry/test-job-truth.c
+++ b/tests/entry/test-job-truth.c
@@ -94,7 +94,7 @@
 }
 
 static void
-upset_store (struct schedule *schedule)
+inject_store_fault (struct schedule *schedule)
 {
 	struct harness *harness = schedule->harness;
 	int64_t until_ms = harness->clock.now_ms + g_rand_int_range (schedule->rng, 100, 8000);
@@ -171,7 +171,7 @@
 		if (turn < 60)
 			submit (schedule);
 		else if (turn < 99)
-			upset_store (schedule);
+			inject_store_fault (schedule);
 		else
 			harness_kill (harness, 1);
 		run (schedule, g_rand_int_range (schedule->rng, 1, 500));
--- a/tests/entry/test-limits.c
+++ b/tests/entry/test-limits.c
@@ -68,7 +68,7 @@
  * whole.
  */
 static void
-test_oversized_requests_are_cut (void **state)
+test_oversized_requests_are_refused (void **state)
 {
 	(void)state;
 	static const char *const heads[] = {
@@ -114,7 +114,7 @@
 
 /* An idle connection stays while there is room, and makes room when there is none. */
 static void
-test_idle_connections_make_room (void **state)
+test_idle_connections_close_at_limit (void **state)
 {
 	(void)state;
 	struct harness *harness = harness_new ();
@@ -160,7 +160,7 @@
 /* Symptom: the process ends itself. Sequence: a client sends a second request while the first one
  * is worked on. Cause: evhttp takes bytes in that state for a broken invariant. */
 static void
-test_requests_sent_ahead (void **state)
+test_pipelined_requests (void **state)
 {
 	(void)state;
 	struct harness *harness = harness_new ();
@@ -185,7 +185,7 @@
 /* Symptom: places of callers who left are held until their long poll runs out. Sequence: the caller
  * closes its connection while it waits. Cause: nobody looks at a connection that waits. */
 static void
-test_caller_that_hangs_up_frees_its_place (void **state)
+test_disconnected_caller_is_released (void **state)
 {
 	(void)state;
 	struct harness *harness = harness_new ();
@@ -205,7 +205,7 @@
 }
 
 static void
-test_requests_in_progress_are_bounded (void **state)
+test_requests_in_progress_limit (void **state)
 {
 	(void)state;
 	struct harness *harness = harness_new ();
@@ -282,7 +282,7 @@
  * together, jobs and batches. Cause: each was measured against the jobs on record, and none of the
  * others was on record yet. */
 static void
-test_submissions_that_arrive_together_are_counted (void **state)
+test_quota_of_concurrent_submissions (void **state)
 {
 	(void)state;
 	static const char *const together[] = {
@@ -337,15 +337,15 @@
  * is longer than a client of the table takes. Cause: as many rows were asked for again the next
  * time. */
 static void
-test_large_rows_are_read_again_in_smaller_shares (void **state)
+test_reread_size_is_halved_for_large_rows (void **state)
 {
 	(void)state;
 	struct harness *harness = harness_new ();
 	struct dff_name jobs[4];
 	struct harness_client *clients[G_N_ELEMENTS (jobs)];
 	harness_set_pool (harness);
-	get_all = harness->processes[0].reads->table.get;
-	harness->processes[0].reads->table.get = get_few;
+	get_all = harness->processes[0].entry_platform->table.get;
+	harness->processes[0].entry_platform->table.get = get_few;
 	for (size_t i = 0; i < G_N_ELEMENTS (jobs); i++) {
 		jobs[i] = submit (harness);
 		g_autofree char *poll = g_strdup_printf (LONG_POLL, jobs[i].data);
@@ -375,7 +375,7 @@
  * intent adds placements, and the recorder refuses the row from then on. Cause: only the row as
  * submitted was measured, and a larger one was answered with "come back later". */
 static void
-test_jobs_too_large_for_a_row_are_refused (void **state)
+test_jobs_too_large_for_a_row (void **state)
 {
 	(void)state;
 	static const struct size_case cases[] = {
@@ -417,16 +417,16 @@
 	signal (SIGPIPE, SIG_IGN);
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test (test_malformed_requests),
-		cmocka_unit_test (test_oversized_requests_are_cut),
+		cmocka_unit_test (test_oversized_requests_are_refused),
 		cmocka_unit_test (test_slow_client_is_closed),
-		cmocka_unit_test (test_idle_connections_make_room),
-		cmocka_unit_test (test_requests_sent_ahead),
-		cmocka_unit_test (test_caller_that_hangs_up_frees_its_place),
-		cmocka_unit_test (test_requests_in_progress_are_bounded),
+		cmocka_unit_test (test_idle_connections_close_at_limit),
+		cmocka_unit_test (test_pipelined_requests),
+		cmocka_unit_test (test_disconnected_caller_is_released),
+		cmocka_unit_test (test_requests_in_progress_limit),
 		cmocka_unit_test (test_batch_of_thousands),
-		cmocka_unit_test (test_submissions_that_arrive_together_are_counted),
-		cmocka_unit_test (test_large_rows_are_read_again_in_smaller_shares),
-		cmocka_unit_test (test_jobs_too_large_for_a_row_are_refused),
+		cmocka_unit_test (test_quota_of_concurrent_submissions),
+		cmocka_unit_test (test_reread_size_is_halved_for_large_rows),
+		cmocka_unit_test (test_jobs_too_large_for_a_row),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/entry/test-pool-race.c
+++ b/tests/entry/test-pool-race.c
@@ -84,7 +84,7 @@
  * Sequence: both read the generation on record, then both write. Cause: the write did not depend on
  * what was read. */
 static void
-test_one_of_two_operators_wins (void **state)
+test_one_of_two_concurrent_updates_wins (void **state)
 {
 	(void)state;
 	for (int offset_ms = 0; offset_ms < OFFSETS; offset_ms++) {
@@ -102,6 +102,7 @@
 main (void)
 {
 	signal (SIGPIPE, SIG_IGN);
-	const struct CMUnitTest tests[] = {cmocka_unit_test (test_one_of_two_operators_wins)};
+	const struct CMUnitTest tests[] = {
+		cmocka_unit_test (test_one_of_two_concurrent_updates_wins)};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/entry/test-sessions.c
+++ b/tests/entry/test-sessions.c
@@ -248,7 +248,7 @@
 }
 
 static void
-take_answer (struct session *session, const char *name)
+print_background_response (struct session *session, const char *name)
 {
 	struct harness_client *client = g_hash_table_lookup (session->clients, name);
 	assert_non_null (client);
@@ -291,11 +291,11 @@
 	else if (g_str_equal (command, "release"))
 		harness_release (harness, atoi (words[1]), words[2]);
 	else if (g_str_equal (command, "listed-leaving"))
-		harness_list_leaving (harness, words[1]);
+		harness_set_listed_leaving (harness, words[1]);
 	else if (g_str_equal (command, "end"))
 		end_job (session, words);
 	else if (g_str_equal (command, "skip-part"))
-		harness->skipped_offset = atoi (words[1]);
+		harness->missing_chunk_offset = atoi (words[1]);
 	else if (g_str_equal (command, "object"))
 		harness_put_object (harness, words[1], words[2]);
 	else if (g_str_equal (command, "save"))
@@ -303,7 +303,7 @@
 	else if (g_str_equal (command, "row"))
 		print_row (session, words[1]);
 	else if (g_str_equal (command, "answer"))
-		take_answer (session, words[1]);
+		print_background_response (session, words[1]);
 	else if (g_str_equal (command, "hang-up"))
 		g_hash_table_remove (session->clients, words[1]);
 	else if (g_str_equal (command, "ran"))
--- a/tests/entry/test-slots.c
+++ b/tests/entry/test-slots.c
@@ -60,7 +60,7 @@
 }
 
 static void
-test_same_data_centre_first_and_bounded (void **state)
+test_same_data_centre_is_preferred (void **state)
 {
 	(void)state;
 	DFF_AUTO (dff_slots) slots = three_workers ();
@@ -115,7 +115,7 @@
 /* Symptom: a worker that is shutting down fails new requests. Sequence: it says that it is leaving,
  * the instance list lags and still calls it live. Cause: the list alone is believed. */
 static void
-test_leaving_by_either_signal (void **state)
+test_leaving_by_list_or_report (void **state)
 {
 	(void)state;
 	DFF_AUTO (dff_slots) slots = three_workers ();
@@ -138,7 +138,7 @@
  * the instance list forgets it; the holder learns that and grants its slots again. Cause: its word
  * stood for as long as the list named it. */
 static void
-test_worker_that_comes_back_is_used_again (void **state)
+test_restarted_worker_is_used_again (void **state)
 {
 	(void)state;
 	DFF_AUTO (dff_slots) slots = three_workers ();
@@ -159,7 +159,7 @@
 }
 
 static void
-test_avoided_worker_is_the_last_choice (void **state)
+test_avoided_worker_is_last_choice (void **state)
 {
 	(void)state;
 	DFF_AUTO (dff_slots) slots = three_workers ();
@@ -192,13 +192,13 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_same_data_centre_first_and_bounded),
+		cmocka_unit_test (test_same_data_centre_is_preferred),
 		cmocka_unit_test (test_less_loaded_of_two),
 		cmocka_unit_test (test_grants_expire),
 		cmocka_unit_test (test_grants_of_an_older_epoch_are_ignored),
-		cmocka_unit_test (test_leaving_by_either_signal),
-		cmocka_unit_test (test_worker_that_comes_back_is_used_again),
-		cmocka_unit_test (test_avoided_worker_is_the_last_choice),
+		cmocka_unit_test (test_leaving_by_list_or_report),
+		cmocka_unit_test (test_restarted_worker_is_used_again),
+		cmocka_unit_test (test_avoided_worker_is_last_choice),
 		cmocka_unit_test (test_retry_budget_is_a_share_of_successes),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
