--- a/tests/entry/harness.c
+++ b/tests/entry/harness.c
@@ -118,7 +118,7 @@
 start_peer (struct harness_process *process)
 {
 	struct dff_peer_options options;
-	/* Nobody is holder, so nobody sends what the other callbacks are for. */
+	/* There is no holder, so the messages behind the other callbacks are never sent. */
 	struct dff_peer_callbacks callbacks = {
 		.pool_received = pool_committed,
 		.job_ended = job_ended,
@@ -203,7 +203,8 @@
 	process->tracer = dff_tracer_new (&harness->clock.clock, &process->name, 1 + index,
 					  keep_span, harness);
 	process->platform = dff_memory_open (harness->memory);
-	/* Its answers may still be on their way when the process is replaced. */
+	/* Answers to the previous process may still be on their way when it is replaced, so its
+	 * platform handle is reused. */
 	if (process->entry_platform == NULL)
 		process->entry_platform = dff_memory_open (harness->memory);
 	dff_recorder_options_init (&recorder);
--- a/tests/entry/harness.h
+++ b/tests/entry/harness.h
@@ -16,28 +16,29 @@
 #include "upstream/worker_client.h"
 
 /*
- * Two entries in one process, on one platform in memory under a virtual clock, with real sockets on
- * loopback towards callers and fake workers behind the interface. Nothing decides about jobs: a
- * test ends them itself, as the holder of the cell would.
+ * Two entry processes in one program. They share a platform in memory under a virtual clock, have
+ * real sockets on loopback for callers, and fake workers behind the worker interface. There is no
+ * holder: a test ends jobs itself, as the holder of the cell would.
  */
 
 #define HARNESS_PROCESSES 2
-/** Virtual ms after which a wait for a socket has failed. */
+/** Virtual time after which waiting for a response fails, ms. */
 #define HARNESS_TIMEOUT_MS 120000
 
 struct harness;
 
 struct harness_process {
 	struct harness *harness;
-	/** Processes that had this name before. */
+	/** Number of earlier processes with this name. */
 	uint64_t n_restarts;
 	struct dff_name name;
 	struct dff_settings *settings;
 	struct dff_metrics *metrics;
 	struct dff_tracer *tracer;
 	struct dff_memory_handle *platform;
-	/** What the entry itself reads and keeps; has the faults of @platform, and outlives a
-	 * killed process, so that late answers come to an entry that is gone. */
+	/** Platform handle of the entry's own reads and writes, with the same faults as @platform.
+	 * It outlives a killed process, so that late answers arrive at an entry that is already
+	 * freed. */
 	struct dff_memory_handle *entry_platform;
 	struct dff_recorder *recorder;
 	struct dff_peer *peer;
@@ -46,13 +47,14 @@
 	struct dff_pool *pool;
 };
 
-/** What a worker does with one request. */
+/** The answer of a worker to one request. */
 struct harness_answer {
 	enum dff_worker_outcome outcome;
 	int status;
 	char *body;
 	bool leaving;
-	/** No answer until harness_release(), or UNCERTAIN at its deadline. */
+	/** The worker does not answer before harness_release(). At the request's deadline the
+	 * outcome is UNCERTAIN. */
 	bool held;
 };
 
@@ -63,11 +65,12 @@
 	struct dff_memory_handle *holder;
 	struct dff_worker_client workers;
 	struct harness_process processes[HARNESS_PROCESSES];
-	/** Elements: struct harness_answer *, for the next requests; then workers echo. */
+	/** Elements: struct harness_answer *, for the next requests in order. When the queue is
+	 * empty, workers answer with the body of the request. */
 	GQueue answers;
-	/** Elements: struct harness_sent *, requests at workers. */
+	/** Elements: struct harness_sent *, requests that workers have not answered yet. */
 	GQueue sent;
-	/** Requests that workers ran, or may have run. */
+	/** Number of requests that workers ran or may have run. */
 	int32_t n_run;
 	struct dff_instance instances[4];
 	size_t n_instances;
@@ -75,47 +78,47 @@
 	/** (nullable): called when a worker runs, or may run, a request. */
 	void (*on_run) (void *ctx, struct dff_str body);
 	void *on_run_ctx;
-	/** Spans that ended, one JSON object a line. */
+	/** Spans that ended, one JSON object per line. */
 	GString *spans;
-	/** What the last request at a worker carried. */
+	/** traceparent of the last request to a worker. */
 	char traceparent[DFF_TRACEPARENT_LEN + 1];
 	/** Paths; NULL: plain HTTP. */
 	const char *certificate, *key;
-	/** Parts of results at this offset are not written; -1: all are. */
+	/** The chunk of a result at this offset is not written; -1: all chunks are. */
 	int64_t missing_chunk_offset;
 };
 
 struct harness *harness_new (void);
 
-/** Like harness_new(), with TLS towards callers. */
+/** Like harness_new(), with TLS for callers. */
 struct harness *harness_new_tls (const char *certificate, const char *key);
 
 void harness_free (struct harness *harness);
 
-/** Lets one ms pass. */
+/** Advances the clock by 1 ms and runs all processes. */
 void harness_step (struct harness *harness);
 
 void harness_run (struct harness *harness, int64_t ms);
 
-/** Puts the pool of the tests in force in every process. */
+/** Applies the pool of the tests in every process. */
 void harness_set_pool (struct harness *harness);
 
-/** Grants every process @slots slots at each of two workers, 0: none, for @valid_ms. */
+/** Grants every process @slots slots (0: none) at each of two workers, valid for @valid_ms. */
 void harness_grant (struct harness *harness, int32_t slots, int32_t valid_ms);
 
-/** Says in the instance list that a worker is leaving. */
+/** Marks a worker as leaving in the instance list. */
 void harness_set_listed_leaving (struct harness *harness, const char *worker);
 
-/** The process dies at once. */
+/** Kills the process at once. */
 void harness_kill (struct harness *harness, int process);
 
-/** The process dies, and another one starts under its name at once. */
+/** Kills the process and starts another one with the same name at once. */
 void harness_replace (struct harness *harness, int process);
 
-/** What the next request meets. @body is copied. */
+/** Sets the worker's answer to the next request. @body is copied. */
 void harness_next_answer (struct harness *harness, const struct harness_answer *answer);
 
-/** Answers the first held request. */
+/** Answers the oldest request that is held. */
 void harness_release (struct harness *harness, int status, const char *body);
 
 /** Ends a job as the holder would. @result: (nullable). */
@@ -124,7 +127,7 @@
 		      enum dff_outcome outcome,
 		      const char *result);
 
-/** Writes an object past all faults. */
+/** Writes an object without injected faults. */
 void harness_put_object (struct harness *harness, const char *key, const char *text);
 
 /** A caller's connection. */
@@ -137,21 +140,21 @@
 
 struct harness_client *harness_connect (struct harness *harness, int process);
 
-/** Like harness_connect(), over TLS; whoever answers is trusted. */
+/** Like harness_connect(), over TLS; the server certificate is not verified. */
 struct harness_client *harness_connect_tls (struct harness *harness, int process, SSL_CTX *tls);
 
 void harness_client_free (struct harness_client *client);
 
 void harness_client_send (struct harness_client *client, const char *bytes, size_t len);
 
-/** Whether a whole response has come. */
+/** Returns: whether a complete response was received. */
 bool harness_client_is_whole (const struct harness_client *client);
 
-/** Lets time pass until a whole response has come or the connection is closed. Returns: whether it
- * has. */
+/** Runs until a complete response was received or the connection is closed. Returns: whether a
+ * complete response was received. */
 bool harness_client_wait (struct harness_client *client);
 
-/** Returns: status of the response that came; 0: none. */
+/** Returns: status of the received response; 0: none. */
 int harness_client_status (const struct harness_client *client);
 
 #endif
--- a/tests/entry/harness_client.c
+++ b/tests/entry/harness_client.c
@@ -33,7 +33,7 @@
 		client->closed = true;
 }
 
-/* Takes @bev over. */
+/* Takes ownership of @bev. */
 static struct harness_client *
 connect_with (struct harness *harness, int process, struct bufferevent *bev)
 {
@@ -104,7 +104,7 @@
 			return false;
 		harness_step (client->harness);
 	}
-	fail_msg ("no response");
+	fail_msg ("no response before the timeout");
 	return false;
 }
 
--- a/tests/entry/harness_jobs.c
+++ b/tests/entry/harness_jobs.c
@@ -11,7 +11,7 @@
 
 #include "cell/job_row.h"
 
-/* What the holder of the cell, the workers and the store would do about jobs. */
+/* What the holder of the cell, the workers and the store do with jobs. */
 
 #define RESULT_CHUNK 8
 
--- a/tests/entry/harness_private.h
+++ b/tests/entry/harness_private.h
@@ -3,7 +3,7 @@
 
 #include "harness.h"
 
-/** A short request to a worker; @ctx: the harness. See struct dff_worker_client. */
+/** Sends a short request to a worker; @ctx: the harness. See struct dff_worker_client. */
 void harness_request_worker (void *ctx,
 			     const struct dff_name *address,
 			     const struct dff_name *service,
@@ -17,7 +17,7 @@
 /** Answers the requests that are due. */
 void harness_tick_workers (struct harness *harness);
 
-/** Answers every request that is left, so that nothing is held when the harness is freed. */
+/** Answers every request that is left, so that its memory is freed with the harness. */
 void harness_drop_sent (struct harness *harness);
 
 #endif
--- a/tests/entry/harness_workers.c
+++ b/tests/entry/harness_workers.c
@@ -7,7 +7,8 @@
 
 #include <cmocka.h>
 
-/* The workers of the harness: they answer as scripted, and else echo. */
+/* The workers of the harness. They give the scripted answers; without one they answer with the body
+ * of the request. */
 
 struct harness_sent {
 	struct harness_answer answer;
--- a/tests/entry/test-assembly.c
+++ b/tests/entry/test-assembly.c
@@ -56,7 +56,7 @@
 	const char *what;
 	struct span chunks[4];
 	size_t n_chunks;
-	/** 0: the manifest is refused. */
+	/** 0: the manifest is rejected. */
 	size_t n_usable;
 };
 
@@ -65,17 +65,17 @@
 {
 	(void)state;
 	static const struct manifest_case cases[] = {
-		{"one", {{0, 16}}, 1, 1},
+		{"one chunk", {{0, 16}}, 1, 1},
 		{"in order", {{0, 6}, {6, 10}}, 2, 2},
 		{"out of order", {{6, 10}, {0, 6}}, 2, 2},
 		{"listed twice", {{0, 6}, {6, 10}, {0, 6}}, 3, 2},
 		{"gap", {{0, 6}, {7, 9}}, 2, 0},
 		{"overlap", {{0, 6}, {5, 11}}, 2, 0},
-		{"cut", {{0, 6}, {6, 9}}, 2, 0},
+		{"truncated", {{0, 6}, {6, 9}}, 2, 0},
 		{"too long", {{0, 6}, {6, 11}}, 2, 0},
 		{"negative offset", {{-1, 16}}, 1, 0},
 		{"empty chunk", {{0, 0}, {0, 16}}, 2, 0},
-		{"none", {{0, 0}}, 0, 0},
+		{"no chunks", {{0, 0}}, 0, 0},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		DFF_AUTO (dff_assembly)
@@ -112,9 +112,8 @@
 	return dff_assembly_add (assembly, index, data);
 }
 
-/* Symptom: a caller gets an answer with a part missing, or another's bytes in it. Sequence: chunks
- * arrive in another order than they were written, one twice, one cut, one damaged. Cause: chunks
- * appended as they come. */
+/* Guards against a result with missing or foreign bytes. Chunks arrive out of order, and some are
+ * repeated, truncated or damaged; appending them as they arrive would give a wrong result. */
 static void
 test_reordered_repeated_and_damaged_chunks (void **state)
 {
@@ -135,9 +134,9 @@
 	assert_memory_equal (result.data, whole, WHOLE_LEN);
 }
 
-/* Symptom: a caller gets another answer's bytes as its own. Sequence: two attempts of a job wrote
- * their chunks under the same keys; each chunk has the digest that the manifest gives it, the whole
- * does not have the digest on record. Cause: chunks were checked, the answer was not. */
+/* Guards against returning another attempt's bytes. Two attempts of a job write their chunks under
+ * the same keys: each chunk has the digest in the manifest, but the complete result does not have
+ * the recorded digest. Checking only the chunks would not detect that. */
 static void
 test_result_digest_is_checked (void **state)
 {
--- a/tests/entry/test-at-most-once.c
+++ b/tests/entry/test-at-most-once.c
@@ -11,41 +11,41 @@
 #include "harness.h"
 
 /*
- * Random schedules of requests that are not idempotent: a few keys, each sent several times through
- * both processes, while workers refuse, die or keep silent, the store is down,
- * silent or loses answers and delays writes, callers hang up, and one process may
- * die. After every step:
+ * Random schedules of requests that are not idempotent. A few keys are each submitted several times
+ * through both processes. Meanwhile workers refuse, die or do not answer; the store is down, does
+ * not answer, loses answers or delays writes; callers disconnect; and one process may die. After
+ * every step:
  *
- *  - no key is run twice;
- *  - who is told "not run" is told so of a key that was not run before;
- *  - nothing is run for a key whose callers all have their answer or hung up;
- *  - whoever gets the work's answer gets the same one.
+ *  - no key has run twice;
+ *  - a key that is reported as not run has not run before;
+ *  - no key runs after all its callers were answered or have disconnected;
+ *  - all callers that get a worker's answer for a key get the same one.
  */
 
 #define SEEDS 150
 #define TURNS 60
 #define KEYS 4
 #define CLIENTS_MAX 128
-/** An answer, or the end of a connection, is on its way through the sockets for so long, ms. */
+/** Time that an answer or the end of a connection takes through the sockets, ms. */
 #define IN_FLIGHT_MS 5
 
 struct submission {
-	struct harness_client *client; /**< NULL: evaluated, or hung up. */
+	struct harness_client *client; /**< NULL: answered and checked, or disconnected. */
 	int key;
-	/** When it was answered or hung up; INT64_MAX: neither yet. */
+	/** Time when it was answered or disconnected, ms. Not ended: INT64_MAX - IN_FLIGHT_MS. */
 	int64_t ended_ms;
 };
 
 struct schedule {
 	struct harness *harness;
 	GRand *rng;
-	/** Of deaths alone, so that the rest of a schedule is the same with and without; NULL:
-	 * none. */
+	/** Decides about kills only, so that a schedule is otherwise the same with and without
+	 * kills; NULL: no kills. */
 	GRand *kill_rng;
 	uint32_t seed;
 	struct submission submissions[CLIENTS_MAX];
 	int n_submissions;
-	int64_t ran_ms[KEYS]; /**< 0: not yet. */
+	int64_t ran_ms[KEYS]; /**< 0: it has not run. */
 	char *answers[KEYS];
 	int n_outcomes[3]; /**< Completed, not run, unknown. */
 };
@@ -63,9 +63,9 @@
 			has_caller = true;
 	}
 	if (schedule->ran_ms[key] != 0)
-		fail_msg ("seed %u: key %d is run twice", schedule->seed, key);
+		fail_msg ("seed %u: key %d ran twice", schedule->seed, key);
 	if (!has_caller)
-		fail_msg ("seed %u: key %d is run for nobody", schedule->seed, key);
+		fail_msg ("seed %u: key %d ran without a waiting caller", schedule->seed, key);
 	schedule->ran_ms[key] = now_ms;
 }
 
@@ -85,10 +85,10 @@
 	} else if (strstr (body, "\"outcome\":\"not_run\"") != NULL) {
 		schedule->n_outcomes[1]++;
 		if (ran_ms != 0 && ran_ms < now_ms - IN_FLIGHT_MS)
-			fail_msg ("seed %u: key %d is said not to run, and ran", schedule->seed,
-				  submission->key);
+			fail_msg ("seed %u: key %d was reported as not run, but ran",
+				  schedule->seed, submission->key);
 	} else if (strstr (body, "\"outcome\":\"completed\"") != NULL) {
-		/* It is on record that it ran, and its answer cannot be read now. */
+		/* The record says that the key ran; its answer cannot be read now. */
 		assert_true (ran_ms != 0);
 	} else {
 		schedule->n_outcomes[2]++;
@@ -168,10 +168,10 @@
 	int choice = g_rand_int_range (schedule->rng, 0, 8);
 	if (choice < 4)
 		harness_next_answer (schedule->harness, &answers[choice]);
-	/* Nobody can be reached for as long as one request is tried. */
+	/* No worker accepts the request in any of its tries. */
 	for (int i = 0; choice >= 4 && choice < 6 && i < 4; i++)
 		harness_next_answer (schedule->harness, &answers[2 + i % 2]);
-	/* The holder is silent: the grants run out. */
+	/* The holder sends no more grants, so they expire. */
 	if (choice >= 6)
 		harness_grant (schedule->harness, choice - 6, 1000);
 }
@@ -206,8 +206,7 @@
 	}
 }
 
-/* In about half of the schedules with deaths a process dies at some point; the other one goes on.
- */
+/* Kills one process in about half of the schedules with kills; the other process continues. */
 static void
 maybe_kill_process (struct schedule *schedule)
 {
@@ -254,7 +253,7 @@
 	harness_free (harness);
 }
 
-/* Adds what its callers were told to @n_outcomes. */
+/* Runs the schedule of @seed and adds the number of reported outcomes to @n_outcomes. */
 static void
 run_seed (uint32_t seed, bool with_kills, int n_outcomes[3])
 {
@@ -279,15 +278,15 @@
 		run_seed (seed, seed % 2 == 0, n_outcomes);
 	print_message ("completed %d, not run %d, unknown %d\n", n_outcomes[0], n_outcomes[1],
 		       n_outcomes[2]);
-	/* Schedules in which one of them never happens would prove little. */
+	/* If one of the outcomes hardly occurs, the schedules prove little. */
 	for (int i = 0; i < 3; i++)
 		assert_true (n_outcomes[i] > SEEDS / 2);
 }
 
-/* Symptom: a caller is told that a key was not run, and another process has run it. Sequence: an
- * attempt ends as not run and its row is deleted, the store's answer to that is late, another
- * process records and runs the key, and a submission joins the first attempt, still in memory.
- * Cause: what is in memory was taken for what is on record. */
+/* Guards against reporting not_run for a key that another process has run. An attempt ends as not
+ * run and its row is deleted; while the store's answer to the deletion is late, another process
+ * records the key and runs it. A later submission must not join the first attempt, which is still
+ * in memory. */
 static void
 test_late_row_deletion_seeds (void **state)
 {
--- a/tests/entry/test-cancel-race.c
+++ b/tests/entry/test-cancel-race.c
@@ -10,10 +10,10 @@
 #include "cell/job_row.h"
 #include "harness.h"
 
-/* Cancellations of a whole team while the holder changes the rows. */
+/* Bulk cancellation of a team's jobs while the holder changes their rows. */
 
 #define JOBS 5
-/** Of every call to the table, ms. */
+/** Delay of every call to the table, ms. */
 #define DELAY_MS 40
 
 static void
@@ -43,7 +43,7 @@
 	assert_int_equal (result->outcome, DFF_TABLE_OK);
 }
 
-/* The holder puts a start intent on record. */
+/* Records a start intent as the holder would. */
 static void
 write_start (struct harness *harness, const struct dff_name *job)
 {
@@ -73,9 +73,9 @@
 	return decoded->cancel_requested;
 }
 
-/* Symptom: a team cancels all its jobs and one of them runs on. Sequence: the cancellation reads
- * the rows, the holder starts a job, the cancellation is written and fails on that row. Cause: a
- * failed condition was taken for a job that has ended. */
+/* Guards against a job that keeps running after its team cancelled all jobs. The holder starts the
+ * job between the read and the write of the cancellation, so the write fails on its row. A failed
+ * condition does not mean that the job has ended. */
 static void
 test_job_that_starts_during_bulk_cancel (void **state)
 {
--- a/tests/entry/test-failures.c
+++ b/tests/entry/test-failures.c
@@ -14,7 +14,7 @@
 
 #include "harness.h"
 
-/* Failures that need more than a script: at an exact moment, or over TLS. */
+/* Failures that a session script cannot express: at an exact moment, or over TLS. */
 
 #define BATCH_JOBS 4
 
@@ -42,7 +42,7 @@
 	return client;
 }
 
-/* Steps until the platform has taken @n commits in, counted from the harness's start. */
+/* Runs until the platform has committed @n writes since the harness was created. */
 static void
 run_until_commits (struct harness *harness, int64_t n)
 {
@@ -51,10 +51,10 @@
 	assert_int_equal (dff_memory_counts (harness->memory).commits, n);
 }
 
-/* Symptom: part of an overnight batch is missing, and nobody notices before a citizen calls.
- * Sequence: the batch's row is written, the store goes down before its jobs are, the caller sends
- * the batch again to another process. Cause: a batch is taken for whole because its row is there.
- */
+/* Guards against a batch that silently lacks jobs. The batch's row is written, the store goes down
+ * before the jobs are written, and the caller submits the batch again to another process. The
+ * existing row does not prove that the batch is complete; a missing job of a batch that runs
+ * overnight would be noticed only when a citizen calls. */
 static void
 test_partly_recorded_batch_is_completed (void **state)
 {
@@ -83,7 +83,7 @@
 }
 
 struct race_case {
-	/** What cancels; %s: the job. */
+	/** Path of the cancellation; %s: the job. */
 	const char *path;
 	const char *expected;
 };
@@ -103,7 +103,7 @@
 	return dff_name_from (id);
 }
 
-/* Ends a job between the reading and the writing of its cancellation. */
+/* Ends a job between the read and the write of its cancellation. */
 static void
 race_cancellation (struct harness *harness, const struct race_case *race)
 {
@@ -116,7 +116,8 @@
 	faults->delay_min_ms = 40;
 	faults->delay_max_ms = 40;
 	send_text (client, text);
-	/* The row is read after 20 ms, and written 20 ms after that was answered. */
+	/* The row is read at 20 ms and the answer arrives at 40 ms; the write reaches the table 20
+	 * ms after that. */
 	harness_run (harness, 40);
 	harness_end_job (harness, &job, DFF_OUTCOME_COMPLETED, NULL);
 	assert_true (harness_client_wait (client));
@@ -126,9 +127,9 @@
 	harness_client_free (client);
 }
 
-/* Symptom: a job whose result was delivered is cancelled afterwards. Sequence: a cancellation reads
- * the row, the holder records the end, the cancellation is written. Cause: a write without regard
- * to what changed since the reading. */
+/* Guards against cancelling a job whose result was delivered. A cancellation reads the row, the
+ * holder records the outcome, and then the cancellation is written. The write has to depend on the
+ * revision that was read. */
 static void
 test_cancellation_does_not_overwrite_outcome (void **state)
 {
@@ -145,9 +146,9 @@
 	}
 }
 
-/* Symptom: a process that is told to end at once crashes instead, or hangs. Sequence: it ends while
- * a job waits for the store, a request for its record, another for a worker, and a caller for a
- * result. Cause: answers come to what is already freed. */
+/* Guards against a crash or a hang when a process is shut down at once. At that moment a job waits
+ * for the store, a request for its record, another one for a worker, and a caller for a result.
+ * Their answers arrive after the entry is freed. */
 static void
 test_shutdown_with_work_in_flight (void **state)
 {
@@ -250,10 +251,10 @@
 	return client;
 }
 
-/* Symptom: after a process died, callers of its requests that run at most once are held, time out,
- * ask again and give up without an outcome. Sequence: the process dies with the request at a
- * worker; the caller repeats it elsewhere. Cause: an open attempt was waited for until the caller's
- * deadline, also when nobody was left to end it. */
+/* Guards against waiting for an attempt that no process can end any more. The process dies while a
+ * worker has its request, and the caller repeats the request through another process. If that
+ * process waited until the deadline, the caller would time out, repeat the request and finally give
+ * up without an outcome. */
 static void
 test_attempt_of_dead_process (void **state)
 {
@@ -286,9 +287,9 @@
 	harness_free (harness);
 }
 
-/* Symptom: as above, for as long as the key is remembered. Sequence: the process dies with the
- * request at a worker, and another one takes its name before it is missed. Cause: a name that is
- * alive was taken for the process that made the request. */
+/* The same failure, which would last for as long as the key is remembered: another process with the
+ * same name starts before the dead one is detected. The name alone does not identify the process
+ * that created the request. */
 static void
 test_attempt_of_replaced_process (void **state)
 {
--- a/tests/entry/test-job-json.c
+++ b/tests/entry/test-job-json.c
@@ -11,7 +11,7 @@
 struct fault_case {
 	const char *text;
 	const char *code;
-	/** Part of what is said. */
+	/** Expected part of the detail text. */
 	const char *detail;
 };
 
--- a/tests/entry/test-job-truth.c
+++ b/tests/entry/test-job-truth.c
@@ -11,10 +11,10 @@
 #include "harness.h"
 
 /*
- * Random schedules of job submissions, with and without a key, through two processes, while the
- * store is down, silent, slow, late or loses answers, and one process may die. In the end every job
- * that was accepted is on record once, every one that was said not to run is not, and no key has
- * two.
+ * Random schedules of job submissions, with and without a key, through two processes. Meanwhile the
+ * store is down, does not answer, is slow, writes late or loses answers, and one process may die.
+ * At the end every accepted job is recorded exactly once, no job that was reported as not run is
+ * recorded, and no key has two jobs.
  */
 
 #define SEEDS 100
@@ -23,7 +23,7 @@
 #define JOBS_MAX 64
 
 struct job {
-	struct harness_client *client; /**< NULL: evaluated. */
+	struct harness_client *client; /**< NULL: answered and checked. */
 	bool accepted;
 	bool not_run;
 };
@@ -32,9 +32,8 @@
 	struct harness *harness;
 	GRand *rng;
 	uint32_t seed;
-	/** The first KEYS stand for keys, which are sent several times; each other one is sent
-	 * once.
-	 */
+	/** The first KEYS elements are the jobs with a key, which are submitted several times;
+	 * every other job is submitted once. */
 	struct job jobs[JOBS_MAX];
 	int n_jobs;
 	int n_accepted;
@@ -146,14 +145,16 @@
 	for (int i = 0; i < schedule->n_jobs; i++) {
 		const struct job *job = &schedule->jobs[i];
 		if (counts[i] > 1)
-			fail_msg ("seed %u: job %d is on record twice", schedule->seed, i);
+			fail_msg ("seed %u: job %d is recorded twice", schedule->seed, i);
 		if (job->accepted && counts[i] != 1)
-			fail_msg ("seed %u: job %d is lost", schedule->seed, i);
+			fail_msg ("seed %u: accepted job %d is not recorded", schedule->seed, i);
 		if (i >= KEYS && job->not_run && counts[i] != 0)
-			fail_msg ("seed %u: job %d is said not to run, and is on record",
+			fail_msg ("seed %u: job %d was reported as not run, but is recorded",
 				  schedule->seed, i);
 		if (i < KEYS && job->not_run)
-			fail_msg ("seed %u: not run is not proven under a key", schedule->seed);
+			fail_msg (
+				"seed %u: a keyed submission was reported as not run without proof",
+				schedule->seed);
 	}
 }
 
--- a/tests/entry/test-limits.c
+++ b/tests/entry/test-limits.c
@@ -9,7 +9,7 @@
 
 #include "harness.h"
 
-/* Clients that are slow, silent, too many, or send what they should not. */
+/* Clients that are slow, silent, too many, or send invalid requests. */
 
 #define OK_REQUEST "GET /healthz HTTP/1.1\r\nHost: entry\r\n\r\n"
 #define LONG_POLL                                                                                  \
@@ -33,7 +33,7 @@
 struct raw_case {
 	const char *what;
 	const char *bytes;
-	/** 0: the connection is closed. */
+	/** 0: the connection is closed without a response. */
 	int status;
 };
 
@@ -42,11 +42,11 @@
 {
 	(void)state;
 	static const struct raw_case cases[] = {
-		{"good", OK_REQUEST, 200},
-		{"no HTTP", "hello\r\n\r\n", 400},
+		{"valid request", OK_REQUEST, 200},
+		{"not HTTP", "hello\r\n\r\n", 400},
 		{"unknown method", "BREW /healthz HTTP/1.1\r\n\r\n", 501},
-		{"method that is not taken", "PATCH /v1/jobs HTTP/1.1\r\n\r\n", 501},
-		{"bad header", "GET /healthz HTTP/1.1\r\nno colon\r\n\r\n", 400},
+		{"disallowed method", "PATCH /v1/jobs HTTP/1.1\r\n\r\n", 501},
+		{"header without colon", "GET /healthz HTTP/1.1\r\nno colon\r\n\r\n", 400},
 		{"negative length", "POST /v1/jobs HTTP/1.1\r\nContent-Length: -5\r\n\r\n", 400},
 		{"huge length", "POST /v1/jobs HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", 413},
 		{"no path", "GET  HTTP/1.1\r\n\r\n", 400},
@@ -63,10 +63,9 @@
 	}
 }
 
-/* Symptom: memory grows with what a client cares to send. Sequence: a body without announced length
- * that goes on past the limit, or a header without end. Cause: bytes kept until the request is
- * whole.
- */
+/* Guards against memory that grows with what a client sends: a body without a Content-Length that
+ * goes on past the limit, or a header without an end. Bytes are buffered until a request is
+ * complete, so the limit has to apply while it is received. */
 static void
 test_oversized_requests_are_refused (void **state)
 {
@@ -89,9 +88,9 @@
 	}
 }
 
-/* Symptom: an entry has no connection left for callers. Sequence: clients send a byte now and then,
- * each too soon for a read timeout, and never a whole request. Cause: time is counted from the last
- * byte instead of the first. */
+/* Guards against clients that use up all connections by sending a byte now and then but never a
+ * complete request. No single pause is long enough for a read timeout, so the time has to count
+ * from the first byte, not from the last. */
 static void
 test_slow_client_is_closed (void **state)
 {
@@ -112,7 +111,8 @@
 	harness_free (harness);
 }
 
-/* An idle connection stays while there is room, and makes room when there is none. */
+/* An idle connection stays open while the number of connections is below the limit. At the limit,
+ * idle connections are closed for new callers. */
 static void
 test_idle_connections_close_at_limit (void **state)
 {
@@ -157,8 +157,8 @@
 	return job;
 }
 
-/* Symptom: the process ends itself. Sequence: a client sends a second request while the first one
- * is worked on. Cause: evhttp takes bytes in that state for a broken invariant. */
+/* Guards against a crash when a client sends a second request while the first one is being handled:
+ * evhttp treats bytes in that state as a broken invariant and ends the process. */
 static void
 test_pipelined_requests (void **state)
 {
@@ -182,8 +182,8 @@
 	harness_free (harness);
 }
 
-/* Symptom: places of callers who left are held until their long poll runs out. Sequence: the caller
- * closes its connection while it waits. Cause: nobody looks at a connection that waits. */
+/* Guards against connections that stay in use until the long poll times out although the caller has
+ * disconnected. Unless the connection is watched while the call waits, its end is not detected. */
 static void
 test_disconnected_caller_is_released (void **state)
 {
@@ -192,7 +192,7 @@
 	harness_set_pool (harness);
 	struct dff_name job = submit (harness);
 	g_autofree char *poll = g_strdup_printf (LONG_POLL, job.data);
-	/* The submitter's connection is gone by then. */
+	/* Until then the submitter's connection is closed. */
 	harness_run (harness, 60);
 	struct harness_client *client = harness_connect (harness, 0);
 	send_text (client, poll);
@@ -243,8 +243,8 @@
 	harness_client_free (client);
 }
 
-/* A body larger than what a connection may send ahead, recorded in windows, counted and cancelled
- * in pages. */
+/* The body is larger than the read-ahead limit. Jobs are recorded in windows, and counted and
+ * cancelled in pages. */
 static void
 test_batch_of_thousands (void **state)
 {
@@ -278,9 +278,9 @@
 	harness_free (harness);
 }
 
-/* Symptom: a team has many times the jobs queued that it may have. Sequence: its submissions arrive
- * together, jobs and batches. Cause: each was measured against the jobs on record, and none of the
- * others was on record yet. */
+/* Guards against a team that exceeds its limit of queued jobs by submitting jobs and batches at the
+ * same time. If only recorded jobs were counted, none of these submissions would count for the
+ * others. */
 static void
 test_quota_of_concurrent_submissions (void **state)
 {
@@ -310,18 +310,18 @@
 		harness_client_free (clients[i]);
 	}
 	assert_in_range (accepted, 3, 6);
-	/* What was refused does not count. */
+	/* Refused jobs do not count. */
 	for (int i = accepted; i < 6; i++)
 		submit (harness);
 	harness_free (harness);
 }
 
-/** Rows that an answer of the table holds at the most. */
+/** Maximum number of rows in one answer of the table. */
 #define FEW_ROWS 2
 
 static void (*get_all) (void *, const struct dff_str *, size_t, dff_table_func, void *);
 
-/* A table whose rows are so long that the answer for more than a few is dropped. */
+/* Simulates a table with rows so long that an answer with more than FEW_ROWS of them is dropped. */
 static void
 get_few (void *ctx, const struct dff_str *keys, size_t n_keys, dff_table_func done, void *user)
 {
@@ -332,10 +332,10 @@
 		get_all (ctx, keys, n_keys, done, user);
 }
 
-/* Symptom: long polls run out although the results are there. Sequence: the notices of the ends are
- * lost; the waiting jobs' rows are read again, but they are large, and the answer with all of them
- * is longer than a client of the table takes. Cause: as many rows were asked for again the next
- * time. */
+/* Guards against long polls that time out although the results exist. The notifications of the ends
+ * are lost, and the rows of the waiting jobs are read again; they are large, and one answer with
+ * all of them is longer than a client of the table accepts. Requesting the same number of rows
+ * again would fail each time. */
 static void
 test_reread_size_is_halved_for_large_rows (void **state)
 {
@@ -364,16 +364,16 @@
 }
 
 struct size_case {
-	/** What the payload's string is made of, and how often. */
+	/** The payload is a string of @n_units times @unit. */
 	const char *unit;
 	int n_units;
 	int status;
 };
 
-/* Symptom: an accepted job never starts and never ends, and its cancellation is refused as if the
- * store were down. Sequence: a job is recorded in a row just under the recorder's limit; the start
- * intent adds placements, and the recorder refuses the row from then on. Cause: only the row as
- * submitted was measured, and a larger one was answered with "come back later". */
+/* Guards against accepting a job that can neither start nor be cancelled. Its row is recorded just
+ * under the recorder's limit; the start intent adds placements, and from then on the recorder
+ * refuses the row, which would be reported as if the store were down. The limit for submissions has
+ * to leave space for that. */
 static void
 test_jobs_too_large_for_a_row (void **state)
 {
--- a/tests/entry/test-pool-race.c
+++ b/tests/entry/test-pool-race.c
@@ -9,10 +9,10 @@
 
 #include "harness.h"
 
-/* Operators who apply pool files at the same moment, through two processes. */
+/* Operators that update the pool file at the same time, through two processes. */
 
 #define ROUNDS 3
-/** Offsets between the two, ms: around the time of a read and a write of the table. */
+/** Offsets between the two updates, ms, around the time of one read and one write of the table. */
 #define OFFSETS 12
 
 static char *
@@ -41,7 +41,7 @@
 	return client;
 }
 
-/** The row says what the winner applied. */
+/** Checks that the row holds the file of the update that succeeded. */
 static void
 check_record (struct harness *harness, int generation, int workers)
 {
@@ -51,10 +51,11 @@
 	g_autofree char *expected = g_strdup_printf ("\"generation\":%d,", generation);
 	g_autofree char *count = g_strdup_printf ("\\\"workers\\\": %d,", workers);
 	if (strstr (value, expected) == NULL || strstr (value, count) == NULL)
-		fail_msg ("on record: %s", value);
+		fail_msg ("recorded: %s", value);
 }
 
-/* Both on generation @base: one is told its new generation, the other one the winner's. */
+/* Sends two updates of generation @base. One gets its new generation, the other one that of the
+ * first (412). */
 static void
 race (struct harness *harness, int base, int offset_ms)
 {
@@ -80,9 +81,9 @@
 		harness_client_free (clients[i]);
 }
 
-/* Symptom: two operators are both told that their file is in force, and one of the files is lost.
- * Sequence: both read the generation on record, then both write. Cause: the write did not depend on
- * what was read. */
+/* Guards against a lost update: two operators both read the recorded generation, then both write,
+ * and both are answered that their file is applied. The write has to depend on the generation that
+ * was read. */
 static void
 test_one_of_two_concurrent_updates_wins (void **state)
 {
--- a/tests/entry/test-sessions.c
+++ b/tests/entry/test-sessions.c
@@ -11,19 +11,19 @@
 #include "harness.h"
 
 /*
- * Runs the sessions in tests/entry/golden/ and compares what happens with what they say. Lines that
- * begin with '<' (a response) and '=' (a fact) are written by the run, all others are the script:
+ * Runs the sessions in tests/entry/golden/ and compares the output with the files. Lines that begin
+ * with '<' (a response) and '=' (a fact) are output; all others are the script:
  *
  *   > METHOD PATH WORDS     a request; WORDS: whose token, "b": to the second process,
- *                           "bg:NAME": the response is taken later
- *   > HEADER: VALUE         more of its header
+ *                           "bg:NAME": the response is printed later
+ *   > HEADER: VALUE         another header of the request
  *   > | TEXT                a line of its body
  *   ! COMMAND ARGUMENTS     see run_command()
  *
- * "! save NAME" keeps the id (of a job, batch or request) in the last response; $NAME stands for
- * it.
+ * "! save NAME" saves the id (of a job, batch or request) in the last response; $NAME is replaced
+ * by it.
  *
- * UPDATE_GOLDEN=1 writes the files anew.
+ * With UPDATE_GOLDEN=1 the files are rewritten.
  */
 
 #define GOLDEN_DIR "tests/entry/golden"
@@ -31,7 +31,7 @@
 struct session {
 	struct harness *harness;
 	GString *out;
-	/** The request being read; NULL: none. */
+	/** The request that is being read from the script; NULL: none. */
 	GString *head;
 	GString *body;
 	int process;
--- a/tests/entry/test-slots.c
+++ b/tests/entry/test-slots.c
@@ -30,7 +30,7 @@
 	return grant;
 }
 
-/* Two workers in data centre "a", one in "b", two slots each. */
+/* Two workers in data centre "a" and one in "b", with two slots each. */
 static struct dff_slots *
 three_workers (void)
 {
@@ -84,9 +84,8 @@
 	assert_string_not_equal (take (slots, 0), first);
 }
 
-/* Symptom: a worker gets requests long after the holder gave its slots to another process.
- * Sequence: the holder dies or is cut off, its grants are not renewed. Cause: grants without end.
- */
+/* Guards against using a slot that the holder has granted to another process since. The holder dies
+ * or is cut off, so its grants are not renewed; they have to expire. */
 static void
 test_grants_expire (void **state)
 {
@@ -97,9 +96,9 @@
 	assert_int_equal (dff_slots_granted (slots, EXPIRES_MS), 0);
 }
 
-/* Symptom: a worker gets more requests than it has slots. Sequence: a holder is paused, another one
- * takes over and grants, the first one resumes and sends its grants. Cause: grants without epoch.
- */
+/* Guards against giving a worker more requests than it has slots. A holder is paused, another one
+ * takes over and sends grants, then the first one resumes and sends its own. The older epoch has to
+ * be ignored. */
 static void
 test_grants_of_an_older_epoch_are_ignored (void **state)
 {
@@ -112,8 +111,9 @@
 	assert_int_equal (dff_slots_granted (slots, 0), 8);
 }
 
-/* Symptom: a worker that is shutting down fails new requests. Sequence: it says that it is leaving,
- * the instance list lags and still calls it live. Cause: the list alone is believed. */
+/* Guards against sending requests to a worker that is shutting down and fails them. The worker
+ * reports that it is leaving, while the instance list lags and still lists it as live. Either
+ * signal has to be enough. */
 static void
 test_leaving_by_list_or_report (void **state)
 {
@@ -133,10 +133,10 @@
 	assert_string_equal (take (slots, 0), "w1");
 }
 
-/* Symptom: a worker that was restarted gets no short requests until every entry process has been
- * restarted too. Sequence: it says that it is leaving, stops, and starts anew under its id before
- * the instance list forgets it; the holder learns that and grants its slots again. Cause: its word
- * stood for as long as the list named it. */
+/* Guards against never using a restarted worker again. It reports that it is leaving, stops, and
+ * starts again under the same id before the instance list drops it; the holder is notified and
+ * grants its slots again. If the report held for as long as the worker is listed, all entry
+ * processes would have to be restarted. */
 static void
 test_restarted_worker_is_used_again (void **state)
 {
@@ -149,7 +149,7 @@
 	int64_t late_ms = said_ms + DFF_SLOTS_LEAVING_HOLDDOWN_MS;
 	dff_slots_handle_worker_leaving (slots, &w1, said_ms);
 	dff_slots_set_instances (slots, listed, 1);
-	/* Sent before the holder heard of it. */
+	/* Sent before the holder knows that the worker is leaving. */
 	dff_slots_set_grants (slots, 5, grants, 1, late_ms - 1, late_ms + EXPIRES_MS);
 	assert_string_equal (take (slots, late_ms - 1), "no grant");
 	dff_slots_set_grants (slots, 5, NULL, 0, late_ms, late_ms + EXPIRES_MS);
--- a/tests/entry/test-status.c
+++ b/tests/entry/test-status.c
@@ -109,7 +109,7 @@
 	return client;
 }
 
-/* Counts the spans of the trace that have this name. */
+/* Counts the spans of the trace that have @name. */
 static int
 count_spans (const struct harness *harness, const char *name)
 {
@@ -140,7 +140,8 @@
 	assert_int_equal (count_spans (harness, "record"), 1);
 	harness_client_free (client);
 
-	/* An untraced caller fetches the result: it belongs to the job's trace all the same. */
+	/* The caller that fetches the result sends no traceparent; the span still belongs to the
+	 * job's trace. */
 	harness_end_job (harness, &job, DFF_OUTCOME_COMPLETED, "summary");
 	g_autofree char *get_result = g_strdup_printf (
 		"GET %s/result HTTP/1.1\r\nAuthorization: Bearer casework-token\r\n\r\n", path);
