--- a/entry/attempt.c
+++ b/entry/attempt.c
@@ -160,8 +160,8 @@
 }
 
 /* Another process has the attempt, or had it and died. The wait lasts only while that process can
- * still end the attempt. If nobody can end it, a caller that is kept waiting times out, repeats its
- * call and finally gives up without an outcome. */
+ * still end the attempt. Otherwise a caller would be kept waiting for an answer that never comes:
+ * it would time out, repeat its call and finally give up without an outcome. */
 static void
 wait_for_other_process (struct dff_request *request, const struct attempt_row *row)
 {
--- a/entry/connection.h
+++ b/entry/connection.h
@@ -33,13 +33,13 @@
 /** Starts tracking a connection that was just accepted. */
 void dff_connections_add (struct dff_connections *connections, struct bufferevent *bev);
 
-/** Handles a complete request, which is now being worked on. */
+/** Marks the connection as handling a request, once the request is complete. */
 void dff_connections_begin_request (struct dff_connections *connections, struct bufferevent *bev);
 
 /** Stops tracking a connection that evhttp is about to free. */
 void dff_connections_remove (struct dff_connections *connections, struct bufferevent *bev);
 
-/** Handles that the answer to the request was sent. */
+/** Marks the connection's request as answered, once the answer was sent. */
 void dff_connections_end_request (struct dff_connections *connections, struct bufferevent *bev);
 
 /**
--- a/entry/delivery.c
+++ b/entry/delivery.c
@@ -14,7 +14,8 @@
 #define CHUNKS_AT_ONCE 4
 /** Maximum reads of one object. */
 #define TRIES_MAX 4
-/** Delay before a missing or damaged object is read again, ms; doubled with each try. */
+/** Delay before an object that is missing, unavailable or damaged is read again, ms; doubled with
+ * each try. */
 #define RETRY_MS 100
 
 struct delivery {
--- a/entry/dispatch.c
+++ b/entry/dispatch.c
@@ -144,7 +144,7 @@
 	}
 	if (result->outcome == DFF_WORKER_UNCERTAIN)
 		request->may_have_run = true;
-	/* Another worker is still running the request. */
+	/* Another worker has the request and has not answered yet. */
 	if (request->n_outstanding > 0)
 		return;
 	/* The caller forbade a second start of a request that may have run: a client could be
@@ -272,7 +272,7 @@
 
 /* A request that is not idempotent must not be sent once all its callers are gone. Otherwise a
  * caller whose connection broke while the request waited for a slot could send it again through
- * another process, be told not_run there, and the first request would run afterwards. */
+ * another process, get not_run as its outcome there, and the first request would run afterwards. */
 static bool
 is_still_needed (const struct dff_request *request)
 {
--- a/tests/entry/test-limits.c
+++ b/tests/entry/test-limits.c
@@ -404,8 +404,9 @@
 		assert_true (harness_client_wait (client));
 		if (harness_client_status (client) != cases[i].status)
 			fail_msg ("case %zu: %.600s", i, client->received->str);
-		bool told = strstr (client->received->str, "\"code\":\"job_too_large\"") != NULL;
-		assert_int_equal (told, cases[i].status == 413);
+		bool has_code =
+			strstr (client->received->str, "\"code\":\"job_too_large\"") != NULL;
+		assert_int_equal (has_code, cases[i].status == 413);
 		harness_client_free (client);
 		harness_free (harness);
 	}
