--- a/entry/delivery.c
+++ b/entry/delivery.c
@@ -88,7 +88,7 @@
 }
 
 static void
-reply_failure (struct delivery *delivery, int status, const char *code, const char *detail)
+fail_call (struct delivery *delivery, int status, const char *code, const char *detail)
 {
 	struct dff_problem problem = {
 		.status = status,
@@ -129,8 +129,8 @@
 {
 	struct dff_str whole;
 	if (!dff_assembly_finish (delivery->assembly, &whole)) {
-		reply_failure (delivery, 502, "result_damaged",
-			       "The result does not match its digest.");
+		fail_call (delivery, 502, "result_damaged",
+			   "The result does not match its digest.");
 		return;
 	}
 	g_autofree char *digest = dff_digest_header (whole);
@@ -165,8 +165,7 @@
 	const struct dff_result_ref *result = &delivery->result;
 	delivery->assembly = dff_assembly_new (data, result->length, result->digest);
 	if (delivery->assembly == NULL)
-		reply_failure (delivery, 502, "result_damaged",
-			       "The result's manifest is not usable.");
+		fail_call (delivery, 502, "result_damaged", "The result's manifest is not usable.");
 	else
 		read_chunks (delivery);
 }
@@ -190,7 +189,7 @@
 	else if (!handle_chunk (delivery, read->index, data)) {
 		if (schedule_retry (read))
 			return;
-		reply_failure (delivery, 502, "result_damaged", "A part of the result is damaged.");
+		fail_call (delivery, 502, "result_damaged", "A part of the result is damaged.");
 	}
 	read_free (read);
 }
@@ -211,10 +210,9 @@
 	if (schedule_retry (read))
 		return;
 	if (result->outcome == DFF_OBJECT_NOT_FOUND)
-		reply_failure (delivery, 503, "result_incomplete",
-			       "A part of the result is missing.");
+		fail_call (delivery, 503, "result_incomplete", "A part of the result is missing.");
 	else
-		reply_failure (delivery, 503, "store_unavailable", "The store does not answer.");
+		fail_call (delivery, 503, "store_unavailable", "The store does not answer.");
 	read_free (read);
 }
 
--- a/entry/job_json.c
+++ b/entry/job_json.c
@@ -50,7 +50,7 @@
 }
 
 static bool G_GNUC_PRINTF (2, 3)
-	set_rejection (struct dff_job_rejection *rejection, const char *format, ...)
+	reject (struct dff_job_rejection *rejection, const char *format, ...)
 {
 	va_list args;
 	va_start (args, format);
@@ -87,7 +87,7 @@
 	json_object_foreach (json, name, value)
 	{
 		if (!is_known_field (name))
-			return set_rejection (rejection, "%.64s: no such member", name);
+			return reject (rejection, "%.64s: no such member", name);
 	}
 	return true;
 }
@@ -104,9 +104,8 @@
 			continue;
 		json_int_t number = json_integer_value (value);
 		if (!json_is_integer (value) || number < field->min || number > field->max)
-			return set_rejection (rejection,
-					      "%s: a whole number from %d to %d is expected",
-					      field->name, field->min, field->max);
+			return reject (rejection, "%s: a whole number from %d to %d is expected",
+				       field->name, field->min, field->max);
 		*target = (int32_t)number;
 	}
 	return true;
@@ -123,8 +122,7 @@
 		if (value == NULL)
 			continue;
 		if (!json_is_boolean (value))
-			return set_rejection (rejection, "%s: true or false is expected",
-					      field->name);
+			return reject (rejection, "%s: true or false is expected", field->name);
 		*target = json_is_true (value);
 	}
 	return true;
@@ -142,10 +140,10 @@
 		return true;
 	if (text.data != NULL && dff_name_parse (text, name))
 		return true;
-	return set_rejection (rejection,
-			      "%s: a name of at most %d letters, digits, '-', '_', '.' and ':' is "
-			      "expected",
-			      field, DFF_NAME_MAX);
+	return reject (rejection,
+		       "%s: a name of at most %d letters, digits, '-', '_', '.' and ':' is "
+		       "expected",
+		       field, DFF_NAME_MAX);
 }
 
 static bool
@@ -160,7 +158,7 @@
 		return true;
 	}
 	if (!json_is_string (value) || !g_str_equal (json_string_value (value), "rack"))
-		return set_rejection (rejection, "adjacent: true, false or \"rack\" is expected");
+		return reject (rejection, "adjacent: true, false or \"rack\" is expected");
 	spec->adjacency = DFF_ADJACENCY_RACK;
 	return true;
 }
@@ -172,9 +170,8 @@
 	double seconds = value == NULL ? DECLARED_DEFAULT_S : json_number_value (value);
 	bool in_range = isfinite (seconds) && seconds > 0 && seconds <= DECLARED_MAX_S;
 	if ((value != NULL && !json_is_number (value)) || !in_range)
-		return set_rejection (rejection,
-				      "declared_s: a number above 0 and up to %.0f is expected",
-				      DECLARED_MAX_S);
+		return reject (rejection, "declared_s: a number above 0 and up to %.0f is expected",
+			       DECLARED_MAX_S);
 	spec->declared_ms = MAX (1, (int64_t)(seconds * 1000));
 	return true;
 }
@@ -186,7 +183,7 @@
 	if (value == NULL)
 		return true;
 	if (!json_is_object (value))
-		return set_rejection (rejection, "payload: an object is expected");
+		return reject (rejection, "payload: an object is expected");
 	g_autofree char *text = json_dumps (value, JSON_COMPACT);
 	g_string_assign (row->payload, text);
 	return true;
@@ -198,8 +195,7 @@
 	if (json_object_get (json, "max_attempts") == NULL)
 		spec->max_attempts = spec->idempotent ? ATTEMPTS_DEFAULT : 1;
 	if (!spec->idempotent && spec->max_attempts != 1)
-		return set_rejection (rejection,
-				      "max_attempts: 1 is expected where idempotent is false");
+		return reject (rejection, "max_attempts: 1 is expected where idempotent is false");
 	return true;
 }
 
@@ -208,7 +204,7 @@
 {
 	struct dff_job_spec *spec = &row->spec;
 	if (!json_is_object (json))
-		return set_rejection (rejection, "a JSON object is expected");
+		return reject (rejection, "a JSON object is expected");
 	if (!check_names (json, rejection) || !read_ints (json, spec, rejection) ||
 	    !read_bools (json, spec, rejection) || !read_adjacency (json, spec, rejection) ||
 	    !read_declared (json, spec, rejection) || !read_attempts (json, spec, rejection) ||
@@ -217,9 +213,9 @@
 	    !read_payload (json, row, rejection))
 		return false;
 	if (dff_name_is_empty (&spec->service))
-		return set_rejection (rejection, "service: is needed");
+		return reject (rejection, "service: is needed");
 	if (spec->region.len > DFF_REGION_NAME_MAX)
-		return set_rejection (rejection, "region: at most %d bytes", DFF_REGION_NAME_MAX);
+		return reject (rejection, "region: at most %d bytes", DFF_REGION_NAME_MAX);
 	return true;
 }
 
@@ -234,7 +230,7 @@
 	rejection->detail = NULL;
 	json_t *json = json_loadb (text.data, text.len, LOAD_FLAGS, &error);
 	if (json == NULL) {
-		set_rejection (rejection, "column %d: %s", error.column, error.text);
+		reject (rejection, "column %d: %s", error.column, error.text);
 		rejection->code = "malformed_json";
 		return NULL;
 	}
--- a/tests/entry/test-job-truth.c
+++ b/tests/entry/test-job-truth.c
@@ -152,9 +152,8 @@
 			fail_msg ("seed %u: job %d was reported as not run, but is recorded",
 				  schedule->seed, i);
 		if (i < KEYS && job->not_run)
-			fail_msg (
-				"seed %u: a keyed submission was reported as not run without proof",
-				schedule->seed);
+			fail_msg ("seed %u: a job with a key was reported as not run",
+				  schedule->seed);
 	}
 }
 
