--- a/entry/call.c
+++ b/entry/call.c
@@ -33,8 +33,8 @@
 		evhttp_clear_headers (&call->query);
 	begin_span (call);
 	struct evhttp_connection *connection = evhttp_request_get_connection (request);
-	dff_connections_handling (entry->connections,
-				  evhttp_connection_get_bufferevent (connection));
+	dff_connections_begin_request (entry->connections,
+				       evhttp_connection_get_bufferevent (connection));
 	return call;
 }
 
@@ -58,13 +58,14 @@
 	g_free (call);
 }
 
-/* evhttp takes a request off a connection that broke while the request was being worked on, and
- * leaves freeing it to whoever works on it; on every other way it frees the request itself. */
+/* When a connection breaks while its request is being handled, evhttp detaches the request from the
+ * connection and leaves it to the handler to free. In all other cases evhttp frees the request
+ * itself. */
 static void
 connection_closed (struct evhttp_connection *connection, void *ctx)
 {
 	struct dff_call *call = ctx;
-	dff_connections_forget (call->entry->connections,
+	dff_connections_remove (call->entry->connections,
 				evhttp_connection_get_bufferevent (connection));
 	struct evhttp_request *request = call->request;
 	call->watched = false;
@@ -92,10 +93,10 @@
 	dff_call_unref (call);
 }
 
-/* While a request is worked on evhttp does not look at its connection. Symptom: a caller that hung
- * up keeps its place until the answer is written. Reading stays on, so that the end of the stream
- * is seen; evhttp's own read callback must not run meanwhile, as it takes bytes that a client sends
- * ahead for a broken invariant and ends the process. */
+/* evhttp does not watch the connection while its request is being handled, so that a caller that
+ * hung up would hold its connection until the answer is written. Reading therefore stays enabled,
+ * and the end of the stream is seen. evhttp's own read callback has to be off meanwhile: it treats
+ * bytes that a client sends ahead as a broken invariant and ends the process. */
 void
 dff_call_watch_loss (struct dff_call *call)
 {
--- a/entry/record.c
+++ b/entry/record.c
@@ -13,15 +13,15 @@
 };
 
 static const char *
-outcome_word (enum dff_entry_record_outcome outcome)
+outcome_name (enum dff_entry_record_outcome outcome)
 {
-	static const char *const words[] = {
+	static const char *const names[] = {
 		[DFF_ENTRY_RECORD_DONE] = "done",
 		[DFF_ENTRY_RECORD_CONFLICT] = "conflict",
 		[DFF_ENTRY_RECORD_NOT_DONE] = "not_done",
 		[DFF_ENTRY_RECORD_UNKNOWN] = "unknown",
 	};
-	return words[outcome];
+	return names[outcome];
 }
 
 static void
@@ -31,8 +31,8 @@
 	struct dff_name none = {.len = 0};
 	dff_deadlines_clear (entry->deadlines, &pending->timeout);
 	if (!entry->closed) {
-		const char *word = outcome_word (outcome);
-		dff_span_end (entry->options.tracer, &pending->span, &none, word);
+		const char *name = outcome_name (outcome);
+		dff_span_end (entry->options.tracer, &pending->span, &none, name);
 	}
 	if (outcome == DFF_ENTRY_RECORD_UNKNOWN)
 		(*entry->counters.record_unknown)++;
@@ -52,9 +52,9 @@
 	finish (user, outcomes[outcome], revision);
 }
 
-/* The store may keep silent about a commit for as long as it is down. Symptom: a caller waits for
- * minutes and is told nothing. What can be proven is asked of the recorder; the rest is unknown,
- * and said to be. */
+/* The store may not answer a commit for as long as it is down; without a timeout the caller would
+ * wait for minutes. The recorder reports whether the write is proven not committed. Otherwise the
+ * outcome is unknown and is reported as such. */
 static void
 write_timed_out (void *user)
 {
--- a/entry/reply.c
+++ b/entry/reply.c
@@ -56,11 +56,11 @@
 	struct evhttp_connection *connection = evhttp_request_get_connection (request);
 	if (connection == NULL)
 		return;
-	dff_connections_answered (entry->connections,
-				  evhttp_connection_get_bufferevent (connection));
+	dff_connections_end_request (entry->connections,
+				     evhttp_connection_get_bufferevent (connection));
 }
 
-/* Sends @buffer, which is taken over. */
+/* Sends @buffer and takes ownership of it. */
 static void
 send_buffer (struct dff_call *call, int status, const char *content_type, struct evbuffer *buffer)
 {
@@ -159,16 +159,16 @@
 	dff_reply_problem (call, &problem);
 }
 
-/* Symptom: a caller is told that its job was not run, and the job runs. Sequence: the answer to the
- * submission is lost on its way to the caller, who sends it again to another process; that one
- * refuses it, as the store is down, the team's queue is full or it is stopping. Cause: "this call
- * recorded nothing" is taken for "nothing is recorded". */
+/* A call that recorded nothing does not prove that nothing is recorded. When the answer to a
+ * submission is lost, the caller may send it again to another process, which refuses it because the
+ * store is down, the team's queue is full or the process is draining. Reporting not_run there would
+ * be false: the job of the first call runs. */
 enum dff_outcome
 dff_refusal_outcome (const struct dff_call *call)
 {
 	const char *attempt = dff_call_header (call, "Attempt");
 	bool first = attempt != NULL && g_str_equal (attempt, "1");
-	return call->may_repeat && !first ? DFF_OUTCOME_UNKNOWN : DFF_OUTCOME_NOT_RUN;
+	return call->may_be_repeated && !first ? DFF_OUTCOME_UNKNOWN : DFF_OUTCOME_NOT_RUN;
 }
 
 void
--- a/entry/request_read.c
+++ b/entry/request_read.c
@@ -4,13 +4,14 @@
 #include "entry/request_private.h"
 #include "entry/route.h"
 
-/** Digits behind the instance in an id that a process made, and how many of them tell its start. */
+/** Number of digits after the instance name in a generated id, and how many of them identify the
+ * start of the process. */
 #define ID_DIGITS 16
 #define START_DIGITS 4
 
-/** Who made an id. */
-struct id_maker {
-	/** The beginning of the instance's name. */
+/** The process that created an id. */
+struct id_origin {
+	/** The instance name, possibly truncated. */
 	struct dff_str instance;
 	/** dff_peer_start_id() of the process; 0: not known. */
 	uint32_t start;
@@ -37,46 +38,47 @@
 	dff_reply_problem (call, &problem);
 }
 
-/* Reads who made an id. Returns false for ids that no process made. */
+/* Parses the origin of an id. Returns false for ids that no process generated. */
 static bool
-id_maker (const struct dff_name *id, struct id_maker *maker)
+id_origin (const struct dff_name *id, struct id_origin *origin)
 {
 	const char *dot = strrchr (id->data, '.');
 	if (dot == NULL || strlen (dot + 1) != ID_DIGITS)
 		return false;
-	maker->instance.data = id->data;
-	maker->instance.len = (size_t)(dot - id->data);
+	origin->instance.data = id->data;
+	origin->instance.len = (size_t)(dot - id->data);
 	char digits[START_DIGITS + 1] = "";
 	memcpy (digits, dot + 1, START_DIGITS);
-	maker->start = (uint32_t)g_ascii_strtoull (digits, NULL, 16);
+	origin->start = (uint32_t)g_ascii_strtoull (digits, NULL, 16);
 	return true;
 }
 
 static bool
-is_instance (const struct dff_name *name, struct dff_str part)
+has_instance_prefix (const struct dff_name *name, struct dff_str part)
 {
 	return name->len >= part.len && memcmp (name->data, part.data, part.len) == 0;
 }
 
 static bool
-is_self (const struct dff_entry *entry, const struct id_maker *maker)
+is_self (const struct dff_entry *entry, const struct id_origin *origin)
 {
-	return is_instance (&entry->options.settings->instance, maker->instance);
+	return has_instance_prefix (&entry->options.settings->instance, origin->instance);
 }
 
-/* Symptom: who repeats a request of a process that was killed is held until the deadline and told
- * to come back, for ever. Sequence: another process takes its name within seconds. Cause: the name
- * is alive. The number that each process draws when it starts tells them apart. */
+/* A process that was killed may be replaced within seconds by another one with the same name. If
+ * the name alone were checked, a caller that repeats a request of the dead process would wait until
+ * its deadline and be asked to retry, without end. The number that each process draws at its start
+ * distinguishes the two. */
 static bool
-is_alive (struct dff_entry *entry, const struct id_maker *maker)
+is_alive (struct dff_entry *entry, const struct id_origin *origin)
 {
 	const GArray *members = dff_peer_members (entry->options.peer);
 	for (guint i = 0; i < members->len; i++) {
 		const struct dff_member *member = &g_array_index (members, struct dff_member, i);
-		bool replaced = maker->start != 0 && member->start_id != 0 &&
-				member->start_id != maker->start;
+		bool replaced = origin->start != 0 && member->start_id != 0 &&
+				member->start_id != origin->start;
 		if (member->state != DFF_MEMBER_DEAD && !replaced &&
-		    is_instance (&member->instance.id, maker->instance))
+		    has_instance_prefix (&member->instance.id, origin->instance))
 			return true;
 	}
 	return false;
@@ -85,22 +87,23 @@
 bool
 dff_request_owner_is_gone (struct dff_entry *entry, const struct dff_name *id)
 {
-	struct id_maker maker;
-	if (!id_maker (id, &maker))
+	struct id_origin origin;
+	if (!id_origin (id, &origin))
 		return false;
-	/* A request of this process's own predecessor. */
-	return is_self (entry, &maker) || !is_alive (entry, &maker);
+	/* An id with this process's own name belongs to its predecessor. */
+	return is_self (entry, &origin) || !is_alive (entry, &origin);
 }
 
-/* No answer is kept: the request is in progress elsewhere, or lost, or was never there. */
+/* No answer is stored: the request is in progress in another process, was lost, or never
+ * existed. */
 static void
 reply_without_answer (struct dff_call *call)
 {
 	struct dff_entry *entry = call->entry;
-	struct id_maker maker;
-	if (!id_maker (&call->subject, &maker) || is_self (entry, &maker))
+	struct id_origin origin;
+	if (!id_origin (&call->subject, &origin) || is_self (entry, &origin))
 		dff_reply_error (call, 404, "not_found", "No answer is kept under this id.");
-	else if (is_alive (entry, &maker))
+	else if (is_alive (entry, &origin))
 		reply_in_progress (call);
 	else
 		reply_unknown (call);
@@ -118,7 +121,7 @@
 	if (result->outcome == DFF_OBJECT_OK)
 		answer = dff_answer_decode (result->data);
 	if (answer != NULL)
-		dff_reply_kept_answer (call, answer, &call->subject);
+		dff_reply_stored_answer (call, answer, &call->subject);
 	else if (result->outcome == DFF_OBJECT_NOT_FOUND)
 		reply_without_answer (call);
 	else
@@ -135,7 +138,7 @@
 		g_strdup_printf ("%s/%s", call->principal.name.data, call->subject.data);
 	const struct dff_request *request = g_hash_table_lookup (entry->requests->by_id, id);
 	if (request != NULL && request->state == DFF_REQUEST_ENDED) {
-		dff_reply_kept_answer (call, request->answer, &request->id);
+		dff_reply_stored_answer (call, request->answer, &request->id);
 		return;
 	}
 	if (request != NULL) {
--- a/entry/result.c
+++ b/entry/result.c
@@ -7,17 +7,18 @@
 #include "entry/reply.h"
 #include "entry/route.h"
 
-/** Longest long poll, ms. */
+/** Maximum time of a long poll, ms. */
 #define WAIT_MAX_MS 60000
-/** Interval at which rows of waiting jobs are read again, in turns, ms. */
+/** Interval at which rows of waiting jobs are read again, ms; each time a part of them in turn. */
 #define REREAD_MS 3000
-/** Waiting jobs, and jobs that count for their team, in one such reading: for nine processes with
- * many callers this is 450 rows a second, of the 2,000 that everybody shares. */
+/** Maximum number of jobs with waiting callers, and of jobs that count towards their team's quota,
+ * in one such read. Nine processes with many callers read 450 rows a second with these limits, of
+ * the 2,000 that all processes share. */
 #define REREAD_WAITING_MAX 100
 #define REREAD_COUNTED_MAX 50
-/** Down to one row of each kind. */
+/** With so many halvings, one row of each kind is read. */
 #define HALVINGS_MAX 6
-/** When the caller of an unfinished job should come back, s. */
+/** Retry-After for the caller of an unfinished job, s. */
 #define POLL_AGAIN_S 1
 
 struct waiter {
@@ -25,20 +26,20 @@
 	struct dff_call *call;
 	struct dff_name job;
 	struct dff_deadline *timeout;
-	/** Its row is being read. */
+	/** The job's row is being read. */
 	bool reading;
-	bool gone;
+	bool removed;
 };
 
 struct dff_results {
 	struct dff_entry *entry;
 	/** Elements: struct waiter *. */
 	GPtrArray *waiters;
-	/** Where the next reading goes on, modulo the number of waiters. */
+	/** Index of the next waiter to read, modulo the number of waiters. */
 	guint next_waiter;
 	int64_t next_reread_ms;
 	bool rereading;
-	/** How often the number of rows in one reading is halved for now. */
+	/** How often the number of rows in one read is currently halved. */
 	int32_t n_halvings;
 };
 
@@ -49,14 +50,15 @@
 	g_free (waiter);
 }
 
-/* The waiter is off the list; it is freed once its row is not being read any more. */
+/* Frees a waiter that is off the list. While its row is being read, the callback of the read frees
+ * it. */
 static void
 release_waiter (struct waiter *waiter)
 {
 	struct dff_entry *entry = waiter->call->entry;
 	dff_deadlines_clear (entry->deadlines, &waiter->timeout);
 	waiter->call->on_lost = NULL;
-	waiter->gone = true;
+	waiter->removed = true;
 	if (!waiter->reading)
 		waiter_free (waiter);
 }
@@ -69,7 +71,7 @@
 }
 
 static struct waiter *
-take_waiter (struct dff_results *results)
+pop_waiter (struct dff_results *results)
 {
 	guint n = results->waiters->len;
 	return n == 0 ? NULL : g_ptr_array_steal_index_fast (results->waiters, n - 1);
@@ -109,7 +111,7 @@
 {
 	struct waiter *waiter = user;
 	waiter->reading = false;
-	if (waiter->gone) {
+	if (waiter->removed) {
 		waiter_free (waiter);
 		return;
 	}
@@ -152,7 +154,7 @@
 	     void *user)
 {
 	int64_t wait_ms = GPOINTER_TO_INT (user);
-	if (outcome == DFF_FETCH_FOUND && !dff_auth_sees_team (call, &row->spec.team))
+	if (outcome == DFF_FETCH_FOUND && !dff_auth_may_see_team (call, &row->spec.team))
 		outcome = DFF_FETCH_MISSING;
 	if (outcome != DFF_FETCH_FOUND)
 		dff_reply_fetch_failed (call, outcome);
@@ -189,7 +191,7 @@
 dff_results_free (struct dff_results *results)
 {
 	struct waiter *waiter;
-	while ((waiter = take_waiter (results)) != NULL)
+	while ((waiter = pop_waiter (results)) != NULL)
 		release_waiter (waiter);
 	g_ptr_array_unref (results->waiters);
 	g_free (results);
@@ -206,20 +208,21 @@
 }
 
 static void
-send_away (struct dff_results *results)
+reply_to_all_waiters (struct dff_results *results)
 {
 	struct waiter *waiter;
-	while ((waiter = take_waiter (results)) != NULL) {
+	while ((waiter = pop_waiter (results)) != NULL) {
 		reply_not_ended (waiter->call);
 		release_waiter (waiter);
 	}
 }
 
-/* Rows may have up to half a MB, and an answer of the table that is too long is dropped. Symptom:
- * no row is ever read again, callers whose notice was lost wait in vain, and ended jobs count for
- * their team for good. Fewer rows are read the next time, and more again when that worked. */
+/* Rows may have up to half a MB, and the table drops an answer that is too long. If the same number
+ * of rows were requested again, no row would ever be read: callers whose notification was lost
+ * would wait in vain, and ended jobs would count towards their team's quota for good. The number is
+ * halved after each failed read and doubled after each successful one. */
 static void
-adapt_share (struct dff_results *results, enum dff_table_outcome outcome)
+adapt_reread_size (struct dff_results *results, enum dff_table_outcome outcome)
 {
 	int32_t change = outcome == DFF_TABLE_OK ? -1 : 1;
 	results->n_halvings = CLAMP (results->n_halvings + change, 0, HALVINGS_MAX);
@@ -231,7 +234,7 @@
 	struct dff_entry *entry = user;
 	if (!entry->closed) {
 		entry->results->rereading = false;
-		adapt_share (entry->results, result->outcome);
+		adapt_reread_size (entry->results, result->outcome);
 	}
 	for (size_t i = 0; i < result->n_rows && !entry->closed; i++) {
 		const struct dff_table_row *read = &result->rows[i];
@@ -244,7 +247,7 @@
 }
 
 static guint
-halved (const struct dff_results *results, guint n)
+reduced (const struct dff_results *results, guint n)
 {
 	return MAX (1, n >> results->n_halvings);
 }
@@ -252,10 +255,10 @@
 static GArray *
 jobs_to_reread (struct dff_results *results)
 {
-	GArray *jobs =
-		dff_team_quota_sample (results->entry->quota, halved (results, REREAD_COUNTED_MAX));
+	GArray *jobs = dff_team_quota_sample (results->entry->quota,
+					      reduced (results, REREAD_COUNTED_MAX));
 	guint n_waiters = results->waiters->len;
-	guint n = MIN (n_waiters, halved (results, REREAD_WAITING_MAX));
+	guint n = MIN (n_waiters, reduced (results, REREAD_WAITING_MAX));
 	for (guint i = 0; i < n; i++) {
 		const struct waiter *waiter =
 			results->waiters->pdata[results->next_waiter++ % n_waiters];
@@ -264,8 +267,9 @@
 	return jobs;
 }
 
-/* A notice that a job has ended may be lost on its way from the holder, or the holder may have
- * died. Symptom: a technician's long poll runs out although the result is there. */
+/* A notification that a job has ended may be lost on its way from the holder, or the holder may
+ * have died. Without reading the rows again, a long poll would time out although the result
+ * exists. */
 static void
 reread (struct dff_results *results)
 {
@@ -291,7 +295,7 @@
 {
 	int64_t now_ms = dff_entry_now_ms (results->entry);
 	if (results->entry->leaving)
-		send_away (results);
+		reply_to_all_waiters (results);
 	if (results->rereading || now_ms < results->next_reread_ms)
 		return;
 	results->next_reread_ms = now_ms + REREAD_MS;
