--- a/holder/blame.c
+++ b/holder/blame.c
@@ -65,7 +65,8 @@
 static int64_t
 observed_ms (const struct holder_run *run)
 {
-	return run->begun_clock_ms > 0 ? run->worker->clock_ms - run->begun_clock_ms : 0;
+	return run->running_since_clock_ms > 0 ? run->worker->clock_ms - run->running_since_clock_ms
+					       : 0;
 }
 
 /* Whether the worker stayed until the time at which it had announced to leave. */
--- a/holder/commit.c
+++ b/holder/commit.c
@@ -87,7 +87,7 @@
 	holder->commit_call = NULL;
 	submissions_note_commit (holder, result);
 	int64_t now_ms = holder_now_ms (holder);
-	holder->commit_took_ms = now_ms - begun_ms;
+	holder->commit_duration_ms = now_ms - begun_ms;
 	switch (result->outcome) {
 	case DFF_ROWS_DONE:
 		holder->row_revision = result->revision;
@@ -207,7 +207,7 @@
 	holder->commit_begun_ms = 0;
 	holder->commit_wait_ms = RETRY_DELAY_MIN_MS;
 	holder->commit_timeout_ms = TIMEOUT_MIN_MS;
-	holder->commit_took_ms = 0;
+	holder->commit_duration_ms = 0;
 	holder->store_lost = false;
 	holder->releasing = false;
 	draft_reset (holder);
--- a/holder/draft.c
+++ b/holder/draft.c
@@ -11,7 +11,7 @@
 #define BYTES_MAX 600000
 /** Interval between two writes of the counts of jobs that have not begun, ms: readers accept
  * counts that are 2 s old. */
-#define WAITING_EVERY_MS 700
+#define WAITING_INTERVAL_MS 700
 /** Finished jobs removed in one transaction: three rows each. */
 #define REMOVED_MAX 10
 
@@ -107,7 +107,7 @@
 	g_hash_table_iter_init (&iter, holder->workers);
 	while (holder->commit_covers_all && g_hash_table_iter_next (&iter, NULL, &value)) {
 		struct holder_worker *worker = value;
-		worker->ended_recorded = MAX (worker->ended_recorded, worker->ended_pending);
+		worker->ended_recorded = MAX (worker->ended_recorded, worker->ended_in_flight);
 	}
 	g_string_assign (holder->waiting_recorded, holder->waiting_in_flight->str);
 }
@@ -266,7 +266,7 @@
 	g_string_assign (holder->waiting_in_flight, holder->waiting_recorded->str);
 	if (holder->phase != DFF_HOLDER_HOLDING || now_ms < holder->waiting_due_ms)
 		return;
-	holder->waiting_due_ms = now_ms + WAITING_EVERY_MS;
+	holder->waiting_due_ms = now_ms + WAITING_INTERVAL_MS;
 	GString *text = encode_waiting (holder);
 	if (g_string_equal (text, holder->waiting_recorded) && text->len > 0) {
 		g_string_free (text, TRUE);
@@ -284,7 +284,7 @@
 	g_hash_table_iter_init (&iter, holder->workers);
 	while (g_hash_table_iter_next (&iter, NULL, &value)) {
 		struct holder_worker *worker = value;
-		worker->ended_pending = worker->ended_seen;
+		worker->ended_in_flight = worker->ended_seen;
 	}
 }
 
--- a/holder/evacuation.c
+++ b/holder/evacuation.c
@@ -14,7 +14,7 @@
 
 /** Age of the known evacuations from which no task is started, ms. Operators rely on an evacuation
  * after five seconds; an order may be in transit for some hundred ms. */
-#define KNOWN_MAX_MS 4000
+#define EVACUATIONS_AGE_MAX_MS 4000
 
 bool
 evacuation_covers (const struct dff_holder *holder, const struct holder_worker *worker)
@@ -27,7 +27,7 @@
 {
 	const struct dff_holder_options *options = &holder->options;
 	return options->evacuations_age_ms == NULL ||
-	       options->evacuations_age_ms (options->evacuations_ctx) <= KNOWN_MAX_MS;
+	       options->evacuations_age_ms (options->evacuations_ctx) <= EVACUATIONS_AGE_MAX_MS;
 }
 
 void
--- a/holder/holder.c
+++ b/holder/holder.c
@@ -280,7 +280,7 @@
 int64_t
 dff_holder_store_latency_ms (const struct dff_holder *holder)
 {
-	return MAX (holder->commit_took_ms, holder->read_took_ms);
+	return MAX (holder->commit_duration_ms, holder->read_duration_ms);
 }
 
 bool
--- a/holder/holder_private.h
+++ b/holder/holder_private.h
@@ -461,7 +461,7 @@
 
 /** Ends a run: reports @type to the core and frees the run. */
 void
-run_settle (struct dff_holder *holder, struct holder_run *run, enum dff_event_type type, bool ran);
+run_end (struct dff_holder *holder, struct holder_run *run, enum dff_event_type type, bool ran);
 
 void run_free (gpointer run);
 
--- a/holder/holder_tables.h
+++ b/holder/holder_tables.h
@@ -76,7 +76,7 @@
 	int64_t sent_ms;
 	/** The worker's clock when the run was first known to be running, ms; 0: not known to run.
 	 */
-	int64_t begun_clock_ms;
+	int64_t running_since_clock_ms;
 	/** Time of the next call. */
 	int64_t next_ms;
 	/** When the worker answered the stop; 0: not yet. */
@@ -147,7 +147,7 @@
 	int64_t entry_changed_ms;
 	/** Another incarnation answered at its address, or its lease has lapsed after it left the
 	 * list. */
-	bool gone;
+	bool lost;
 	/** The worker's clock, and the local time at which it was read; 0: never in this epoch. */
 	int64_t clock_ms;
 	int64_t clock_read_ms;
@@ -169,7 +169,7 @@
 	int64_t next_watch_ms;
 	/** Number of the last completion received, in the current transaction, and recorded. */
 	int64_t ended_seen;
-	int64_t ended_pending;
+	int64_t ended_in_flight;
 	int64_t ended_recorded;
 	/** When a run at the worker last became known as over: worker reports requested before
 	 * that may still list the run. */
@@ -243,21 +243,21 @@
 	int64_t row_read_ms;
 	int64_t next_read_ms;
 	int64_t seen_revision;
-	int64_t seen_since_ms;
+	int64_t row_unchanged_since_ms;
 	/** Duration of the last read of the store: of this row, or of the inbox. */
-	int64_t read_took_ms;
+	int64_t read_duration_ms;
 	bool probe_in_flight;
 	/** Revision of the row whose holder has ended or released the lease; -1: none. */
 	int64_t ended_revision;
 	/** Whether that holder certainly renews no more leases; a refused connection does not show
 	 * this. */
-	bool ended_certain;
+	bool renewals_ended;
 	/** Time until which the former holder, and the holders before it, may renew leases. */
-	int64_t former_until_ms;
-	int64_t earlier_until_ms;
+	int64_t former_renewals_end_ms;
+	int64_t earlier_renewals_end_ms;
 	/** Upper bound of the store's clock minus the local clock; HOLDER_CLOCK_UNKNOWN: not
 	 * known. */
-	int64_t store_ahead_ms;
+	int64_t store_clock_offset_ms;
 	struct dff_name former_instance;
 	struct dff_name former_address;
 	/** Latest known epoch of the cell, from the holder's row or reported by the holder itself,
@@ -295,7 +295,7 @@
 	int32_t commit_wait_ms;
 	int32_t commit_timeout_ms;
 	/** Duration of the last transaction, or how long it has had no answer. */
-	int64_t commit_took_ms;
+	int64_t commit_duration_ms;
 	bool store_lost;
 	int64_t store_lost_ms;
 	/** Begin of the transaction whose failure showed that the store is lost. */
--- a/holder/inbox.c
+++ b/holder/inbox.c
@@ -69,7 +69,7 @@
 	holder->reading_inbox = false;
 	if (result->outcome != DFF_ROWS_DONE)
 		return;
-	holder->read_took_ms = holder_now_ms (holder) - call->begun_ms;
+	holder->read_duration_ms = holder_now_ms (holder) - call->begun_ms;
 	for (size_t i = 0; i < result->n_rows; i++) {
 		struct dff_str key = result->rows[i].key;
 		if (jobs_key_is_applied (holder, key))
--- a/holder/incarnations.c
+++ b/holder/incarnations.c
@@ -61,10 +61,12 @@
 /* A run that the next incarnation does not list has ended with the previous one, unless its start
  * may still arrive: such a start is settled by a stop, which the next incarnation has to answer. */
 static void
-end_run (struct dff_holder *holder, struct holder_run *run, const struct dff_runner_result *result)
+end_run_after_restart (struct dff_holder *holder,
+		       struct holder_run *run,
+		       const struct dff_runner_result *result)
 {
 	if (is_listed (run, result)) {
-		run->begun_clock_ms = 0;
+		run->running_since_clock_ms = 0;
 		run->measured_from_clock_ms = 0;
 		return;
 	}
@@ -164,7 +166,7 @@
 	worker->unanswered_since_ms = 0;
 	worker->stalled_ms = 0;
 	worker->ended_seen = 0;
-	worker->ended_pending = 0;
+	worker->ended_in_flight = 0;
 	worker->ended_recorded = 0;
 	for (guint i = 0; worker->unanswered != NULL && i < worker->unanswered->len; i++)
 		g_array_index (worker->unanswered, struct unanswered_start, i).revoked = false;
@@ -185,10 +187,10 @@
 		 holder_now_ms (holder) - worker->answered_ms, worker->entry_started_ms);
 	(*holder->metrics.restarted_workers)++;
 	g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
-	worker->gone = true;
+	worker->lost = true;
 	worker_set_state (holder, worker);
 	for (GList *link = runs; link != NULL; link = link->next)
-		end_run (holder, link->data, result);
+		end_run_after_restart (holder, link->data, result);
 	reset_incarnation (holder, worker, result);
 	report_restart (holder, worker);
 	struct incarnation_entry *entry = g_steal_pointer (&worker->next_entry);
@@ -241,7 +243,7 @@
 			struct holder_worker *worker,
 			const struct dff_runner_result *result)
 {
-	if (!worker->gone || g_hash_table_size (worker->runs) > 0)
+	if (!worker->lost || g_hash_table_size (worker->runs) > 0)
 		return false;
 	begin_next_incarnation (holder, worker, result);
 	return true;
--- a/holder/lease.c
+++ b/holder/lease.c
@@ -71,36 +71,37 @@
 	     int64_t begun_ms)
 {
 	int64_t now_ms = holder_now_ms (holder);
-	holder->store_ahead_ms =
+	holder->store_clock_offset_ms =
 		result->store_ms > 0 ? result->store_ms - begun_ms : HOLDER_CLOCK_UNKNOWN;
 	holder->former_instance = lease->instance;
 	holder->former_address = lease->address;
 	holder->next_former_probe_ms = now_ms + PROBE_FORMER_INTERVAL_MS;
-	holder->former_until_ms =
-		surely_over ? now_ms : holder->seen_since_ms + RENEW_UNCONFIRMED_MS;
-	holder->earlier_until_ms = now_ms;
+	holder->former_renewals_end_ms =
+		surely_over ? now_ms : holder->row_unchanged_since_ms + RENEW_UNCONFIRMED_MS;
+	holder->earlier_renewals_end_ms = now_ms;
 	if (result->n_rows == 0) {
 		/* There was no holder before. */
-		holder->former_until_ms = now_ms;
+		holder->former_renewals_end_ms = now_ms;
 		return;
 	}
 	bool known = result->store_ms > 0 && lease->renewing_until_ms > 0;
-	holder->earlier_until_ms = known ? lease->renewing_until_ms - (result->store_ms - now_ms)
-					 : now_ms + RENEW_UNCONFIRMED_MS;
+	holder->earlier_renewals_end_ms =
+		known ? lease->renewing_until_ms - (result->store_ms - now_ms)
+		      : now_ms + RENEW_UNCONFIRMED_MS;
 }
 
 static int64_t
 renewing_until_ms (const struct dff_holder *holder)
 {
-	return MAX (holder->former_until_ms, holder->earlier_until_ms);
+	return MAX (holder->former_renewals_end_ms, holder->earlier_renewals_end_ms);
 }
 
 GString *
 lease_encode (const struct dff_holder *holder, int64_t sequence, bool released)
 {
 	/* 0: not known. */
-	bool known = holder->store_ahead_ms != HOLDER_CLOCK_UNKNOWN;
-	int64_t until_ms = known ? renewing_until_ms (holder) + holder->store_ahead_ms : 0;
+	bool known = holder->store_clock_offset_ms != HOLDER_CLOCK_UNKNOWN;
+	int64_t until_ms = known ? renewing_until_ms (holder) + holder->store_clock_offset_ms : 0;
 	return dff_json_print (json_pack (
 		"{s:I, s:I, s:s, s:s, s:b, s:I, s:I, s:I, s:s, s:i}", "epoch",
 		(json_int_t)holder->epoch, "sequence", (json_int_t)sequence, "instance",
@@ -221,8 +222,8 @@
 	dff_log (DFF_LOG_CELL, DFF_LOG_INFO,
 		 "Taking the cell. epoch=%" PRId64 " reason=%s still_ms=%" PRId64
 		 " read_took_ms=%" PRId64 " others_may_renew_ms=%" PRId64,
-		 epoch, reason, holder_now_ms (holder) - holder->seen_since_ms,
-		 holder->read_took_ms, renewing_until_ms (holder) - holder_now_ms (holder));
+		 epoch, reason, holder_now_ms (holder) - holder->row_unchanged_since_ms,
+		 holder->read_duration_ms, renewing_until_ms (holder) - holder_now_ms (holder));
 	holder->phase = DFF_HOLDER_TAKING;
 	holder->epoch = epoch;
 	holder->sequence = 1;
@@ -272,7 +273,7 @@
 	if (result == DFF_HOLDER_PROBE_TIMED_OUT)
 		return;
 	holder->ended_revision = ask->revision;
-	holder->ended_certain = result != DFF_HOLDER_PROBE_REFUSED;
+	holder->renewals_ended = result != DFF_HOLDER_PROBE_REFUSED;
 	holder->next_read_ms = 0;
 	holder_wake (holder);
 }
@@ -297,7 +298,7 @@
 	struct probe_call *ask = holder_call_begin (holder, sizeof (*ask));
 	ask->revision = revision;
 	struct dff_holder_probe question = {
-		.release_if_unwritable = holder->read_took_ms < SLOW_READ_MS,
+		.release_if_unwritable = holder->read_duration_ms < SLOW_READ_MS,
 		.asker_takeover_ms = ask_handover ? holder->options.takeover_ms : 0,
 	};
 	holder->options.send_probe (holder->options.probe_ctx, &lease->address, &lease->instance,
@@ -313,10 +314,10 @@
 	    (result != DFF_HOLDER_PROBE_IDLE && result != DFF_HOLDER_PROBE_REPLACED))
 		return;
 	int64_t now_ms = holder_now_ms (holder);
-	int64_t spared_ms = holder->former_until_ms - now_ms;
+	int64_t spared_ms = holder->former_renewals_end_ms - now_ms;
 	if (spared_ms <= 0)
 		return;
-	holder->former_until_ms = now_ms;
+	holder->former_renewals_end_ms = now_ms;
 	dff_log (DFF_LOG_CELL, DFF_LOG_INFO,
 		 "The former holder has stopped renewing leases. epoch=%" PRId64
 		 " former=%s reason=%s spared_ms=%" PRId64 " others_may_renew_ms=%" PRId64,
@@ -329,7 +330,7 @@
 lease_probe_former (struct dff_holder *holder)
 {
 	int64_t now_ms = holder_now_ms (holder);
-	if (now_ms >= holder->former_until_ms || now_ms < holder->next_former_probe_ms ||
+	if (now_ms >= holder->former_renewals_end_ms || now_ms < holder->next_former_probe_ms ||
 	    dff_name_is_empty (&holder->former_address))
 		return;
 	holder->next_former_probe_ms = now_ms + PROBE_FORMER_INTERVAL_MS;
@@ -358,18 +359,18 @@
 		lease_decode (row->value, &lease);
 	int64_t revision = row != NULL ? row->revision : 0;
 	int64_t now_ms = holder_now_ms (holder);
-	holder->read_took_ms = now_ms - begun_ms;
+	holder->read_duration_ms = now_ms - begun_ms;
 	bool first = holder->seen_revision == -1;
 	bool changed = !first && row != NULL && revision != holder->seen_revision;
 	if (revision != holder->seen_revision) {
 		holder->seen_revision = revision;
-		holder->seen_since_ms = now_ms;
+		holder->row_unchanged_since_ms = now_ms;
 	}
-	int64_t unchanged_ms = begun_ms - holder->seen_since_ms;
-	bool present = revision == holder->active_revision &&
-		       now_ms - holder->active_probe_ms < ACTIVE_FRESH_MS;
-	int64_t limit_ms = present ? ACTIVE_LIMIT_MS : holder->options.suspect_ms;
-	limit_ms += SLOW_READS * holder->read_took_ms;
+	int64_t unchanged_ms = begun_ms - holder->row_unchanged_since_ms;
+	bool active = revision == holder->active_revision &&
+		      now_ms - holder->active_probe_ms < ACTIVE_FRESH_MS;
+	int64_t limit_ms = active ? ACTIVE_LIMIT_MS : holder->options.suspect_ms;
+	limit_ms += SLOW_READS * holder->read_duration_ms;
 	const char *reason = "still";
 	if (row == NULL || lease.released) {
 		limit_ms = 0;
@@ -393,7 +394,7 @@
 	bool asked = handover_is_asked (holder, &lease);
 	if (!own)
 		limit_ms += handover_delay_ms (holder, &lease);
-	int64_t range_ms = TAKEOVER_SPREAD_MS + TAKEOVER_SPREAD_READS * holder->read_took_ms;
+	int64_t range_ms = TAKEOVER_SPREAD_MS + TAKEOVER_SPREAD_READS * holder->read_duration_ms;
 	if (!asked || !lease.released)
 		limit_ms += spread_ms (holder, lease.epoch + 1, range_ms);
 	if (asked)
@@ -401,7 +402,7 @@
 	else if (changed && !own && !lease.released)
 		holder->next_read_ms = begun_ms + read_pause_ms (holder, &lease);
 	if (unchanged_ms >= limit_ms) {
-		bool surely_over = own || lease.released || (ended && holder->ended_certain);
+		bool surely_over = own || lease.released || (ended && holder->renewals_ended);
 		note_former (holder, &lease, surely_over, result, begun_ms);
 		handover_note_row (holder, &lease);
 		holder->n_relays = lease.n_relays;
--- a/holder/runs.c
+++ b/holder/runs.c
@@ -109,7 +109,7 @@
 }
 
 void
-run_settle (struct dff_holder *holder, struct holder_run *run, enum dff_event_type type, bool ran)
+run_end (struct dff_holder *holder, struct holder_run *run, enum dff_event_type type, bool ran)
 {
 	struct holder_unit *unit = run->unit;
 	struct dff_name name = unit->name;
@@ -156,8 +156,8 @@
 note_begun (struct holder_run *run)
 {
 	run->ran = true;
-	if (run->begun_clock_ms == 0)
-		run->begun_clock_ms = run->worker->clock_ms;
+	if (run->running_since_clock_ms == 0)
+		run->running_since_clock_ms = run->worker->clock_ms;
 	duration_note_started (run);
 }
 
@@ -228,15 +228,15 @@
 		return;
 	case DFF_RUN_FAILED:
 		unit_note_failed (holder, unit, run->member);
-		run_settle (holder, run, DFF_EVENT_TASK_FAILED, true);
+		run_end (holder, run, DFF_EVENT_TASK_FAILED, true);
 		return;
 	case DFF_RUN_LEASE_EXPIRED:
-		run_settle (holder, run, DFF_EVENT_TASK_LOST, true);
+		run_end (holder, run, DFF_EVENT_TASK_LOST, true);
 		return;
 	case DFF_RUN_STOPPED:
 	case DFF_RUN_GANG_BROKEN:
 	case DFF_RUN_GANG_TIMEOUT:
-		run_settle (holder, run, DFF_EVENT_TASK_STOPPED, true);
+		run_end (holder, run, DFF_EVENT_TASK_STOPPED, true);
 		return;
 	}
 }
@@ -254,7 +254,7 @@
 	bool blamed = outcome == DFF_RUNNER_UNHEALTHY || outcome == DFF_RUNNER_INVALID;
 	enum dff_event_type event = blamed ? DFF_EVENT_TASK_START_FAILED : DFF_EVENT_TASK_REJECTED;
 	if (run->n_unanswered == 0 && outcome != DFF_RUNNER_OLD_RUN) {
-		run_settle (holder, run, event, false);
+		run_end (holder, run, event, false);
 		return;
 	}
 	run->unlisted_event = event;
--- a/holder/units.c
+++ b/holder/units.c
@@ -190,7 +190,7 @@
 start_task (struct dff_holder *holder, struct holder_unit *unit, const struct dff_command *command)
 {
 	struct holder_worker *worker = workers_find (holder, &command->placement.worker);
-	if (worker == NULL || worker->gone) {
+	if (worker == NULL || worker->lost) {
 		jobs_report (holder, &unit->name, command->attempt, command->member,
 			     DFF_EVENT_TASK_REJECTED, false);
 		return;
--- a/holder/watch.c
+++ b/holder/watch.c
@@ -12,13 +12,13 @@
 /** How long a worker may hold back its answer, ms: longer with many workers, because each answer
  * takes processor time of the holder; the workers' own limit is 2 s. */
 #define WAIT_MS 1000
-#define WAIT_LONG_MS 2000
+#define WAIT_MANY_WORKERS_MS 2000
 #define MANY_WORKERS 200
 /** Timeout margin of a watch call, ms. */
 #define ANSWER_MARGIN_MS 500
 /** Timeout and interval of calls to a worker that did not answer the last one, ms. */
 #define PROBE_TIMEOUT_MS 500
-#define PROBE_EVERY_MS 150
+#define PROBE_INTERVAL_MS 150
 /** Age of the last answer, beyond the wait, after which a worker's lease is not renewed, ms: an
  * unanswered call may still have renewed it, and each such call delays the time at which the lease
  * has certainly lapsed. */
@@ -44,7 +44,7 @@
 	/** Whether it is a call for an immediate report, beside the waiting call, and whether it
 	 * goes to the address at which an entry lists the worker's next incarnation. */
 	bool immediate;
-	bool at_next;
+	bool to_next_incarnation;
 	/** How long the worker may hold back its answer, ms. */
 	int32_t wait_ms;
 };
@@ -70,7 +70,7 @@
 static int32_t
 wait_ms (const struct dff_holder *holder)
 {
-	return g_hash_table_size (holder->workers) > MANY_WORKERS ? WAIT_LONG_MS : WAIT_MS;
+	return g_hash_table_size (holder->workers) > MANY_WORKERS ? WAIT_MANY_WORKERS_MS : WAIT_MS;
 }
 
 int64_t
@@ -100,13 +100,13 @@
 {
 	blame_lost_run (holder, run, loss);
 	(*holder->metrics.runs_lost)++;
-	run_settle (holder, run, DFF_EVENT_TASK_LOST, run->ran);
+	run_end (holder, run, DFF_EVENT_TASK_LOST, run->ran);
 }
 
 void
 watch_lose_worker (struct dff_holder *holder, struct holder_worker *worker, enum holder_loss loss)
 {
-	bool known = worker->gone && g_hash_table_size (worker->runs) == 0;
+	bool known = worker->lost && g_hash_table_size (worker->runs) == 0;
 	if (known)
 		return;
 	dff_log (DFF_LOG_UPSTREAM, DFF_LOG_WARNING,
@@ -120,7 +120,7 @@
 	g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
 	for (GList *link = runs; link != NULL; link = link->next)
 		watch_lose_run (holder, link->data, loss);
-	worker->gone = true;
+	worker->lost = true;
 	worker_set_state (holder, worker);
 }
 
@@ -197,7 +197,7 @@
 			continue;
 		if (run->phase == DFF_RUN_PHASE_STOPPING && run->stopped_ms > 0 &&
 		    begun_ms >= run->stopped_ms) {
-			run_settle (holder, run, run->unlisted_event, run->ran);
+			run_end (holder, run, run->unlisted_event, run->ran);
 			continue;
 		}
 		if (run->phase == DFF_RUN_PHASE_OPEN && begun_ms > run->open_ms) {
@@ -275,7 +275,7 @@
 	worker->answered_ms = MAX (worker->answered_ms, begun_ms);
 	worker->lists_ms = holder_now_ms (holder);
 	worker->n_unanswered = 0;
-	worker->gone = false;
+	worker->lost = false;
 	blame_withdraw (holder, worker);
 	worker_set_state (holder, worker);
 	apply_lists (holder, worker, result, begun_ms);
@@ -295,7 +295,7 @@
 		worker->query_in_flight = false;
 	else
 		worker->watch_in_flight = false;
-	bool present = watch->mark.n_incarnations == worker->n_incarnations;
+	bool is_current = watch->mark.n_incarnations == worker->n_incarnations;
 	enum dff_runner_outcome outcome = result->outcome;
 	/* The report of another incarnation does not count as an answer. */
 	if (outcome == DFF_RUNNER_DONE &&
@@ -313,17 +313,17 @@
 	case DFF_RUNNER_OTHER_INCARNATION:
 		/* The call went to an ended incarnation, or to an address at which the worker is
 		 * not. */
-		if (!present || watch->at_next)
+		if (!is_current || watch->to_next_incarnation)
 			return;
 		watch_lose_worker (holder, worker, DFF_LOSS_OTHER_INCARNATION);
 		worker->next_watch_ms = now_ms + PROBE_TIMEOUT_MS;
 		return;
 	default:
 		/* A call to an ended incarnation shows nothing about the next one. */
-		if (watch->at_next)
+		if (watch->to_next_incarnation)
 			return;
-		worker->next_watch_ms = now_ms + PROBE_EVERY_MS;
-		if (!present)
+		worker->next_watch_ms = now_ms + PROBE_INTERVAL_MS;
+		if (!is_current)
 			return;
 		watch_note_unanswered (worker, watch->call.begun_ms + watch->wait_ms);
 		worker->n_unanswered++;
@@ -353,12 +353,12 @@
 	call->worker = worker->upstream.incarnation.id;
 	call->mark = incarnation_mark (holder, worker);
 	call->immediate = immediate;
-	call->at_next = immediate && worker->next_entry != NULL;
+	call->to_next_incarnation = immediate && worker->next_entry != NULL;
 	bool waits = !immediate && worker->n_unanswered == 0 && worker->answered_ms > 0;
 	struct dff_run_watch watch = {
 		.worker = worker->upstream.incarnation.id,
-		.address = call->at_next ? worker->next_entry->upstream.address
-					 : worker->upstream.address,
+		.address = call->to_next_incarnation ? worker->next_entry->upstream.address
+						     : worker->upstream.address,
 		.epoch = holder->epoch,
 		.acknowledged = acknowledged (worker, immediate),
 		.deadline_ms = watch_deadline_ms (holder, worker),
--- a/holder/workers.c
+++ b/holder/workers.c
@@ -57,7 +57,7 @@
 static enum dff_worker_state
 evaluate_state (const struct dff_holder *holder, const struct holder_worker *worker)
 {
-	if (worker->gone || worker->n_unanswered >= UNANSWERED_MAX || worker->answered_ms == 0)
+	if (worker->lost || worker->n_unanswered >= UNANSWERED_MAX || worker->answered_ms == 0)
 		return DFF_WORKER_DOWN;
 	if (!worker->listed && holder_now_ms (holder) - worker->missing_since_ms >= MISSING_MS)
 		return DFF_WORKER_DOWN;
