--- a/holder/capacity.c
+++ b/holder/capacity.c
@@ -6,9 +6,9 @@
  * its entry does not reach the store or the holder, or while a start is being recorded, so the
  * last report is only valid for a limited time. */
 
-/** Age of the report of a worker that does not enforce its capacity from which the worker gets no
- * new tasks, ms: two of its entries, and less than the delay that operators who shrink its
- * capacity allow for. */
+/** Longest age of the capacity report with which a worker that does not enforce its capacity gets
+ * new tasks, ms: two of its entries, and less than the delay that whoever shrinks its capacity
+ * allows for. */
 #define REPORT_AGE_MAX_MS 3000
 
 bool
--- a/holder/holder_tables.h
+++ b/holder/holder_tables.h
@@ -77,7 +77,7 @@
 	/** The worker's clock when the run was first known to be running, ms; 0: not known to run.
 	 */
 	int64_t running_since_clock_ms;
-	/** Time of the next call. */
+	/** When the next call is due. */
 	int64_t next_ms;
 	/** When the worker answered the stop; 0: not yet. */
 	int64_t stopped_ms;
@@ -94,7 +94,7 @@
 	bool duration_reported;
 };
 
-/** State at the begin of a call to a worker, to determine which incarnation its answer belongs to.
+/** State at the start of a call to a worker, to determine which incarnation its answer belongs to.
  */
 struct incarnation_mark {
 	/** Number of the worker's incarnation to which the call was sent. */
@@ -106,7 +106,7 @@
 struct incarnation_entry {
 	struct dff_upstream upstream;
 	int64_t revision;
-	/** Begin of the call that returned the entry. */
+	/** Start time of the call that returned the entry. */
 	int64_t begun_ms;
 	/** When an entry of that incarnation was first seen. */
 	int64_t noted_ms;
@@ -141,7 +141,7 @@
 	int64_t missing_since_ms;
 	/** When the worker leaves, according to its notice; 0: not known. */
 	int64_t leaves_ms;
-	/** Revision of the worker's list entry, and the begin of the call that first returned it.
+	/** Revision of the worker's list entry, and the start of the call that first returned it.
 	 */
 	int64_t entry_revision;
 	int64_t entry_changed_ms;
@@ -153,7 +153,7 @@
 	int64_t clock_read_ms;
 	/** Latest deadline that may have reached the worker, on its clock. */
 	int64_t deadline_ms;
-	/** Begin of the last watch call that was answered. */
+	/** Start time of the last watch call that was answered. */
 	int64_t answered_ms;
 	/** When the worker's last report was applied, and when a start was last sent to the worker
 	 * or answered by it. */
@@ -174,7 +174,7 @@
 	/** When a run at the worker last became known as over: worker reports requested before
 	 * that may still list the run. */
 	int64_t settled_ms;
-	/** When the core was last given a stall of the worker's tasks. */
+	/** When a stall of the worker's tasks was last reported to the core. */
 	int64_t stalled_ms;
 	enum dff_worker_state state;
 	/** Key: struct dff_name * (in the run). Value: struct holder_run *. */
@@ -218,7 +218,7 @@
 	/** Run number minus the core's attempt number. */
 	int32_t base_run;
 	int32_t attempt;
-	/** Last attempt that was told to stop. */
+	/** Last attempt for which a stop was requested. */
 	int32_t stopped_attempt;
 	int32_t n_members;
 	/** One per member; NULL where no run is open. */
@@ -239,7 +239,7 @@
 	int64_t row_revision;
 	int64_t sequence;
 	bool reading_row;
-	/** Begin of the last read. */
+	/** Start time of the last read. */
 	int64_t row_read_ms;
 	int64_t next_read_ms;
 	int64_t seen_revision;
@@ -265,8 +265,8 @@
 	int64_t known_epoch;
 	int64_t known_epoch_reported_ms;
 	int64_t next_former_probe_ms;
-	/** Begin of the last probe that was answered by an active holder, and the revision of its
-	 * row then. */
+	/** Start time of the last probe that was answered by an active holder, and the revision of
+	 * its row then. */
 	int64_t active_probe_ms;
 	int64_t active_revision;
 	/** When the holder may be probed next. */
@@ -286,7 +286,7 @@
 	int64_t handover_asked_ms;
 
 	/* holder/commit.c */
-	/** Begin of the last transaction or read that showed this process as the holder. */
+	/** Start time of the last transaction or read that showed this process as the holder. */
 	int64_t confirmed_ms;
 	/** (nullable): the transaction in progress. */
 	struct commit_call *commit_call;
@@ -298,7 +298,7 @@
 	int64_t commit_duration_ms;
 	bool store_lost;
 	int64_t store_lost_ms;
-	/** Begin of the transaction whose failure showed that the store is lost. */
+	/** Start time of the transaction whose failure showed that the store is lost. */
 	int64_t lost_begun_ms;
 	/** Whether a transaction that releases the lease was sent: it may be carried out late. */
 	bool releasing;
--- a/holder/lease.c
+++ b/holder/lease.c
@@ -57,7 +57,7 @@
  * on its deadline, ms. */
 #define FORMER_MARGIN_MS 150
 
-/* A holder renews leases only for a limited time after the begin of its last transaction that was
+/* A holder renews leases only for a limited time after the start of its last transaction that was
  * carried out. A process that takes the lease has seen the row of that transaction, and replaces
  * exactly that row, so it knows when these renewals end: earlier if it learns that the holder has
  * released the lease. Holders before that one may still renew leases, and the row contains their
--- a/holder/queries.c
+++ b/holder/queries.c
@@ -10,7 +10,7 @@
  * moment. No rejection is delayed by this, and a caller that queries in the middle of a run loses
  * nothing. */
 
-/** Longest time that a status query waits for a completion that has not arrived yet, ms. A
+/** Longest time that a state query waits for a completion that has not arrived yet, ms. A
  * completion takes a few ms from the worker, through a relay on a small machine up to 20 ms, and
  * as long again to be recorded. */
 #define PENDING_COMPLETION_WAIT_MS 40
@@ -18,7 +18,7 @@
  * times the usual duration of a transaction. In a slow store the record takes longer, and the
  * query returns the recorded state. */
 #define UNRECORDED_COMPLETION_WAIT_MS 100
-/** Age of the last confirmation that this process is the holder from which it answers no queries,
+/** Age of the last confirmation that this process is the holder beyond which it answers no queries,
  * ms: another process may be the holder by then. There are four heartbeats a second. */
 #define CONFIRMED_MAX_MS 1000
 
