--- a/tests/holder/site.c
+++ b/tests/holder/site.c
@@ -20,8 +20,8 @@
 __lsan_default_suppressions (void) // NOLINT(readability-identifier-naming)
 {
 	/* Where the contexts are made: in the holder, in readings and followers, in fronts. */
-	return "leak:lease_step\nleak:^take\nleak:intake\nleak:dff_core_take\nleak:handle_takeover\n"
-	       "leak:jobs_ingest\nleak:incarnation_accept\nleak:take_over\n"
+	return "leak:lease_step\nleak:^take\nleak:intake\nleak:dff_core_take\n"
+	       "leak:handle_takeover\nleak:jobs_ingest\nleak:incarnation_accept\nleak:take_over\n"
 	       "leak:evaluate_row\nleak:send_commit\nleak:read_page\n"
 	       "leak:dff_scan_start\nleak:handle_retry\nleak:handle_page\n"
 	       "leak:lease_probe_former\nleak:request_changes\nleak:inbox_step\nleak:read_job\n"
