--- a/holder/jobs.c
+++ b/holder/jobs.c
@@ -5,12 +5,13 @@
 #include "common/log.h"
 #include "holder/policy.h"
 
-/* The jobs that a holder holds: taken in, offered to the core step by step, cancelled, ended. */
+/* Jobs of the holder: adding them, submitting them to the core step by step, cancelling and ending
+ * them. */
 
-/** Rounds of the core in one turn of the loop: each answers commands of the one before. */
+/** Rounds of the core in one step: each round handles the results of the previous round's
+ * commands. */
 #define ROUNDS_MAX 8
-/** How late an occurrence is begun on purpose, ms: clocks of workers and callers differ a little.
- */
+/** Deliberate delay of a timed occurrence, ms: clocks of workers and callers differ slightly. */
 #define DUE_MARGIN_MS 30
 
 static void
@@ -42,7 +43,7 @@
 }
 
 void
-jobs_forget (struct dff_holder *holder)
+jobs_reset (struct dff_holder *holder)
 {
 	g_clear_pointer (&holder->core, dff_core_free);
 	g_clear_pointer (&holder->commands, g_array_unref);
@@ -53,12 +54,12 @@
 }
 
 void
-jobs_emit (struct dff_holder *holder,
-	   const struct dff_name *unit,
-	   int32_t attempt,
-	   int32_t member,
-	   enum dff_event_type type,
-	   bool ran)
+jobs_report (struct dff_holder *holder,
+	     const struct dff_name *unit,
+	     int32_t attempt,
+	     int32_t member,
+	     enum dff_event_type type,
+	     bool ran)
 {
 	struct dff_event event = {
 		.type = type, .job = *unit, .attempt = attempt, .member = member, .ran = ran};
@@ -66,7 +67,7 @@
 }
 
 void
-jobs_offer (struct dff_holder *holder, struct holder_job *job)
+jobs_submit_ready (struct dff_holder *holder, struct holder_job *job)
 {
 	if (job->cancelled)
 		return;
@@ -75,7 +76,7 @@
 	job->due_ms = dff_progress_take_ready (job->progress, job->plan, wall_ms, units);
 	holder->next_due_ms = MIN (holder->next_due_ms, job->due_ms);
 	for (guint i = 0; i < units->len; i++)
-		units_give (holder, job, &g_array_index (units, struct dff_unit, i));
+		units_submit (holder, job, &g_array_index (units, struct dff_unit, i));
 }
 
 static bool
@@ -117,7 +118,7 @@
 	  const char *reason)
 {
 	job->progress->state = state;
-	commit_mark (holder, job);
+	commit_mark_dirty (holder, job);
 	dff_log (DFF_LOG_CELL, DFF_LOG_INFO,
 		 "Job over. job=%s state=%s reason=%s class=%s team=%s held_ms=%" PRId64,
 		 job->id.data, dff_job_state_name (state), reason, job->plan->class_name.data,
@@ -140,7 +141,7 @@
 }
 
 struct holder_job *
-jobs_take_in (struct dff_holder *holder, const struct dff_row *row)
+jobs_ingest (struct dff_holder *holder, const struct dff_row *row)
 {
 	struct dff_name id;
 	if (!dff_name_parse (row->key, &id) || g_hash_table_contains (holder->jobs, &id) ||
@@ -179,18 +180,19 @@
 		 "Job taken in. job=%s class=%s team=%s steps=%u occurrences=%d revision=%" PRId64,
 		 job->id.data, job->plan->class_name.data, job->plan->team.data,
 		 job->plan->steps->len, job->plan->occurrences, row->revision);
-	jobs_offer (holder, job);
+	jobs_submit_ready (holder, job);
 	holder_wake (holder);
 	return job;
 }
 
-/* What was decided about it was never sent: its starts wait for a record that does not come. */
+/* No decision about a provisional job was sent: its starts wait for a record that will not be
+ * written. */
 void
 jobs_withdraw (struct dff_holder *holder, struct holder_job *job)
 {
 	for (guint i = 0; i < job->acks->len; i++) {
 		const struct holder_ack *ack = &g_array_index (job->acks, struct holder_ack, i);
-		jobs_emit (holder, &ack->unit, ack->attempt, 0, DFF_EVENT_ATTEMPT_REFUSED, false);
+		jobs_report (holder, &ack->unit, ack->attempt, 0, DFF_EVENT_ATTEMPT_REFUSED, false);
 	}
 	g_array_set_size (job->acks, 0);
 	job->cancelled = true;
@@ -200,7 +202,7 @@
 }
 
 static void
-forget_withdrawn (struct dff_holder *holder)
+remove_withdrawn (struct dff_holder *holder)
 {
 	for (guint i = holder->withdrawn->len; i > 0; i--) {
 		struct holder_job *job = g_ptr_array_index (holder->withdrawn, i - 1);
@@ -244,7 +246,7 @@
 }
 
 bool
-jobs_know_key (struct dff_holder *holder, struct dff_str key)
+jobs_key_is_applied (struct dff_holder *holder, struct dff_str key)
 {
 	struct dff_name id;
 	bool cancel = split_cancel_key (&key);
@@ -267,7 +269,7 @@
 		return;
 	}
 	submissions_note_row (holder, key, row->revision);
-	jobs_take_in (holder, row);
+	jobs_ingest (holder, row);
 }
 
 void
@@ -277,13 +279,14 @@
 	for (GList *link = jobs; link != NULL; link = link->next) {
 		struct holder_job *job = link->data;
 		if (dff_job_state_is_final (job->progress->state)) {
-			/* Written once more: what follows a written final row follows here too. */
-			commit_mark (holder, job);
+			/* Written once more: actions that follow a written final row take place
+			 * here too. */
+			commit_mark_dirty (holder, job);
 			continue;
 		}
 		bool cancelled = job->cancelled;
 		job->cancelled = false;
-		jobs_offer (holder, job);
+		jobs_submit_ready (holder, job);
 		if (cancelled)
 			cancel_job (holder, job);
 	}
@@ -292,7 +295,8 @@
 bool
 jobs_release (struct dff_holder *holder, struct holder_job *job)
 {
-	/* A unit may still be stopping. Its end writes the job's row again and comes here again. */
+	/* A unit may still be stopping. Its end writes the job's row again, which leads here
+	 * again. */
 	if (has_units (holder, job))
 		return false;
 	g_hash_table_remove (holder->jobs, &job->id);
@@ -300,7 +304,7 @@
 }
 
 static void
-offer_due (struct dff_holder *holder)
+submit_due (struct dff_holder *holder)
 {
 	int64_t wall_ms = dff_clock_wall_ms (holder->options.timers->clock) - DUE_MARGIN_MS;
 	if (holder->next_due_ms > wall_ms)
@@ -312,25 +316,25 @@
 	while (g_hash_table_iter_next (&iter, NULL, &value)) {
 		struct holder_job *job = value;
 		if (job->due_ms <= wall_ms)
-			jobs_offer (holder, job);
+			jobs_submit_ready (holder, job);
 		else if (job->due_ms > 0)
 			holder->next_due_ms = MIN (holder->next_due_ms, job->due_ms);
 	}
 }
 
 void
-jobs_work (struct dff_holder *holder)
+jobs_step (struct dff_holder *holder)
 {
-	offer_due (holder);
+	submit_due (holder);
 	for (int32_t i = 0; i < ROUNDS_MAX; i++) {
 		dff_core_tick (holder->core, holder_now_ms (holder), holder->commands);
 		if (holder->commands->len == 0)
 			break;
-		/* Commands may bring on others: those are of the next round. */
+		/* Executing commands may cause further ones, which are for the next round. */
 		g_autoptr (GArray) commands = g_array_copy (holder->commands);
 		for (guint j = 0; j < commands->len; j++)
-			units_carry_out (holder, &g_array_index (commands, struct dff_command, j));
+			units_execute (holder, &g_array_index (commands, struct dff_command, j));
 	}
-	forget_withdrawn (holder);
+	remove_withdrawn (holder);
 	*holder->metrics.open_jobs = (int64_t)g_hash_table_size (holder->jobs);
 }
--- a/holder/units.c
+++ b/holder/units.c
@@ -3,8 +3,8 @@
 #include "common/log.h"
 #include "holder/policy.h"
 
-/* Units between the graph and the decision core: a unit is given to the core, the core's commands
- * become rows and runs, and its ends become progress. */
+/* Units connect the graph with the decision core: a unit is submitted to the core, the core's
+ * commands become rows and runs, and the ends of runs become progress. */
 
 G_STATIC_ASSERT (DFF_STEP_GANG_MAX <= DFF_GANG_MAX);
 
@@ -23,7 +23,7 @@
 				  MAX (unit->unit.index, 0) + member);
 }
 
-/* Failed runs that are left, the open one included. */
+/* Number of failed runs that remain allowed, including the open run. */
 static int32_t
 attempts_left (const struct holder_unit *unit)
 {
@@ -94,7 +94,7 @@
 		enum dff_event_type type = task->state == DFF_PROGRESS_TASK_FAILED
 						   ? DFF_EVENT_TASK_FAILED
 						   : DFF_EVENT_TASK_LOST;
-		jobs_emit (holder, &unit->name, unit->attempt, member, type, true);
+		jobs_report (holder, &unit->name, unit->attempt, member, type, true);
 		return;
 	}
 	struct holder_worker *worker = workers_intern (holder, &task->worker);
@@ -104,8 +104,7 @@
 	run->checkpoint = g_strdup (task->checkpoint);
 }
 
-/* Units whose runs are on record as open go on where they are; members that have failed since are
- * over. */
+/* Units whose runs are recorded as open continue; members that have failed since have ended. */
 static void
 recover_unit (struct dff_holder *holder, struct holder_unit *unit, const struct dff_job_spec *spec)
 {
@@ -116,8 +115,8 @@
 	unit->attempt = 1;
 	for (int32_t i = 0; i < unit->n_members; i++) {
 		const struct dff_task *task = member_task (unit, i);
-		/* Which accelerators a task has is the worker's affair: only their number counts,
-		 * so none is named. */
+		/* The worker chooses the accelerators of a task: only their number matters here,
+		 * so that none is named. */
 		struct dff_placement placement = {.worker = task->worker};
 		g_array_append_val (placements, placement);
 		g_array_append_val (running, yes);
@@ -132,7 +131,7 @@
 }
 
 void
-units_give (struct dff_holder *holder, struct holder_job *job, const struct dff_unit *at)
+units_submit (struct dff_holder *holder, struct holder_job *job, const struct dff_unit *at)
 {
 	struct holder_unit *unit = unit_new (holder, job, at);
 	struct dff_job_spec spec = unit_spec (unit);
@@ -151,7 +150,7 @@
 	if (job->progress->state != DFF_JOB_STATE_QUEUED)
 		return;
 	job->progress->state = DFF_JOB_STATE_RUNNING;
-	commit_mark (holder, job);
+	commit_mark_dirty (holder, job);
 	dff_histogram_observe (holder->metrics.job_wait, holder_now_ms (holder) - job->added_ms);
 	dff_log (DFF_LOG_CELL, DFF_LOG_INFO, "Job began. job=%s class=%s waited_ms=%" PRId64,
 		 job->id.data, job->plan->class_name.data, holder_now_ms (holder) - job->added_ms);
@@ -162,7 +161,7 @@
 {
 	dff_progress_mark_failed (unit->job->progress, unit->job->plan, &unit->unit,
 				  MAX (unit->unit.index, 0) + member);
-	commit_mark (holder, unit->job);
+	commit_mark_dirty (holder, unit->job);
 }
 
 static void
@@ -179,7 +178,7 @@
 	}
 	struct holder_ack ack = {.unit = unit->name, .attempt = command->attempt};
 	g_array_append_val (unit->job->acks, ack);
-	commit_mark (holder, unit->job);
+	commit_mark_dirty (holder, unit->job);
 	const struct dff_task *task = member_task (unit, 0);
 	dff_log (DFF_LOG_CELL, DFF_LOG_INFO,
 		 "Unit placed. unit=%s run=%d tasks=%d worker=%s waited_ms=%" PRId64 " resumed=%d",
@@ -191,9 +190,9 @@
 start_task (struct dff_holder *holder, struct holder_unit *unit, const struct dff_command *command)
 {
 	struct holder_worker *worker = workers_find (holder, &command->placement.worker);
-	if (worker == NULL || worker->gone) {
-		jobs_emit (holder, &unit->name, command->attempt, command->member,
-			   DFF_EVENT_TASK_REJECTED, false);
+	if (worker == NULL || worker->lost) {
+		jobs_report (holder, &unit->name, command->attempt, command->member,
+			     DFF_EVENT_TASK_REJECTED, false);
 		return;
 	}
 	struct holder_run *run =
@@ -202,7 +201,7 @@
 	run->checkpoint = g_strdup (member_task (unit, command->member)->checkpoint);
 }
 
-/* Once an attempt, for all its members. */
+/* Once per attempt, for all its members. */
 static void
 note_stop (struct dff_holder *holder, struct holder_unit *unit, const struct dff_command *command)
 {
@@ -228,11 +227,11 @@
 	if (run != NULL)
 		run_stop (holder, run);
 	else
-		jobs_emit (holder, &unit->name, command->attempt, command->member,
-			   DFF_EVENT_TASK_STOPPED, false);
+		jobs_report (holder, &unit->name, command->attempt, command->member,
+			     DFF_EVENT_TASK_STOPPED, false);
 }
 
-/* The recorded runs are over, and none is open. */
+/* The recorded runs have ended, and none is open. */
 static void
 clear_assignment (struct dff_holder *holder, struct holder_unit *unit)
 {
@@ -241,7 +240,7 @@
 		if (dff_progress_task_state_is_open (task->state))
 			task->state = DFF_PROGRESS_TASK_PENDING;
 	}
-	commit_mark (holder, unit->job);
+	commit_mark_dirty (holder, unit->job);
 }
 
 static void
@@ -250,7 +249,7 @@
 	struct holder_job *job = unit->job;
 	unit_note_started (holder, unit);
 	dff_progress_mark_done (job->progress, job->plan, &unit->unit);
-	commit_mark (holder, job);
+	commit_mark_dirty (holder, job);
 	if (job->progress->state == DFF_JOB_STATE_COMPLETED)
 		jobs_end (holder, job, DFF_JOB_STATE_COMPLETED, "all_steps_done");
 }
@@ -261,7 +260,7 @@
 	struct holder_job *job = unit->job;
 	struct dff_unit at = unit->unit;
 	bool final = dff_job_state_is_final (job->progress->state);
-	/* Work without end is given up for what it does to its workers alone. */
+	/* An endless task fails only because of its blame for lost workers. */
 	bool endless = dff_plan_step (job->plan, at.step)->endless && !final &&
 		       command->outcome != DFF_OUTCOME_FAILED;
 	if (endless || command->outcome != DFF_OUTCOME_COMPLETED)
@@ -269,22 +268,23 @@
 	else if (!final)
 		complete_unit (holder, unit);
 	bool failed = !endless && !final && command->outcome == DFF_OUTCOME_FAILED;
-	jobs_emit (holder, &unit->name, command->attempt, 0, DFF_EVENT_OUTCOME_RECORDED, false);
+	jobs_report (holder, &unit->name, command->attempt, 0, DFF_EVENT_OUTCOME_RECORDED, false);
 	g_hash_table_remove (holder->units, &unit->name);
 	if (failed) {
 		jobs_end (holder, job, DFF_JOB_STATE_FAILED, command->reason);
 		jobs_cancel_units (holder, job);
 		return;
 	}
-	/* An endless unit is over only when its job is cancelled: it is given to the core anew. */
+	/* An endless unit ends only when its job is cancelled: otherwise it is submitted to the
+	 * core again. */
 	if (endless)
-		units_give (holder, job, &at);
+		units_submit (holder, job, &at);
 	else
-		jobs_offer (holder, job);
+		jobs_submit_ready (holder, job);
 }
 
 void
-units_carry_out (struct dff_holder *holder, const struct dff_command *command)
+units_execute (struct dff_holder *holder, const struct dff_command *command)
 {
 	struct holder_unit *unit = g_hash_table_lookup (holder->units, &command->job);
 	if (unit == NULL)
@@ -297,12 +297,12 @@
 		start_task (holder, unit, command);
 		return;
 	case DFF_COMMAND_RELEASE_TASK:
-		/* A gang here begins by itself once its members are all present. */
+		/* A gang starts working by itself once all its members have started. */
 		return;
 	case DFF_COMMAND_CHECKPOINT_TASK:
-		/* A stop saves as well, so that there is nothing to wait for. */
-		jobs_emit (holder, &unit->name, command->attempt, command->member,
-			   DFF_EVENT_TASK_CHECKPOINTED, false);
+		/* A stop saves a checkpoint as well, so that there is nothing to wait for. */
+		jobs_report (holder, &unit->name, command->attempt, command->member,
+			     DFF_EVENT_TASK_CHECKPOINTED, false);
 		return;
 	case DFF_COMMAND_STOP_TASK:
 		stop_task (holder, unit, command);
