--- a/graph/plan.c
+++ b/graph/plan.c
@@ -12,7 +12,7 @@
 
 /** Cores, GiB, accelerators or slots of a task at the most: beyond any worker's, and sums of a
  * step's tasks stay within 32 bits. */
-#define AMOUNT_MAX 1000000
+#define RESOURCE_AMOUNT_MAX 1000000
 /** Times at the most, ms: in the year 5138, and 256 times it is within 64 bits. */
 #define TIME_MAX_MS INT64_C (100000000000000)
 
@@ -47,16 +47,16 @@
 static bool
 amount_is_valid (int32_t amount)
 {
-	return amount >= 0 && amount <= AMOUNT_MAX;
+	return amount >= 0 && amount <= RESOURCE_AMOUNT_MAX;
 }
 
 /* What a task needs comes from callers. A negative amount would make room where there is none. */
 static bool
-needs_are_valid (const struct dff_step *step)
+resources_are_valid (const struct dff_step *step)
 {
-	const struct dff_resources *needs = &step->per_task;
-	return amount_is_valid (needs->slots) && amount_is_valid (needs->cores) &&
-	       amount_is_valid (needs->memory_gb) && amount_is_valid (needs->accelerators) &&
+	const struct dff_resources *per_task = &step->per_task;
+	return amount_is_valid (per_task->slots) && amount_is_valid (per_task->cores) &&
+	       amount_is_valid (per_task->memory_gb) && amount_is_valid (per_task->accelerators) &&
 	       amount_is_valid (step->per_worker);
 }
 
@@ -73,13 +73,13 @@
 		return "a step has too few or too many tasks";
 	if (step->gang && step->count > DFF_STEP_GANG_MAX)
 		return "a gang is too large";
-	if (!needs_are_valid (step))
+	if (!resources_are_valid (step))
 		return "what a task needs is negative or too much";
 	if (!time_is_valid (step->estimate_ms))
 		return "an estimate is out of range";
 	for (guint i = 0; i < step->after->len; i++) {
-		int32_t before = g_array_index (step->after, int32_t, i);
-		if (before < 0 || before >= index)
+		int32_t predecessor = g_array_index (step->after, int32_t, i);
+		if (predecessor < 0 || predecessor >= index)
 			return "a step comes after one that is not earlier";
 	}
 	return NULL;
@@ -96,9 +96,9 @@
 		return "a time is out of range";
 	int64_t tasks = 0;
 	for (guint i = 0; i < plan->steps->len; i++) {
-		const char *fault = check_step (dff_plan_step (plan, (int32_t)i), (int32_t)i);
-		if (fault != NULL)
-			return fault;
+		const char *error = check_step (dff_plan_step (plan, (int32_t)i), (int32_t)i);
+		if (error != NULL)
+			return error;
 		tasks += dff_plan_step (plan, (int32_t)i)->count;
 	}
 	if (tasks * plan->occurrences > DFF_PLAN_TASKS_MAX)
@@ -159,8 +159,8 @@
 	step->per_worker = dff_json_int32 (object, "per_worker");
 	const json_t *after = json_object_get (object, "after");
 	for (size_t i = 0; i < json_array_size (after); i++) {
-		int32_t before = dff_json_int32_at (after, i);
-		g_array_append_val (step->after, before);
+		int32_t predecessor = dff_json_int32_at (after, i);
+		g_array_append_val (step->after, predecessor);
 	}
 }
 
--- a/graph/progress.c
+++ b/graph/progress.c
@@ -47,11 +47,11 @@
 	g_array_set_clear_func (progress->steps, step_clear);
 	for (int32_t i = 0; i < plan->occurrences * progress->n_steps; i++) {
 		const struct dff_step *step = dff_plan_step (plan, i % progress->n_steps);
-		struct dff_step_progress one = {
+		struct dff_step_progress step_progress = {
 			.tasks = g_array_new (FALSE, TRUE, sizeof (struct dff_task))};
-		g_array_set_clear_func (one.tasks, task_clear);
-		g_array_set_size (one.tasks, (guint)step->count);
-		g_array_append_val (progress->steps, one);
+		g_array_set_clear_func (step_progress.tasks, task_clear);
+		g_array_set_size (step_progress.tasks, (guint)step->count);
+		g_array_append_val (progress->steps, step_progress);
 	}
 	return progress;
 }
@@ -89,8 +89,9 @@
 static bool
 step_is_done (const struct dff_progress *progress, int32_t occurrence, int32_t step)
 {
-	const struct dff_step_progress *at = dff_progress_step (progress, occurrence, step);
-	return at->n_done == (int32_t)at->tasks->len;
+	const struct dff_step_progress *step_progress =
+		dff_progress_step (progress, occurrence, step);
+	return step_progress->n_done == (int32_t)step_progress->tasks->len;
 }
 
 static bool
@@ -108,21 +109,22 @@
 }
 
 static void
-offer_step (struct dff_progress *progress,
-	    const struct dff_plan *plan,
-	    int32_t occurrence,
-	    int32_t step,
-	    GArray *units)
+append_units (struct dff_progress *progress,
+	      const struct dff_plan *plan,
+	      int32_t occurrence,
+	      int32_t step,
+	      GArray *units)
 {
-	struct dff_step_progress *at = dff_progress_step (progress, occurrence, step);
-	at->units_taken = true;
+	struct dff_step_progress *step_progress = dff_progress_step (progress, occurrence, step);
+	step_progress->units_taken = true;
 	struct dff_unit unit = {.occurrence = occurrence, .step = step, .index = -1};
 	if (dff_plan_step (plan, step)->gang) {
 		g_array_append_val (units, unit);
 		return;
 	}
-	for (guint i = 0; i < at->tasks->len; i++) {
-		if (g_array_index (at->tasks, struct dff_task, i).state == DFF_PROGRESS_TASK_DONE)
+	for (guint i = 0; i < step_progress->tasks->len; i++) {
+		if (g_array_index (step_progress->tasks, struct dff_task, i).state ==
+		    DFF_PROGRESS_TASK_DONE)
 			continue;
 		unit.index = (int32_t)i;
 		g_array_append_val (units, unit);
@@ -144,7 +146,7 @@
 		for (int32_t j = 0; j < progress->n_steps; j++) {
 			if (!dff_progress_step (progress, i, j)->units_taken &&
 			    !step_is_done (progress, i, j) && step_may_begin (progress, plan, i, j))
-				offer_step (progress, plan, i, j, units);
+				append_units (progress, plan, i, j, units);
 		}
 	}
 	return INT64_MAX;
@@ -163,16 +165,17 @@
 			const struct dff_plan *plan,
 			const struct dff_unit *unit)
 {
-	struct dff_step_progress *at = dff_progress_step (progress, unit->occurrence, unit->step);
+	struct dff_step_progress *step_progress =
+		dff_progress_step (progress, unit->occurrence, unit->step);
 	struct dff_unit_tasks tasks = dff_unit_tasks (plan, unit);
 	for (int32_t i = tasks.first; i < tasks.end; i++) {
-		struct dff_task *task = &g_array_index (at->tasks, struct dff_task, i);
+		struct dff_task *task = &g_array_index (step_progress->tasks, struct dff_task, i);
 		if (task->state == DFF_PROGRESS_TASK_DONE)
 			continue;
 		task->state = DFF_PROGRESS_TASK_DONE;
 		g_clear_pointer (&task->checkpoint, g_free);
-		at->n_done++;
-		if (at->n_done == (int32_t)at->tasks->len)
+		step_progress->n_done++;
+		if (step_progress->n_done == (int32_t)step_progress->tasks->len)
 			progress->n_steps_done++;
 	}
 	if (progress->n_steps_done == (int32_t)progress->steps->len)
--- a/graph/progress_row.c
+++ b/graph/progress_row.c
@@ -13,29 +13,29 @@
 
 /** Length beyond which a row is written without checkpoints, bytes: in base64 it has to stay below
  * what the store takes, or nothing of the holder could be recorded any more. */
-#define CHECKPOINTS_MAX_BYTES 44000
+#define CHECKPOINTS_ROW_MAX_BYTES 44000
 
 /** Names of workers in the order of their first use. */
 struct worker_names {
 	json_t *list;
 	/** Name to its place plus one. */
-	GHashTable *places;
+	GHashTable *indexes;
 };
 
 static int
-worker_place (struct worker_names *names, const struct dff_name *worker)
+worker_index (struct worker_names *names, const struct dff_name *worker)
 {
-	gpointer place = g_hash_table_lookup (names->places, worker);
-	if (place != NULL)
-		return GPOINTER_TO_INT (place) - 1;
+	gpointer index = g_hash_table_lookup (names->indexes, worker);
+	if (index != NULL)
+		return GPOINTER_TO_INT (index) - 1;
 	json_array_append_new (names->list, json_string (worker->data));
 	int count = (int)json_array_size (names->list);
-	g_hash_table_insert (names->places, (gpointer)worker, GINT_TO_POINTER (count));
+	g_hash_table_insert (names->indexes, (gpointer)worker, GINT_TO_POINTER (count));
 	return count - 1;
 }
 
 static bool
-task_has_begun (const struct dff_task *task)
+task_has_started (const struct dff_task *task)
 {
 	return task->run > 0 || task->state != DFF_PROGRESS_TASK_PENDING;
 }
@@ -45,10 +45,10 @@
 {
 	if (task->state == DFF_PROGRESS_TASK_DONE)
 		return json_integer (1);
-	if (!task_has_begun (task))
+	if (!task_has_started (task))
 		return json_integer (0);
 	json_t *value = json_pack ("[i, i, i, i]", (int)task->state, task->run, task->failures,
-				   worker_place (names, &task->worker));
+				   worker_index (names, &task->worker));
 	const char *checkpoint = checkpoints && task->checkpoint != NULL ? task->checkpoint : "";
 	if (checkpoint[0] != '\0' || task->blame > 0)
 		json_array_append_new (value, json_string (checkpoint));
@@ -63,13 +63,13 @@
 encode_tasks (const struct dff_step_progress *step, struct worker_names *names, bool checkpoints)
 {
 	json_t *tasks = json_array ();
-	bool begun = false;
+	bool started = false;
 	for (guint i = 0; i < step->tasks->len; i++) {
 		const struct dff_task *task = &g_array_index (step->tasks, struct dff_task, i);
-		begun |= task_has_begun (task);
+		started |= task_has_started (task);
 		json_array_append_new (tasks, encode_task (task, names, checkpoints));
 	}
-	if (begun)
+	if (started)
 		return tasks;
 	json_decref (tasks);
 	return NULL;
@@ -79,7 +79,7 @@
 encode (const struct dff_progress *progress, bool checkpoints)
 {
 	struct worker_names names = {.list = json_array (),
-				     .places =
+				     .indexes =
 					     g_hash_table_new (dff_name_hash, dff_name_equal_func)};
 	json_t *steps = json_array ();
 	bool final = dff_job_state_is_final (progress->state);
@@ -90,7 +90,7 @@
 		if (tasks != NULL)
 			json_array_append_new (steps, json_pack ("[i, o]", (int)i, tasks));
 	}
-	g_hash_table_unref (names.places);
+	g_hash_table_unref (names.indexes);
 	return dff_json_print (json_pack ("{s:s, s:o, s:o}", "state",
 					  dff_job_state_name (progress->state), "workers",
 					  names.list, "steps", steps));
@@ -100,14 +100,14 @@
 dff_progress_encode (const struct dff_progress *progress)
 {
 	GString *text = encode (progress, true);
-	if (text->len <= CHECKPOINTS_MAX_BYTES)
+	if (text->len <= CHECKPOINTS_ROW_MAX_BYTES)
 		return text;
 	g_string_free (text, TRUE);
 	return encode (progress, false);
 }
 
 static struct dff_name
-name_of (const json_t *value)
+name_from_json (const json_t *value)
 {
 	struct dff_name name = {0};
 	if (json_string_length (value) > 0) {
@@ -133,7 +133,7 @@
 	task->state = (enum dff_progress_task_state)json_integer_value (json_array_get (value, 0));
 	task->run = (int32_t)json_integer_value (json_array_get (value, 1));
 	task->failures = (int32_t)json_integer_value (json_array_get (value, 2));
-	task->worker = name_of (
+	task->worker = name_from_json (
 		json_array_get (workers, (size_t)json_integer_value (json_array_get (value, 3))));
 	const json_t *checkpoint = json_array_get (value, 4);
 	if (json_string_length (checkpoint) > 0)
@@ -145,12 +145,12 @@
 static bool
 decode_step (struct dff_progress *progress, const json_t *workers, const json_t *entry)
 {
-	json_int_t position = json_integer_value (json_array_get (entry, 0));
+	json_int_t step_index = json_integer_value (json_array_get (entry, 0));
 	const json_t *tasks = json_array_get (entry, 1);
-	if (position < 0 || position >= (json_int_t)progress->steps->len)
+	if (step_index < 0 || step_index >= (json_int_t)progress->steps->len)
 		return false;
 	struct dff_step_progress *step =
-		&g_array_index (progress->steps, struct dff_step_progress, position);
+		&g_array_index (progress->steps, struct dff_step_progress, step_index);
 	if (json_array_size (tasks) != step->tasks->len)
 		return false;
 	for (guint i = 0; i < step->tasks->len; i++)
--- a/tests/graph/test-graph.c
+++ b/tests/graph/test-graph.c
@@ -36,7 +36,10 @@
 
 /* Returns: the names of the units offered, each followed by a space. */
 static GString *
-offer (struct dff_progress *progress, const struct dff_plan *plan, int64_t now_ms, int64_t *next_ms)
+take_ready (struct dff_progress *progress,
+	    const struct dff_plan *plan,
+	    int64_t now_ms,
+	    int64_t *next_ms)
 {
 	g_autoptr (GArray) units = g_array_new (FALSE, FALSE, sizeof (struct dff_unit));
 	*next_ms = dff_progress_take_ready (progress, plan, now_ms, units);
@@ -50,18 +53,18 @@
 }
 
 static void
-finish (struct dff_progress *progress,
-	const struct dff_plan *plan,
-	int32_t occurrence,
-	int32_t step,
-	int32_t index)
+mark_done (struct dff_progress *progress,
+	   const struct dff_plan *plan,
+	   int32_t occurrence,
+	   int32_t step,
+	   int32_t index)
 {
 	struct dff_unit unit = {.occurrence = occurrence, .step = step, .index = index};
 	dff_progress_mark_done (progress, plan, &unit);
 }
 
 static void
-test_steps_follow_each_other (void **state)
+test_steps_start_after_their_predecessors (void **state)
 {
 	(void)state;
 	DFF_AUTO (dff_plan) plan = plan_new ();
@@ -70,25 +73,25 @@
 	add_step (plan, 1, false, -1);
 	DFF_AUTO (dff_progress) progress = dff_progress_new (plan);
 	int64_t next_ms;
-	g_autoptr (GString) first = offer (progress, plan, 0, &next_ms);
+	g_autoptr (GString) first = take_ready (progress, plan, 0, &next_ms);
 	assert_string_equal (first->str, "0.0.0 0.0.1 0.2.0 ");
 	assert_int_equal (next_ms, INT64_MAX);
-	finish (progress, plan, 0, 0, 1);
-	g_autoptr (GString) none = offer (progress, plan, 0, &next_ms);
+	mark_done (progress, plan, 0, 0, 1);
+	g_autoptr (GString) none = take_ready (progress, plan, 0, &next_ms);
 	assert_string_equal (none->str, "");
-	finish (progress, plan, 0, 0, 0);
+	mark_done (progress, plan, 0, 0, 0);
 	/* The same end again changes nothing. */
-	finish (progress, plan, 0, 0, 0);
-	g_autoptr (GString) second = offer (progress, plan, 0, &next_ms);
+	mark_done (progress, plan, 0, 0, 0);
+	g_autoptr (GString) second = take_ready (progress, plan, 0, &next_ms);
 	assert_string_equal (second->str, "0.1 ");
-	finish (progress, plan, 0, 1, -1);
+	mark_done (progress, plan, 0, 1, -1);
 	assert_int_equal (progress->state, DFF_JOB_STATE_QUEUED);
-	finish (progress, plan, 0, 2, 0);
+	mark_done (progress, plan, 0, 2, 0);
 	assert_int_equal (progress->state, DFF_JOB_STATE_COMPLETED);
 }
 
 static void
-test_occurrences_are_due (void **state)
+test_occurrences_start_when_due (void **state)
 {
 	(void)state;
 	DFF_AUTO (dff_plan) plan = plan_new ();
@@ -100,7 +103,7 @@
 	DFF_AUTO (dff_progress) progress = dff_progress_new (plan);
 	static const struct {
 		int64_t now_ms;
-		const char *offered;
+		const char *units;
 		int64_t next_ms;
 	} cases[] = {
 		{0, "", 10000},
@@ -112,14 +115,14 @@
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		int64_t next_ms;
-		g_autoptr (GString) names = offer (progress, plan, cases[i].now_ms, &next_ms);
-		assert_string_equal (names->str, cases[i].offered);
+		g_autoptr (GString) names = take_ready (progress, plan, cases[i].now_ms, &next_ms);
+		assert_string_equal (names->str, cases[i].units);
 		assert_int_equal (next_ms, cases[i].next_ms);
 	}
 }
 
 static void
-test_plans_that_are_refused (void **state)
+test_invalid_plans_are_refused (void **state)
 {
 	(void)state;
 	static const struct {
@@ -150,7 +153,7 @@
 }
 
 static void
-test_plan_row (void **state)
+test_plan_row_round_trip (void **state)
 {
 	(void)state;
 	DFF_AUTO (dff_plan) plan = plan_new ();
@@ -169,20 +172,20 @@
 	plan->first_ms = INT64_C (1790000000000);
 	plan->interval_ms = 2000;
 	g_autoptr (GString) text = dff_plan_encode (plan);
-	DFF_AUTO (dff_plan) same = dff_plan_decode ((struct dff_str){text->str, text->len});
-	assert_non_null (same);
-	g_autoptr (GString) again = dff_plan_encode (same);
+	DFF_AUTO (dff_plan) decoded = dff_plan_decode ((struct dff_str){text->str, text->len});
+	assert_non_null (decoded);
+	g_autoptr (GString) again = dff_plan_encode (decoded);
 	assert_string_equal (again->str, text->str);
-	assert_string_equal (same->payload->str, plan->payload->str);
-	assert_int_equal (same->first_ms, plan->first_ms);
-	assert_int_equal (dff_plan_step (same, 0)->per_worker, 2);
+	assert_string_equal (decoded->payload->str, plan->payload->str);
+	assert_int_equal (decoded->first_ms, plan->first_ms);
+	assert_int_equal (dff_plan_step (decoded, 0)->per_worker, 2);
 	static const char *const broken[] = {"", "[]", "{}", "{\"id\":\"a\",\"steps\":[]}"};
 	for (size_t i = 0; i < G_N_ELEMENTS (broken); i++)
 		assert_null (dff_plan_decode (dff_str_from (broken[i])));
 }
 
 static void
-test_progress_row (void **state)
+test_progress_row_round_trip (void **state)
 {
 	(void)state;
 	DFF_AUTO (dff_plan) plan = plan_new ();
@@ -191,7 +194,7 @@
 	plan->occurrences = 2;
 	DFF_AUTO (dff_progress) progress = dff_progress_new (plan);
 	progress->state = DFF_JOB_STATE_RUNNING;
-	finish (progress, plan, 0, 0, 2);
+	mark_done (progress, plan, 0, 0, 2);
 	struct dff_task *task = dff_progress_task (progress, 0, 0, 0);
 	task->state = DFF_PROGRESS_TASK_ASSIGNED;
 	task->run = 4;
@@ -201,15 +204,15 @@
 	dff_progress_save_checkpoint (progress, plan, &unit, dff_str_from ("00000bb8\"7a21d94b"));
 	g_autoptr (GString) text = dff_progress_encode (progress);
 	struct dff_str value = {text->str, text->len};
-	DFF_AUTO (dff_progress) same = dff_progress_decode (plan, value);
-	assert_non_null (same);
-	const struct dff_task *read = dff_progress_task (same, 0, 0, 0);
+	DFF_AUTO (dff_progress) decoded = dff_progress_decode (plan, value);
+	assert_non_null (decoded);
+	const struct dff_task *read = dff_progress_task (decoded, 0, 0, 0);
 	assert_int_equal (read->state, DFF_PROGRESS_TASK_ASSIGNED);
 	assert_int_equal (read->run, 4);
 	assert_int_equal (read->failures, 1);
 	assert_string_equal (read->worker.data, "i-7f3a91c2");
 	assert_string_equal (read->checkpoint, "00000bb8\"7a21d94b");
-	assert_int_equal (dff_progress_step (same, 0, 0)->n_done, 1);
+	assert_int_equal (dff_progress_step (decoded, 0, 0)->n_done, 1);
 	enum dff_job_state job_state;
 	assert_true (dff_progress_decode_state (value, &job_state));
 	assert_int_equal (job_state, DFF_JOB_STATE_RUNNING);
@@ -220,7 +223,7 @@
 /* A gang's failed run counts once, whichever of its members fail, and the row tells that the open
  * run is counted. */
 static void
-test_failed_runs (void **state)
+test_failed_gang_run_counts_once (void **state)
 {
 	(void)state;
 	static const struct {
@@ -247,9 +250,9 @@
 		}
 		g_autoptr (GString) text = dff_progress_encode (progress);
 		DFF_AUTO (dff_progress)
-		same = dff_progress_decode (plan, (struct dff_str){text->str, text->len});
+		decoded = dff_progress_decode (plan, (struct dff_str){text->str, text->len});
 		for (int32_t j = 0; j < 3; j++) {
-			const struct dff_task *task = dff_progress_task (same, 0, 0, j);
+			const struct dff_task *task = dff_progress_task (decoded, 0, 0, j);
 			assert_int_equal (task->failures, cases[i].failures[j]);
 			bool fails = false;
 			for (int32_t k = 0; k < 3; k++)
@@ -263,7 +266,7 @@
 /* A run lost with its worker is noted once, the row tells so, and keeps what its task is blamed
  * for. A unit is blamed like the worst of its tasks. */
 static void
-test_lost_runs (void **state)
+test_lost_run_is_recorded_once (void **state)
 {
 	(void)state;
 	static const struct {
@@ -289,16 +292,16 @@
 						      dff_str_from (cases[i].checkpoint));
 		g_autoptr (GString) text = dff_progress_encode (progress);
 		DFF_AUTO (dff_progress)
-		same = dff_progress_decode (plan, (struct dff_str){text->str, text->len});
-		const struct dff_task *task = dff_progress_task (same, 0, 0, 1);
+		decoded = dff_progress_decode (plan, (struct dff_str){text->str, text->len});
+		const struct dff_task *task = dff_progress_task (decoded, 0, 0, 1);
 		assert_int_equal (task->state, DFF_PROGRESS_TASK_LOST);
 		assert_true (dff_progress_task_state_is_open (task->state));
 		assert_int_equal (task->blame, cases[i].blame);
 		assert_int_equal (task->startup_blame, cases[i].blame / 2);
 		assert_int_equal (g_strcmp0 (task->checkpoint, cases[i].checkpoint), 0);
-		assert_int_equal (dff_progress_max_blame (same, plan, &unit), cases[i].blame);
-		assert_false (dff_progress_mark_lost (same, &unit, 1));
-		assert_int_equal (dff_progress_task (same, 0, 0, 0)->state,
+		assert_int_equal (dff_progress_max_blame (decoded, plan, &unit), cases[i].blame);
+		assert_false (dff_progress_mark_lost (decoded, &unit, 1));
+		assert_int_equal (dff_progress_task (decoded, 0, 0, 0)->state,
 				  DFF_PROGRESS_TASK_ASSIGNED);
 	}
 }
@@ -307,7 +310,7 @@
  * in progress at once, each with a checkpoint. Cause: its row is larger than the store takes, and
  * every transaction that holds it is refused. */
 static void
-test_largest_row (void **state)
+test_largest_row_fits_the_store (void **state)
 {
 	(void)state;
 	DFF_AUTO (dff_plan) plan = plan_new ();
@@ -327,14 +330,14 @@
 	g_autofree char *encoded = g_base64_encode ((const guchar *)text->str, text->len);
 	assert_in_range (strlen (encoded), 1, DFF_ROW_VALUE_MAX);
 	struct dff_str value = {text->str, text->len};
-	DFF_AUTO (dff_progress) same = dff_progress_decode (plan, value);
-	assert_string_equal (dff_progress_task (same, 3, 0, 7)->worker.data,
+	DFF_AUTO (dff_progress) decoded = dff_progress_decode (plan, value);
+	assert_string_equal (dff_progress_task (decoded, 3, 0, 7)->worker.data,
 			     dff_progress_task (progress, 3, 0, 7)->worker.data);
 }
 
 /* A checkpoint of any member is that of its gang: all must begin from the same. */
 static void
-test_gang_checkpoint (void **state)
+test_gang_members_share_a_checkpoint (void **state)
 {
 	(void)state;
 	DFF_AUTO (dff_plan) plan = plan_new ();
@@ -348,7 +351,7 @@
 }
 
 static void
-test_task_names (void **state)
+test_task_name_parsing (void **state)
 {
 	(void)state;
 	static const struct {
@@ -378,16 +381,16 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_steps_follow_each_other),
-		cmocka_unit_test (test_occurrences_are_due),
-		cmocka_unit_test (test_plans_that_are_refused),
-		cmocka_unit_test (test_plan_row),
-		cmocka_unit_test (test_progress_row),
-		cmocka_unit_test (test_failed_runs),
-		cmocka_unit_test (test_lost_runs),
-		cmocka_unit_test (test_largest_row),
-		cmocka_unit_test (test_gang_checkpoint),
-		cmocka_unit_test (test_task_names),
+		cmocka_unit_test (test_steps_start_after_their_predecessors),
+		cmocka_unit_test (test_occurrences_start_when_due),
+		cmocka_unit_test (test_invalid_plans_are_refused),
+		cmocka_unit_test (test_plan_row_round_trip),
+		cmocka_unit_test (test_progress_row_round_trip),
+		cmocka_unit_test (test_failed_gang_run_counts_once),
+		cmocka_unit_test (test_lost_run_is_recorded_once),
+		cmocka_unit_test (test_largest_row_fits_the_store),
+		cmocka_unit_test (test_gang_members_share_a_checkpoint),
+		cmocka_unit_test (test_task_name_parsing),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
