--- a/graph/plan.c
+++ b/graph/plan.c
@@ -10,10 +10,11 @@
 	g_array_unref (((struct dff_step *)data)->after);
 }
 
-/** Cores, GiB, accelerators or slots of a task at the most: beyond any worker's, and sums of a
- * step's tasks stay within 32 bits. */
+/** Maximum number of cores, GiB, accelerators or slots of a task: more than any worker has, and low
+ * enough that the sum over a step's tasks stays within 32 bits. */
 #define RESOURCE_AMOUNT_MAX 1000000
-/** Times at the most, ms: in the year 5138, and 256 times it is within 64 bits. */
+/** Latest time and longest interval, ms: as a date it is in the year 5138, and 256 times the value
+ * (the maximum number of occurrences) stays within 64 bits. */
 #define TIME_MAX_MS INT64_C (100000000000000)
 
 struct dff_plan *
@@ -50,7 +51,7 @@
 	return amount >= 0 && amount <= RESOURCE_AMOUNT_MAX;
 }
 
-/* What a task needs comes from callers. A negative amount would make room where there is none. */
+/* Resource demands come from callers. A negative amount would add capacity that does not exist. */
 static bool
 resources_are_valid (const struct dff_step *step)
 {
@@ -74,13 +75,13 @@
 	if (step->gang && step->count > DFF_STEP_GANG_MAX)
 		return "a gang is too large";
 	if (!resources_are_valid (step))
-		return "what a task needs is negative or too much";
+		return "a resource demand of a task is negative or too large";
 	if (!time_is_valid (step->estimate_ms))
 		return "an estimate is out of range";
 	for (guint i = 0; i < step->after->len; i++) {
 		int32_t predecessor = g_array_index (step->after, int32_t, i);
 		if (predecessor < 0 || predecessor >= index)
-			return "a step comes after one that is not earlier";
+			return "a step depends on a step that is not earlier";
 	}
 	return NULL;
 }
@@ -91,7 +92,7 @@
 	if (plan->steps->len < 1 || plan->steps->len > DFF_PLAN_STEPS_MAX)
 		return "a job has too few or too many steps";
 	if (plan->occurrences < 1 || plan->occurrences > DFF_PLAN_OCCURRENCES_MAX)
-		return "a job recurs too often";
+		return "a job has too few or too many occurrences";
 	if (!time_is_valid (plan->first_ms) || !time_is_valid (plan->interval_ms))
 		return "a time is out of range";
 	int64_t tasks = 0;
--- a/graph/progress.c
+++ b/graph/progress.c
@@ -196,10 +196,11 @@
 	return false;
 }
 
-/* Symptom: a job is given up after one failed run too few, or started after one too many. Sequence:
- * a gang's member fails, which is recorded; the process that decides ends before the other members
- * are over; the next one hears the failure again, or, as it was acknowledged, never. Cause: a count
- * alone does not tell whether the open run is in it. */
+/* The task's state records that the failure of the run in progress is counted; the number of
+ * failures alone does not show that. Otherwise a job could be given up one failed run too early, or
+ * be restarted after one too many: a member of a gang fails, the failure is recorded, and the
+ * holder ends before the other members have ended. The next holder then receives the failure again
+ * or, as the failure was acknowledged, never. */
 void
 dff_progress_mark_failed (struct dff_progress *progress,
 			  const struct dff_plan *plan,
@@ -214,9 +215,9 @@
 		DFF_PROGRESS_TASK_FAILED;
 }
 
-/* Symptom: a task is blamed twice for one worker. Sequence: a gang's member is lost with its
- * worker, which is recorded; the process that decides ends before the other members are over; the
- * next one finds the worker gone as well. */
+/* The task's state records the loss, so that a task is not blamed twice for one worker: a member of
+ * a gang is lost with its worker, the loss is recorded, and the holder ends before the other
+ * members have ended. The next holder then detects the loss of the same worker again. */
 bool
 dff_progress_mark_lost (struct dff_progress *progress, const struct dff_unit *unit, int32_t index)
 {
@@ -276,7 +277,7 @@
 				ref->index);
 }
 
-/* Takes the number after the last dot of @text off it. */
+/* Removes the last dot of @text and the number after it. Returns: false if there is no number. */
 static bool
 split_number (char *text, int32_t *number)
 {
--- a/graph/progress_row.c
+++ b/graph/progress_row.c
@@ -4,21 +4,22 @@
 #include "graph/progress.h"
 
 /*
- * The row: {"state": NAME, "workers": [NAME...], "steps": [[POSITION, [TASK...]]...]}. POSITION
- * counts steps over all occurrences; steps of which nothing has begun are left out, as are all
- * steps of a job that is over. TASK is 0 for one that has not begun, 1 for one that is done, else
- * [STATE, RUN, FAILURES, WORKER, CHECKPOINT, BLAME, FRESH_BLAME], where WORKER counts in "workers";
- * what is empty or 0 at the end is left out.
+ * Format of the row: {"state": NAME, "workers": [NAME...], "steps": [[INDEX, [TASK...]]...]}. INDEX
+ * is the index of a step over all occurrences. Steps that have not started are omitted, and so are
+ * all steps of a job in a final state. TASK is 0 for a task that has not started, 1 for one that is
+ * done, otherwise [STATE, RUN, FAILURES, WORKER, CHECKPOINT, BLAME, STARTUP_BLAME], where WORKER is
+ * an index of "workers". Trailing elements that are empty or 0 are omitted.
  */
 
-/** Length beyond which a row is written without checkpoints, bytes: in base64 it has to stay below
- * what the store takes, or nothing of the holder could be recorded any more. */
+/** Length beyond which a row is written without checkpoints, bytes. In base64 the row has to stay
+ * below DFF_ROW_VALUE_MAX: the store refuses every transaction with a larger row, and the holder
+ * could not record anything. */
 #define CHECKPOINTS_ROW_MAX_BYTES 44000
 
 /** Names of workers in the order of their first use. */
 struct worker_names {
 	json_t *list;
-	/** Name to its place plus one. */
+	/** Name to its index in @list plus one. */
 	GHashTable *indexes;
 };
 
--- a/include/graph/plan.h
+++ b/include/graph/plan.h
@@ -10,64 +10,69 @@
 #include "pool/pool.h"
 
 /*
- * What a job of several steps asks for. Immutable once accepted. A step is a gang, which runs whole
- * or not at all, or a number of independent tasks; it begins when the steps it comes after are
- * done. A job may recur: each occurrence runs all steps.
+ * The specification of a job: its steps, their order and their resource demands. Immutable once the
+ * job is accepted. A step is either a gang, whose tasks run together or not at all, or a number of
+ * independent tasks. A step may start when all steps that it depends on are done. A job may recur:
+ * each occurrence runs all steps.
  */
 
-/** Steps of a job, and tasks of a step, at the most: what keeps a job's progress within one row. */
+/** Maximum numbers of steps in a job and of tasks in a step. With these limits the progress of a
+ * job fits into one row of the store. */
 #define DFF_PLAN_STEPS_MAX 64
 #define DFF_STEP_TASKS_MAX 512
-/** Tasks of a gang at the most: what the decision core places at once. */
+/** Maximum number of tasks in a gang: the largest gang that the decision core places at once. */
 #define DFF_STEP_GANG_MAX 256
 #define DFF_PLAN_OCCURRENCES_MAX 256
-/** Tasks over all steps and occurrences at the most. */
+/** Maximum number of tasks over all steps and occurrences. */
 #define DFF_PLAN_TASKS_MAX 3500
 
 struct dff_step {
-	/** Tasks, at least 1. */
+	/** Number of tasks, at least 1. */
 	int32_t count;
 	struct dff_resources per_task;
-	/** Run time of one task that the caller expects, ms; 0: not said. */
+	/** Run time of one task as estimated by the caller, ms; 0: not given. */
 	int64_t estimate_ms;
-	/** Tasks run together or not at all; the end of one is the end of all. */
+	/** The tasks run together or not at all. When one of them ends, all of them end. */
 	bool gang;
-	/** Several times as slow on more than one rack. */
+	/** The tasks should share a rack: on more than one they are several times as slow. */
 	bool one_rack;
-	/** Tasks save what they have done and can go on from there. */
+	/** The tasks save checkpoints and can resume from them. */
 	bool checkpoint;
-	/** Tasks run until the job is cancelled, and are started again however they end. */
+	/** The tasks run until the job is cancelled: each is restarted whatever its outcome. */
 	bool endless;
 	/** Label that a worker must have; empty: none. */
 	struct dff_name label;
-	/** Rack of the step's data; empty: none. */
+	/** Rack that holds the step's data; empty: none. */
 	struct dff_name data_rack;
-	/** Tasks of one occurrence on one worker at the most; 0: any number. */
+	/** Maximum number of tasks of one occurrence on one worker; 0: no limit. */
 	int32_t per_worker;
-	/** Earlier steps that must be done first. Elements: int32_t. */
+	/** Indexes of the steps that this step depends on, all lower than its own. Elements:
+	 * int32_t. */
 	GArray *after;
 };
 
 struct dff_plan {
 	struct dff_name id;
 	struct dff_name team;
-	/** Service class: where limits and objectives come from. */
+	/** Service class, which sets the limits and objectives of the job. */
 	struct dff_name class_name;
 	/** Service whose workers run the tasks. */
 	struct dff_name service;
-	/** 0 first. Priority 0 claims the team's guarantee and may preempt the others. */
+	/** 0 is the highest priority. Priority 0 claims the team's guarantee and may preempt jobs
+	 * of other priorities. */
 	int32_t priority;
-	/** Failed runs of a task, or of a gang, after which the job has failed. */
+	/** Number of failed runs of a task, or of a gang, at which the job fails. */
 	int32_t max_attempts;
-	/** What the tasks are given, as the caller sent it. */
+	/** Input of the tasks, as sent by the caller. */
 	GString *payload;
 	/** Elements: struct dff_step. */
 	GArray *steps;
-	/** Times that the steps run; 1 for a job that does not recur. */
+	/** Number of occurrences; 1 for a job that does not recur. */
 	int32_t occurrences;
-	/** Whether they run at set times; else at once. */
+	/** Whether occurrences are due at set times; otherwise all of them are due at once. */
 	bool timed;
-	/** When the first occurrence is due, ms since 1970, and the time between two. */
+	/** Time at which the first occurrence is due, ms since 1970, and the interval between two
+	 * occurrences, ms. */
 	int64_t first_ms;
 	int64_t interval_ms;
 };
@@ -79,7 +84,8 @@
 
 DFF_DEFINE_CLEANUP (dff_plan, dff_plan_free);
 
-/** Appends a step with one task that needs nothing. Returns: it, valid until the next is added. */
+/** Appends a step with one task that requires no resources. Returns: the step, valid until the next
+ * step is added. */
 struct dff_step *dff_plan_add_step (struct dff_plan *plan);
 
 static inline struct dff_step *
@@ -88,14 +94,15 @@
 	return &g_array_index (plan->steps, struct dff_step, index);
 }
 
-/** Returns: (nullable): why the plan cannot be accepted, in words. Static. */
+/** Returns: (nullable): a message with the reason why the plan is invalid; NULL for a valid plan.
+ * Static. */
 const char *dff_plan_check (const struct dff_plan *plan);
 
-/** Returns: (transfer full): the plan as JSON, the value of its row. */
+/** Returns: (transfer full): the plan as JSON, as stored in its row. */
 GString *dff_plan_encode (const struct dff_plan *plan);
 
-/** Reads what dff_plan_encode() wrote. Returns: (transfer full) (nullable): NULL when it is none.
- */
+/** Parses the output of dff_plan_encode(). Returns: (transfer full) (nullable): NULL if @text is
+ * not a valid plan. */
 struct dff_plan *dff_plan_decode (struct dff_str text);
 
 #endif
--- a/tests/graph/test-graph.c
+++ b/tests/graph/test-graph.c
@@ -8,7 +8,7 @@
 #include "graph/progress.h"
 #include "rows/rows.h"
 
-/* Plans and progress: what may run next, and that rows hold all of it. */
+/* Plans and progress: which units may run next, and that plans and progress survive encoding. */
 
 static struct dff_step *
 add_step (struct dff_plan *plan, int32_t count, bool gang, int32_t after)
@@ -34,7 +34,7 @@
 	return plan;
 }
 
-/* Returns: the names of the units offered, each followed by a space. */
+/* Returns: (transfer full): the names of the units that may run now, each followed by a space. */
 static GString *
 take_ready (struct dff_progress *progress,
 	    const struct dff_plan *plan,
@@ -80,7 +80,7 @@
 	g_autoptr (GString) none = take_ready (progress, plan, 0, &next_ms);
 	assert_string_equal (none->str, "");
 	mark_done (progress, plan, 0, 0, 0);
-	/* The same end again changes nothing. */
+	/* A repeated completion changes nothing. */
 	mark_done (progress, plan, 0, 0, 0);
 	g_autoptr (GString) second = take_ready (progress, plan, 0, &next_ms);
 	assert_string_equal (second->str, "0.1 ");
@@ -220,8 +220,8 @@
 	assert_null (dff_progress_decode (plan, dff_str_from ("{\"state\":\"x\"}")));
 }
 
-/* A gang's failed run counts once, whichever of its members fail, and the row tells that the open
- * run is counted. */
+/* The failed run of a gang is counted once, whichever of its members fail, and the row records that
+ * the run in progress is counted. */
 static void
 test_failed_gang_run_counts_once (void **state)
 {
@@ -263,8 +263,8 @@
 	}
 }
 
-/* A run lost with its worker is noted once, the row tells so, and keeps what its task is blamed
- * for. A unit is blamed like the worst of its tasks. */
+/* The loss of a run with its worker is recorded once and survives encoding together with the blame
+ * of its task. The blame of a unit is the highest of its tasks. */
 static void
 test_lost_run_is_recorded_once (void **state)
 {
@@ -306,9 +306,9 @@
 	}
 }
 
-/* Symptom: the holder can record nothing any more. Sequence: a wide job that recurs has many tasks
- * in progress at once, each with a checkpoint. Cause: its row is larger than the store takes, and
- * every transaction that holds it is refused. */
+/* Guards against a row that is too large for the store: a wide recurring job has many tasks in
+ * progress at once, each with a checkpoint. The store refuses every transaction that contains such
+ * a row, and the holder cannot record anything. */
 static void
 test_largest_row_fits_the_store (void **state)
 {
@@ -335,7 +335,8 @@
 			     dff_progress_task (progress, 3, 0, 7)->worker.data);
 }
 
-/* A checkpoint of any member is that of its gang: all must begin from the same. */
+/* A checkpoint of any member applies to its whole gang: all members must resume from the same one.
+ */
 static void
 test_gang_members_share_a_checkpoint (void **state)
 {
