--- a/include/rows/scan.h
+++ b/include/rows/scan.h
@@ -31,7 +31,7 @@
 	/** (nullable): a page was answered, or was not; the call began at @begun_ms. Before its
 	 * rows. */
 	void (*page) (void *ctx, const struct dff_rows_result *result, int64_t begun_ms);
-	void (*done) (void *ctx, const struct dff_scan_result *end);
+	void (*done) (void *ctx, const struct dff_scan_result *result);
 	void *ctx;
 };
 
@@ -48,14 +48,14 @@
 struct dff_scan *dff_scan_new (const struct dff_scan_options *options);
 
 /** Ends it; no callback comes afterwards. */
-void dff_scan_free (struct dff_scan *reading);
+void dff_scan_free (struct dff_scan *scan);
 
 DFF_DEFINE_CLEANUP (dff_scan, dff_scan_free);
 
 /** Reads the table from its first row on. Not while it is being read. */
-void dff_scan_start (struct dff_scan *reading);
+void dff_scan_start (struct dff_scan *scan);
 
 /** Returns: whether the table is being read. */
-bool dff_scan_is_running (const struct dff_scan *reading);
+bool dff_scan_is_running (const struct dff_scan *scan);
 
 #endif
--- a/include/rows/subscription.h
+++ b/include/rows/subscription.h
@@ -42,19 +42,19 @@
 struct dff_subscription *dff_subscription_new (const struct dff_subscription_options *options);
 
 /** Ends it; no callback comes afterwards. */
-void dff_subscription_free (struct dff_subscription *follower);
+void dff_subscription_free (struct dff_subscription *subscription);
 
 DFF_DEFINE_CLEANUP (dff_subscription, dff_subscription_free);
 
 /** Asks at once, instead of waiting for a call in progress: the store was silent and answers again,
  * and a call from before may have been lost. */
-void dff_subscription_wake (struct dff_subscription *follower);
+void dff_subscription_wake (struct dff_subscription *subscription);
 
 /** Changes how long the store may hold an answer back. A shorter wait is asked for at once. */
-void dff_subscription_set_wait (struct dff_subscription *follower, int32_t wait_ms);
+void dff_subscription_set_wait (struct dff_subscription *subscription, int32_t wait_ms);
 
 /** Returns: whether the table has been read whole at least once. */
-bool dff_subscription_is_ready (const struct dff_subscription *follower);
+bool dff_subscription_is_ready (const struct dff_subscription *subscription);
 
 /**
  * dff_subscription_age_ms:
@@ -62,6 +62,6 @@
  * Returns: how long ago the call began whose answer was the last; INT64_MAX before the first. What
  * was written before that is known.
  */
-int64_t dff_subscription_age_ms (const struct dff_subscription *follower);
+int64_t dff_subscription_age_ms (const struct dff_subscription *subscription);
 
 #endif
--- a/rows/health.c
+++ b/rows/health.c
@@ -7,10 +7,10 @@
 
 /** Time without an answer, beyond the wait that the call asks for, after which the path counts as
  * silent, ms: above the answers of a store that is sixty times as slow as usual. */
-#define SILENT_AFTER_MS 700
+#define SILENCE_TIMEOUT_MS 700
 /** Time between two probes of a silent store, and how long each may take, ms: its return is noticed
  * within a fifth of a second, at a cost of some calls while nobody else is served. */
-#define PROBE_EVERY_MS 150
+#define PROBE_INTERVAL_MS 150
 #define PROBE_TIMEOUT_MS 1200
 
 struct dff_rows_health {
@@ -43,7 +43,7 @@
 static void
 schedule_probe (struct dff_rows_health *health)
 {
-	dff_timer_start (health->probe, PROBE_EVERY_MS);
+	dff_timer_start (health->probe, PROBE_INTERVAL_MS);
 }
 
 static void
@@ -68,7 +68,7 @@
 }
 
 static bool
-is_unheard (const struct dff_rows_health *health, const struct call *call, int64_t now_ms)
+is_unanswered (const struct dff_rows_health *health, const struct call *call, int64_t now_ms)
 {
 	return now_ms >= call->due_ms && health->served_begun_ms <= call->begun_ms;
 }
@@ -93,10 +93,10 @@
 	if (is_served (result->outcome)) {
 		int64_t now_ms = dff_clock_now_ms (health->options.timers->clock);
 		dff_histogram_observe (health->latency,
-				       MAX (now_ms - (call->due_ms - SILENT_AFTER_MS), 0));
+				       MAX (now_ms - (call->due_ms - SILENCE_TIMEOUT_MS), 0));
 		health->served_begun_ms = MAX (health->served_begun_ms, call->begun_ms);
 		set_silent (health, false, call->begun_ms);
-	} else if (is_unheard (health, call, dff_clock_now_ms (health->options.timers->clock))) {
+	} else if (is_unanswered (health, call, dff_clock_now_ms (health->options.timers->clock))) {
 		set_silent (health, true, call->begun_ms);
 	}
 	g_free (call);
@@ -111,7 +111,7 @@
 	call->done = done;
 	call->user = user;
 	call->begun_ms = dff_clock_now_ms (health->options.timers->clock);
-	call->due_ms = call->begun_ms + wait_ms + SILENT_AFTER_MS;
+	call->due_ms = call->begun_ms + wait_ms + SILENCE_TIMEOUT_MS;
 	call->link.data = call;
 	g_queue_push_tail_link (&health->calls, &call->link);
 	return call;
@@ -213,7 +213,7 @@
 	int64_t now_ms = dff_clock_now_ms (health->options.timers->clock);
 	for (GList *link = health->calls.head; link != NULL && !health->silent; link = link->next) {
 		const struct call *call = link->data;
-		if (is_unheard (health, call, now_ms))
+		if (is_unanswered (health, call, now_ms))
 			set_silent (health, true, call->begun_ms);
 	}
 	return health->silent;
--- a/rows/scan.c
+++ b/rows/scan.c
@@ -16,10 +16,10 @@
 #define RETRY_MIN_MS 50
 #define RETRY_MAX_MS 400
 /** A reading that took so long, ms, has a line in the log: ten times what one takes. */
-#define SLOW_MS 1000
+#define SLOW_SCAN_MS 1000
 
 struct call {
-	struct dff_scan *reading;
+	struct dff_scan *scan;
 	int64_t begun_ms;
 };
 
@@ -29,57 +29,57 @@
 	/** (nullable): the call in progress, to tell its callback that the reading is gone. */
 	struct call *call;
 	bool running;
-	int32_t limit;
+	int32_t page_limit;
 	int32_t timeout_ms;
 	int32_t retry_ms;
 	int64_t begun_ms;
 	GString *next_key;
-	struct dff_scan_result end;
+	struct dff_scan_result result;
 };
 
 static int64_t
-now_ms (const struct dff_scan *reading)
+now_ms (const struct dff_scan *scan)
 {
-	return dff_clock_now_ms (reading->options.timers->clock);
+	return dff_clock_now_ms (scan->options.timers->clock);
 }
 
-static void read_page (struct dff_scan *reading);
+static void read_page (struct dff_scan *scan);
 
 static void
-retry_later (struct dff_scan *reading)
+retry_later (struct dff_scan *scan)
 {
-	reading->end.n_failed++;
-	reading->limit = MAX (reading->limit / 2, PAGE_ROWS_MIN);
-	reading->timeout_ms = MIN (reading->timeout_ms * 2, PAGE_TIMEOUT_MAX_MS);
-	dff_timer_start (reading->retry, reading->retry_ms);
-	reading->retry_ms = MIN (reading->retry_ms * 2, RETRY_MAX_MS);
+	scan->result.n_failed++;
+	scan->page_limit = MAX (scan->page_limit / 2, PAGE_ROWS_MIN);
+	scan->timeout_ms = MIN (scan->timeout_ms * 2, PAGE_TIMEOUT_MAX_MS);
+	dff_timer_start (scan->retry, scan->retry_ms);
+	scan->retry_ms = MIN (scan->retry_ms * 2, RETRY_MAX_MS);
 }
 
 static void
-finish (struct dff_scan *reading)
+finish (struct dff_scan *scan)
 {
-	struct dff_scan_result *end = &reading->end;
-	end->took_ms = now_ms (reading) - reading->begun_ms;
-	reading->running = false;
-	if (end->n_failed > 0 || end->took_ms >= SLOW_MS) {
+	struct dff_scan_result *result = &scan->result;
+	result->took_ms = now_ms (scan) - scan->begun_ms;
+	scan->running = false;
+	if (result->n_failed > 0 || result->took_ms >= SLOW_SCAN_MS) {
 		dff_log (DFF_LOG_RECORD, DFF_LOG_INFO,
 			 "Reading a table was slow. table=%s rows=%d pages=%d failed_pages=%d "
 			 "took_ms=%" PRId64 " revision=%" PRId64,
-			 reading->options.table, end->n_rows, end->n_pages, end->n_failed,
-			 end->took_ms, end->revision);
+			 scan->options.table, result->n_rows, result->n_pages, result->n_failed,
+			 result->took_ms, result->revision);
 	}
-	reading->options.sink.done (reading->options.sink.ctx, end);
+	scan->options.sink.done (scan->options.sink.ctx, result);
 }
 
 static void
-take_page (struct dff_scan *reading, const struct dff_rows_result *result)
+take_page (struct dff_scan *scan, const struct dff_rows_result *result)
 {
-	const struct dff_scan_sink *sink = &reading->options.sink;
-	if (reading->end.n_pages == 0)
-		reading->end.revision = result->revision;
-	reading->end.n_pages++;
-	reading->end.n_rows += (int32_t)result->n_rows;
-	reading->retry_ms = RETRY_MIN_MS;
+	const struct dff_scan_sink *sink = &scan->options.sink;
+	if (scan->result.n_pages == 0)
+		scan->result.revision = result->revision;
+	scan->result.n_pages++;
+	scan->result.n_rows += (int32_t)result->n_rows;
+	scan->retry_ms = RETRY_MIN_MS;
 	for (size_t i = 0; i < result->n_rows; i++)
 		sink->row (sink->ctx, &result->rows[i]);
 }
@@ -88,38 +88,38 @@
 handle_page (void *user, const struct dff_rows_result *result)
 {
 	g_autofree struct call *call = user;
-	struct dff_scan *reading = call->reading;
-	if (reading == NULL)
+	struct dff_scan *scan = call->scan;
+	if (scan == NULL)
 		return;
-	reading->call = NULL;
-	const struct dff_scan_sink *sink = &reading->options.sink;
+	scan->call = NULL;
+	const struct dff_scan_sink *sink = &scan->options.sink;
 	if (sink->page != NULL)
 		sink->page (sink->ctx, result, call->begun_ms);
 	if (result->outcome != DFF_ROWS_DONE) {
-		retry_later (reading);
+		retry_later (scan);
 		return;
 	}
-	take_page (reading, result);
+	take_page (scan, result);
 	if (!result->more || result->n_rows == 0) {
-		finish (reading);
+		finish (scan);
 		return;
 	}
-	dff_rows_key_after (&result->rows[result->n_rows - 1], reading->next_key);
-	read_page (reading);
+	dff_rows_key_after (&result->rows[result->n_rows - 1], scan->next_key);
+	read_page (scan);
 }
 
 static void
-read_page (struct dff_scan *reading)
+read_page (struct dff_scan *scan)
 {
 	struct call *call = g_new0 (struct call, 1);
-	call->reading = reading;
-	call->begun_ms = now_ms (reading);
-	reading->call = call;
-	struct dff_rows_range range = {.table = reading->options.table,
-				       .from = {reading->next_key->str, reading->next_key->len},
-				       .limit = reading->limit,
-				       .timeout_ms = reading->timeout_ms};
-	const struct dff_rows *rows = reading->options.rows;
+	call->scan = scan;
+	call->begun_ms = now_ms (scan);
+	scan->call = call;
+	struct dff_rows_range range = {.table = scan->options.table,
+				       .from = {scan->next_key->str, scan->next_key->len},
+				       .limit = scan->page_limit,
+				       .timeout_ms = scan->timeout_ms};
+	const struct dff_rows *rows = scan->options.rows;
 	rows->get (rows->ctx, &range, handle_page, call);
 }
 
@@ -132,39 +132,39 @@
 struct dff_scan *
 dff_scan_new (const struct dff_scan_options *options)
 {
-	struct dff_scan *reading = g_new0 (struct dff_scan, 1);
-	reading->options = *options;
-	reading->retry = dff_timer_new (options->timers, handle_retry, reading);
-	reading->next_key = g_string_new (NULL);
-	return reading;
+	struct dff_scan *scan = g_new0 (struct dff_scan, 1);
+	scan->options = *options;
+	scan->retry = dff_timer_new (options->timers, handle_retry, scan);
+	scan->next_key = g_string_new (NULL);
+	return scan;
 }
 
 void
-dff_scan_free (struct dff_scan *reading)
+dff_scan_free (struct dff_scan *scan)
 {
-	if (reading->call != NULL)
-		reading->call->reading = NULL;
-	dff_timer_free (reading->retry);
-	g_string_free (reading->next_key, TRUE);
-	g_free (reading);
+	if (scan->call != NULL)
+		scan->call->scan = NULL;
+	dff_timer_free (scan->retry);
+	g_string_free (scan->next_key, TRUE);
+	g_free (scan);
 }
 
 void
-dff_scan_start (struct dff_scan *reading)
+dff_scan_start (struct dff_scan *scan)
 {
-	g_assert (!reading->running);
-	reading->running = true;
-	reading->begun_ms = now_ms (reading);
-	reading->limit = PAGE_ROWS_MAX;
-	reading->timeout_ms = reading->options.timeout_ms;
-	reading->retry_ms = RETRY_MIN_MS;
-	reading->end = (struct dff_scan_result){0};
-	g_string_truncate (reading->next_key, 0);
-	read_page (reading);
+	g_assert (!scan->running);
+	scan->running = true;
+	scan->begun_ms = now_ms (scan);
+	scan->page_limit = PAGE_ROWS_MAX;
+	scan->timeout_ms = scan->options.timeout_ms;
+	scan->retry_ms = RETRY_MIN_MS;
+	scan->result = (struct dff_scan_result){0};
+	g_string_truncate (scan->next_key, 0);
+	read_page (scan);
 }
 
 bool
-dff_scan_is_running (const struct dff_scan *reading)
+dff_scan_is_running (const struct dff_scan *scan)
 {
-	return reading->running;
+	return scan->running;
 }
--- a/rows/subscription.c
+++ b/rows/subscription.c
@@ -13,32 +13,32 @@
 
 struct dff_subscription {
 	struct dff_subscription_options options;
-	struct dff_scan *reading;
+	struct dff_scan *scan;
 	struct dff_timer *retry;
 	/** The call in progress, to tell its callback that the follower is gone. */
 	struct call *call;
 	/** Revision up to which changes are known. */
 	int64_t revision;
 	bool ready;
-	bool lost;
+	bool failing;
 	int32_t retry_ms;
 	int64_t answered_ms;
 };
 
 struct call {
-	struct dff_subscription *follower;
+	struct dff_subscription *subscription;
 	int64_t begun_ms;
 };
 
-static void follow (struct dff_subscription *follower);
+static void follow (struct dff_subscription *subscription);
 
 static struct call *
-call_begin (struct dff_subscription *follower)
+call_begin (struct dff_subscription *subscription)
 {
 	struct call *call = g_new0 (struct call, 1);
-	call->follower = follower;
-	call->begun_ms = dff_clock_now_ms (follower->options.timers->clock);
-	follower->call = call;
+	call->subscription = subscription;
+	call->begun_ms = dff_clock_now_ms (subscription->options.timers->clock);
+	subscription->call = call;
 	return call;
 }
 
@@ -46,119 +46,119 @@
 static struct dff_subscription *
 call_end (struct call *call, int64_t *begun_ms)
 {
-	struct dff_subscription *follower = call->follower;
+	struct dff_subscription *subscription = call->subscription;
 	*begun_ms = call->begun_ms;
 	g_free (call);
-	if (follower != NULL)
-		follower->call = NULL;
-	return follower;
+	if (subscription != NULL)
+		subscription->call = NULL;
+	return subscription;
 }
 
 static void
-note_failure (struct dff_subscription *follower, const struct dff_rows_result *result)
+record_failure (struct dff_subscription *subscription, const struct dff_rows_result *result)
 {
-	if (!follower->lost) {
+	if (!subscription->failing) {
 		dff_log (DFF_LOG_RECORD, DFF_LOG_WARNING,
-			 "Following a table failed. table=%s outcome=%d", follower->options.table,
-			 (int)result->outcome);
+			 "Following a table failed. table=%s outcome=%d",
+			 subscription->options.table, (int)result->outcome);
 	}
-	follower->lost = true;
+	subscription->failing = true;
 }
 
 static void
-retry_later (struct dff_subscription *follower, const struct dff_rows_result *result)
+retry_later (struct dff_subscription *subscription, const struct dff_rows_result *result)
 {
-	note_failure (follower, result);
-	dff_timer_start (follower->retry, follower->retry_ms);
-	follower->retry_ms = MIN (follower->retry_ms * 2, RETRY_MAX_MS);
+	record_failure (subscription, result);
+	dff_timer_start (subscription->retry, subscription->retry_ms);
+	subscription->retry_ms = MIN (subscription->retry_ms * 2, RETRY_MAX_MS);
 }
 
 static void
-note_answer (struct dff_subscription *follower, int64_t begun_ms)
+record_success (struct dff_subscription *subscription, int64_t begun_ms)
 {
-	if (follower->lost) {
+	if (subscription->failing) {
 		dff_log (DFF_LOG_RECORD, DFF_LOG_INFO, "Following a table again. table=%s",
-			 follower->options.table);
+			 subscription->options.table);
 	}
-	follower->lost = false;
-	follower->retry_ms = RETRY_MIN_MS;
-	follower->answered_ms = MAX (follower->answered_ms, begun_ms);
+	subscription->failing = false;
+	subscription->retry_ms = RETRY_MIN_MS;
+	subscription->answered_ms = MAX (subscription->answered_ms, begun_ms);
 }
 
 static void
-report_rows (struct dff_subscription *follower, const struct dff_rows_result *result)
+report_rows (struct dff_subscription *subscription, const struct dff_rows_result *result)
 {
 	for (size_t i = 0; i < result->n_rows; i++)
-		follower->options.sink.row (follower->options.sink.ctx, &result->rows[i]);
+		subscription->options.sink.row (subscription->options.sink.ctx, &result->rows[i]);
 }
 
 static void
 handle_row (void *ctx, const struct dff_row *row)
 {
-	struct dff_subscription *follower = ctx;
-	follower->options.sink.row (follower->options.sink.ctx, row);
+	struct dff_subscription *subscription = ctx;
+	subscription->options.sink.row (subscription->options.sink.ctx, row);
 }
 
 static void
 handle_page (void *ctx, const struct dff_rows_result *result, int64_t begun_ms)
 {
 	if (result->outcome == DFF_ROWS_DONE)
-		note_answer (ctx, begun_ms);
+		record_success (ctx, begun_ms);
 	else
-		note_failure (ctx, result);
+		record_failure (ctx, result);
 }
 
 static void
-handle_whole (void *ctx, const struct dff_scan_result *end)
+handle_scan_done (void *ctx, const struct dff_scan_result *result)
 {
-	struct dff_subscription *follower = ctx;
-	follower->revision = end->revision;
-	follower->ready = true;
-	if (follower->options.sink.end_snapshot != NULL)
-		follower->options.sink.end_snapshot (follower->options.sink.ctx);
-	follow (follower);
+	struct dff_subscription *subscription = ctx;
+	subscription->revision = result->revision;
+	subscription->ready = true;
+	if (subscription->options.sink.end_snapshot != NULL)
+		subscription->options.sink.end_snapshot (subscription->options.sink.ctx);
+	follow (subscription);
 }
 
 static void
 handle_changes (void *user, const struct dff_rows_result *result)
 {
 	int64_t begun_ms;
-	struct dff_subscription *follower = call_end (user, &begun_ms);
-	if (follower == NULL)
+	struct dff_subscription *subscription = call_end (user, &begun_ms);
+	if (subscription == NULL)
 		return;
 	if (result->outcome == DFF_ROWS_HISTORY_GONE) {
 		dff_log (DFF_LOG_RECORD, DFF_LOG_INFO,
 			 "History is gone, reading a table whole. table=%s revision=%" PRId64,
-			 follower->options.table, follower->revision);
-		follower->revision = 0;
-		follow (follower);
+			 subscription->options.table, subscription->revision);
+		subscription->revision = 0;
+		follow (subscription);
 		return;
 	}
 	if (result->outcome != DFF_ROWS_DONE) {
-		retry_later (follower, result);
+		retry_later (subscription, result);
 		return;
 	}
-	note_answer (follower, begun_ms);
-	follower->revision = MAX (follower->revision, result->revision);
-	report_rows (follower, result);
-	follow (follower);
+	record_success (subscription, begun_ms);
+	subscription->revision = MAX (subscription->revision, result->revision);
+	report_rows (subscription, result);
+	follow (subscription);
 }
 
 static void
-follow (struct dff_subscription *follower)
+follow (struct dff_subscription *subscription)
 {
-	const struct dff_subscription_options *options = &follower->options;
-	if (follower->revision == 0) {
+	const struct dff_subscription_options *options = &subscription->options;
+	if (subscription->revision == 0) {
 		if (options->sink.begin_snapshot != NULL)
 			options->sink.begin_snapshot (options->sink.ctx);
-		dff_scan_start (follower->reading);
+		dff_scan_start (subscription->scan);
 		return;
 	}
 	struct dff_rows_feed feed = {.table = options->table,
-				     .after = follower->revision,
+				     .after = subscription->revision,
 				     .wait_ms = options->wait_ms,
 				     .timeout_ms = options->wait_ms + options->timeout_margin_ms};
-	options->rows->feed (options->rows->ctx, &feed, handle_changes, call_begin (follower));
+	options->rows->feed (options->rows->ctx, &feed, handle_changes, call_begin (subscription));
 }
 
 static void
@@ -168,34 +168,34 @@
 }
 
 void
-dff_subscription_wake (struct dff_subscription *follower)
+dff_subscription_wake (struct dff_subscription *subscription)
 {
-	if (dff_scan_is_running (follower->reading))
+	if (dff_scan_is_running (subscription->scan))
 		return;
-	if (follower->call != NULL)
-		follower->call->follower = NULL;
-	follower->retry_ms = RETRY_MIN_MS;
-	dff_timer_start (follower->retry, 0);
+	if (subscription->call != NULL)
+		subscription->call->subscription = NULL;
+	subscription->retry_ms = RETRY_MIN_MS;
+	dff_timer_start (subscription->retry, 0);
 }
 
 void
-dff_subscription_set_wait (struct dff_subscription *follower, int32_t wait_ms)
+dff_subscription_set_wait (struct dff_subscription *subscription, int32_t wait_ms)
 {
-	bool shorter = wait_ms < follower->options.wait_ms;
-	follower->options.wait_ms = wait_ms;
-	if (shorter && follower->ready)
-		dff_subscription_wake (follower);
+	bool shorter = wait_ms < subscription->options.wait_ms;
+	subscription->options.wait_ms = wait_ms;
+	if (shorter && subscription->ready)
+		dff_subscription_wake (subscription);
 }
 
 struct dff_subscription *
 dff_subscription_new (const struct dff_subscription_options *options)
 {
-	struct dff_subscription *follower = g_new0 (struct dff_subscription, 1);
-	follower->options = *options;
-	follower->retry = dff_timer_new (options->timers, handle_retry, follower);
-	follower->retry_ms = RETRY_MIN_MS;
-	follower->answered_ms = INT64_MIN;
-	struct dff_scan_options reading = {
+	struct dff_subscription *subscription = g_new0 (struct dff_subscription, 1);
+	subscription->options = *options;
+	subscription->retry = dff_timer_new (options->timers, handle_retry, subscription);
+	subscription->retry_ms = RETRY_MIN_MS;
+	subscription->answered_ms = INT64_MIN;
+	struct dff_scan_options scan_options = {
 		.timers = options->timers,
 		.rows = options->rows,
 		.table = options->table,
@@ -203,34 +203,34 @@
 							   : options->timeout_margin_ms,
 		.sink = {.row = handle_row,
 			 .page = handle_page,
-			 .done = handle_whole,
-			 .ctx = follower},
+			 .done = handle_scan_done,
+			 .ctx = subscription},
 	};
-	follower->reading = dff_scan_new (&reading);
-	follow (follower);
-	return follower;
+	subscription->scan = dff_scan_new (&scan_options);
+	follow (subscription);
+	return subscription;
 }
 
 void
-dff_subscription_free (struct dff_subscription *follower)
+dff_subscription_free (struct dff_subscription *subscription)
 {
-	if (follower->call != NULL)
-		follower->call->follower = NULL;
-	dff_timer_free (follower->retry);
-	dff_scan_free (follower->reading);
-	g_free (follower);
+	if (subscription->call != NULL)
+		subscription->call->subscription = NULL;
+	dff_timer_free (subscription->retry);
+	dff_scan_free (subscription->scan);
+	g_free (subscription);
 }
 
 bool
-dff_subscription_is_ready (const struct dff_subscription *follower)
+dff_subscription_is_ready (const struct dff_subscription *subscription)
 {
-	return follower->ready;
+	return subscription->ready;
 }
 
 int64_t
-dff_subscription_age_ms (const struct dff_subscription *follower)
+dff_subscription_age_ms (const struct dff_subscription *subscription)
 {
-	if (follower->answered_ms == INT64_MIN)
+	if (subscription->answered_ms == INT64_MIN)
 		return INT64_MAX;
-	return dff_clock_now_ms (follower->options.timers->clock) - follower->answered_ms;
+	return dff_clock_now_ms (subscription->options.timers->clock) - subscription->answered_ms;
 }
--- a/tests/rows/test-reading.c
+++ b/tests/rows/test-reading.c
@@ -16,12 +16,12 @@
 	struct dff_virtual_loop *loop;
 	struct dff_memory_rows *rows;
 	struct dff_memory_rows_client *client;
-	struct dff_scan *reading;
+	struct dff_scan *scan;
 	/** Key to the number of times that it was reported. */
 	GHashTable *seen;
 	int n_pages;
-	int n_whole;
-	struct dff_scan_result end;
+	int n_done;
+	struct dff_scan_result result;
 };
 
 static void
@@ -29,8 +29,8 @@
 {
 	struct fixture *fixture = ctx;
 	char *key = g_strndup (row->key.data, row->key.len);
-	gpointer times = g_hash_table_lookup (fixture->seen, key);
-	g_hash_table_replace (fixture->seen, key, GINT_TO_POINTER (GPOINTER_TO_INT (times) + 1));
+	gpointer count = g_hash_table_lookup (fixture->seen, key);
+	g_hash_table_replace (fixture->seen, key, GINT_TO_POINTER (GPOINTER_TO_INT (count) + 1));
 }
 
 static void
@@ -43,11 +43,11 @@
 }
 
 static void
-handle_whole (void *ctx, const struct dff_scan_result *end)
+handle_done (void *ctx, const struct dff_scan_result *result)
 {
 	struct fixture *fixture = ctx;
-	fixture->n_whole++;
-	fixture->end = *end;
+	fixture->n_done++;
+	fixture->result = *result;
 }
 
 static void
@@ -69,16 +69,16 @@
 		.timeout_ms = 400,
 		.sink = {.row = handle_row,
 			 .page = handle_page,
-			 .done = handle_whole,
+			 .done = handle_done,
 			 .ctx = fixture},
 	};
-	fixture->reading = dff_scan_new (&options);
+	fixture->scan = dff_scan_new (&options);
 }
 
 static void
 fixture_close (struct fixture *fixture)
 {
-	dff_scan_free (fixture->reading);
+	dff_scan_free (fixture->scan);
 	dff_virtual_loop_run (fixture->loop, 10000);
 	dff_memory_rows_free (fixture->rows);
 	dff_virtual_loop_free (fixture->loop);
@@ -90,14 +90,14 @@
 {
 	assert_int_equal (g_hash_table_size (fixture->seen), n_rows);
 	GHashTableIter iter;
-	gpointer times;
+	gpointer count;
 	g_hash_table_iter_init (&iter, fixture->seen);
-	while (g_hash_table_iter_next (&iter, NULL, &times))
-		assert_int_equal (GPOINTER_TO_INT (times), 1);
+	while (g_hash_table_iter_next (&iter, NULL, &count))
+		assert_int_equal (GPOINTER_TO_INT (count), 1);
 }
 
 static void
-test_pages (void **state)
+test_scan_by_pages (void **state)
 {
 	(void)state;
 	static const struct {
@@ -107,15 +107,15 @@
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct fixture fixture;
 		fixture_open (&fixture, cases[i].n_rows);
-		dff_scan_start (fixture.reading);
-		assert_true (dff_scan_is_running (fixture.reading));
+		dff_scan_start (fixture.scan);
+		assert_true (dff_scan_is_running (fixture.scan));
 		dff_virtual_loop_run (fixture.loop, 1000);
-		assert_false (dff_scan_is_running (fixture.reading));
-		assert_int_equal (fixture.n_whole, 1);
-		assert_int_equal (fixture.end.n_rows, cases[i].n_rows);
-		assert_int_equal (fixture.end.n_pages, cases[i].n_pages);
-		assert_int_equal (fixture.end.n_failed, 0);
-		assert_int_equal (fixture.end.revision, cases[i].n_rows);
+		assert_false (dff_scan_is_running (fixture.scan));
+		assert_int_equal (fixture.n_done, 1);
+		assert_int_equal (fixture.result.n_rows, cases[i].n_rows);
+		assert_int_equal (fixture.result.n_pages, cases[i].n_pages);
+		assert_int_equal (fixture.result.n_failed, 0);
+		assert_int_equal (fixture.result.revision, cases[i].n_rows);
 		assert_each_row_once (&fixture, (guint)cases[i].n_rows);
 		fixture_close (&fixture);
 	}
@@ -124,16 +124,16 @@
 /* Symptom: a table that has grown is never read whole. Sequence: a full page of it takes longer
  * than the reader waits. Cause: each further attempt asked for as much, from the first row on. */
 static void
-test_slow_pages (void **state)
+test_slow_pages_become_smaller (void **state)
 {
 	(void)state;
 	struct fixture fixture;
 	fixture_open (&fixture, 1200);
 	dff_memory_rows_client_faults (fixture.client)->row_us = 4000;
-	dff_scan_start (fixture.reading);
+	dff_scan_start (fixture.scan);
 	dff_virtual_loop_run (fixture.loop, 15000);
-	assert_int_equal (fixture.n_whole, 1);
-	assert_in_range (fixture.end.n_failed, 1, 3);
+	assert_int_equal (fixture.n_done, 1);
+	assert_in_range (fixture.result.n_failed, 1, 3);
 	assert_each_row_once (&fixture, 1200);
 	fixture_close (&fixture);
 }
@@ -141,20 +141,20 @@
 /* Symptom: what was read before the store fell silent is read again. Cause: a reading began anew
  * after a page without an answer. */
 static void
-test_resumes (void **state)
+test_scan_resumes_after_silence (void **state)
 {
 	(void)state;
 	struct fixture fixture;
 	fixture_open (&fixture, 1200);
-	dff_scan_start (fixture.reading);
+	dff_scan_start (fixture.scan);
 	while (fixture.n_pages < 1)
 		dff_virtual_loop_run (fixture.loop, 1);
 	dff_memory_rows_client_faults (fixture.client)->silent = true;
 	dff_virtual_loop_run (fixture.loop, 8000);
-	assert_int_equal (fixture.n_whole, 0);
+	assert_int_equal (fixture.n_done, 0);
 	dff_memory_rows_client_faults (fixture.client)->silent = false;
 	dff_virtual_loop_run (fixture.loop, 8000);
-	assert_int_equal (fixture.n_whole, 1);
+	assert_int_equal (fixture.n_done, 1);
 	assert_each_row_once (&fixture, 1200);
 	fixture_close (&fixture);
 }
@@ -168,24 +168,24 @@
 	struct fixture fixture;
 	fixture_open (&fixture, 10);
 	dff_memory_rows_client_faults (fixture.client)->refuses = true;
-	dff_scan_start (fixture.reading);
+	dff_scan_start (fixture.scan);
 	dff_virtual_loop_run (fixture.loop, 4000);
 	assert_in_range (fixture.n_pages, 8, 14);
 	dff_memory_rows_client_faults (fixture.client)->refuses = false;
 	dff_virtual_loop_run (fixture.loop, 500);
-	assert_int_equal (fixture.n_whole, 1);
+	assert_int_equal (fixture.n_done, 1);
 	fixture_close (&fixture);
 }
 
 static void
-test_nothing_comes_after_its_end (void **state)
+test_no_callback_after_free (void **state)
 {
 	(void)state;
 	struct fixture fixture;
 	fixture_open (&fixture, 1200);
-	dff_scan_start (fixture.reading);
+	dff_scan_start (fixture.scan);
 	dff_virtual_loop_run (fixture.loop, 1);
-	g_clear_pointer (&fixture.reading, dff_scan_free);
+	g_clear_pointer (&fixture.scan, dff_scan_free);
 	dff_virtual_loop_run (fixture.loop, 5000);
 	assert_int_equal (fixture.n_pages, 0);
 	struct dff_scan_options options = {
@@ -193,9 +193,9 @@
 		.rows = dff_memory_rows_client_interface (fixture.client),
 		.table = TABLE,
 		.timeout_ms = 400,
-		.sink = {.row = handle_row, .done = handle_whole, .ctx = &fixture},
+		.sink = {.row = handle_row, .done = handle_done, .ctx = &fixture},
 	};
-	fixture.reading = dff_scan_new (&options);
+	fixture.scan = dff_scan_new (&options);
 	fixture_close (&fixture);
 }
 
@@ -203,11 +203,11 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_pages),
-		cmocka_unit_test (test_slow_pages),
-		cmocka_unit_test (test_resumes),
+		cmocka_unit_test (test_scan_by_pages),
+		cmocka_unit_test (test_slow_pages_become_smaller),
+		cmocka_unit_test (test_scan_resumes_after_silence),
 		cmocka_unit_test (test_refused_pages_are_spaced),
-		cmocka_unit_test (test_nothing_comes_after_its_end),
+		cmocka_unit_test (test_no_callback_after_free),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
