--- a/include/rows/health.h
+++ b/include/rows/health.h
@@ -7,10 +7,10 @@
 #include "rows/rows.h"
 
 /*
- * A store of rows that knows whether the store behind it answers this process. Calls pass through
- * unchanged. The path counts as silent when a call had no answer for a while and nothing that was
- * sent after it had one either; the next call that is served ends that. While it is silent,
- * one small row is read again and again, so that its return is noticed at once.
+ * A store of rows that monitors whether the store behind it answers this process. Calls pass
+ * through unchanged. The store counts as silent when a call is unanswered after its timeout and no
+ * call that was sent later has been served either. The next served call ends the silence. While the
+ * store is silent, one small row is read periodically, so that its recovery is detected at once.
  */
 
 struct dff_rows_health;
@@ -18,31 +18,34 @@
 struct dff_rows_health_options {
 	const struct dff_timers *timers;
 	struct dff_metrics *metrics;
-	/** The store, borrowed. */
+	/** The store behind this one, borrowed. */
 	const struct dff_rows *rows;
-	/** Table and key that are read to see whether a silent store answers again. */
+	/** Table and key of the row that is read to probe a silent store. */
 	const char *probe_table;
 	const char *probe_key;
-	/** (nullable): a silent store answers again. */
+	/** (nullable): called when a silent store answers again. */
 	void (*recovered) (void *ctx);
 	void *recovered_ctx;
 };
 
-/** Returns: (transfer full): a store in front of another; @options is copied. */
+/** Returns: (transfer full): a monitor in front of the store; @options is copied. */
 struct dff_rows_health *dff_rows_health_new (const struct dff_rows_health_options *options);
 
-/** To be called when no call is in progress, or none will call back any more. */
+/** May only be called when no call is in progress, or when the calls in progress will not call
+ * back.
+ */
 void dff_rows_health_free (struct dff_rows_health *health);
 
 DFF_DEFINE_CLEANUP (dff_rows_health, dff_rows_health_free);
 
-/** Returns: (transfer none): the store to be called, valid as long as @health. */
+/** Returns: (transfer none): the store for the callers to use, valid as long as @health. */
 const struct dff_rows *dff_rows_health_interface (struct dff_rows_health *health);
 
-/** Returns: whether a call that is made now would most likely have no answer. */
+/** Returns: whether the store counts as silent: a call made now would most likely be unanswered. */
 bool dff_rows_health_is_silent (struct dff_rows_health *health);
 
-/** Returns: when the latest call was begun that has been served; INT64_MIN: none. */
+/** Returns: start time of the most recently started call that has been served, ms; INT64_MIN:
+ * none. */
 int64_t dff_rows_health_served_ms (const struct dff_rows_health *health);
 
 #endif
--- a/include/rows/rows.h
+++ b/include/rows/rows.h
@@ -9,40 +9,43 @@
 #include "common/str.h"
 
 /*
- * The store of versioned rows that everything which must last is kept in: a row is found by table
- * and key, and carries the store's revision of its last write. One transaction is all or nothing,
- * under the condition that named rows have the revisions that the writer saw. Readers may follow
- * what changes in a table.
+ * The store of versioned rows that holds all durable state. A row is identified by table and key,
+ * and carries the store's revision of its last write. A transaction is atomic and conditional: it
+ * takes effect only if the rows named in its conditions have the revisions that the writer has
+ * read. Readers may subscribe to the changes of a table.
  *
- * Every call ends in exactly one callback, never before the call returns. A call without an answer
- * may have taken effect, and may still do so seconds later as long as its conditions hold.
+ * Every call ends in exactly one callback, which never runs before the call returns. A call without
+ * an answer may have taken effect, and may still take effect seconds later as long as its
+ * conditions hold.
  */
 
-/** Largest value of a row, bytes: what the store takes. */
+/** Maximum size of a row's value, bytes: the store's limit. */
 #define DFF_ROW_VALUE_MAX 65536
-/** Writes and conditions in one transaction at the most: the store's limit. */
+/** Maximum number of writes and conditions in one transaction: the store's limit. */
 #define DFF_ROWS_COMMIT_MAX 100
-/** Rows in one answer at the most; more follow from its revision on. */
+/** Maximum number of rows in one answer. Further rows of a range are read by key, further changes
+ * of a feed from the revision of the answer on. */
 #define DFF_ROWS_ANSWER_MAX 500
 
 enum dff_rows_outcome {
 	DFF_ROWS_DONE,
-	/** A condition does not hold: nothing was done. @rows shows the rows it names. */
+	/** A condition does not hold, and nothing was done. @rows holds the rows that the failed
+	 * conditions name. */
 	DFF_ROWS_CONFLICT,
-	/** Proven not done, now or later. */
+	/** The call has not taken effect and will not do so later. */
 	DFF_ROWS_NOT_DONE,
-	/** Done, not done, or still to be done. */
+	/** The call may have taken effect, may take effect later, or may never do so. */
 	DFF_ROWS_UNKNOWN,
-	/** The changes asked for are no longer kept: read the table anew. */
+	/** The store no longer keeps the requested changes: the table has to be scanned again. */
 	DFF_ROWS_HISTORY_GONE,
 };
 
 struct dff_row {
 	struct dff_str table;
 	struct dff_str key;
-	/** Bytes of the value; empty where the row was removed. */
+	/** Value of the row; empty if the row was removed. */
 	struct dff_str value;
-	/** Of its last write; 0: the row does not exist. */
+	/** Revision of the last write; 0: the row does not exist. */
 	int64_t revision;
 	bool removed;
 };
@@ -50,7 +53,7 @@
 struct dff_rows_condition {
 	const char *table;
 	struct dff_str key;
-	/** 0: the row must not exist. */
+	/** Revision that the row must have; 0: the row must not exist. */
 	int64_t revision;
 };
 
@@ -58,7 +61,7 @@
 	const char *table;
 	struct dff_str key;
 	struct dff_str value;
-	/** Removes the row; @value is ignored. */
+	/** Whether the row is removed; @value is ignored then. */
 	bool remove;
 };
 
@@ -72,7 +75,7 @@
 
 struct dff_rows_range {
 	const char *table;
-	/** First key, and the first one beyond the range; empty: without bound. */
+	/** First key of the range, and the first key beyond it; empty: no bound. */
 	struct dff_str from;
 	struct dff_str to;
 	int32_t limit;
@@ -81,9 +84,9 @@
 
 struct dff_rows_feed {
 	const char *table;
-	/** Changes above this revision. */
+	/** Changes with a higher revision are returned. */
 	int64_t after;
-	/** How long the store waits for one, ms. */
+	/** Time for which the store waits for a change before it answers, ms. */
 	int32_t wait_ms;
 	int32_t timeout_ms;
 };
@@ -91,22 +94,22 @@
 /** Valid in the callback only. */
 struct dff_rows_result {
 	enum dff_rows_outcome outcome;
-	/** The store's newest revision; after a commit, that of the rows written. */
+	/** Newest revision of the store; after a commit, the revision of the written rows. */
 	int64_t revision;
-	/** The store's steady clock when it answered, ms; 0: it did not tell. */
+	/** The store's monotonic clock when it answered, ms; 0: not reported. */
 	int64_t store_ms;
 	const struct dff_row *rows;
 	size_t n_rows;
-	/** Whether the range holds more rows than were returned. */
+	/** Whether the range has more rows than were returned. */
 	bool more;
 };
 
 typedef void (*dff_rows_func) (void *user, const struct dff_rows_result *result);
 
-/** Makes @key the least key above a row's: where the next page of a reading begins. */
+/** Sets @key to the lowest key above that of @row, at which the next page of a scan begins. */
 void dff_rows_key_after (const struct dff_row *row, GString *key);
 
-/** A store of rows; one client for all parts of a process. */
+/** Interface of a store of rows; the modules of a process share one client. */
 struct dff_rows {
 	void (*commit) (void *ctx,
 			const struct dff_rows_commit *commit,
--- a/include/rows/scan.h
+++ b/include/rows/scan.h
@@ -6,30 +6,31 @@
 #include "rows/rows.h"
 
 /*
- * Reads a table whole, page by page. A page without an answer is asked for again, smaller and for
- * longer, at the key where it began: what was read stays read. Pages are of different moments, so
- * that a row which moves may be missed or seen twice; changes since the first page's revision tell.
+ * Scans a whole table page by page. A page that fails is requested again from the same key, with
+ * fewer rows and a longer timeout; pages that have been read are not read again. Pages are read at
+ * different times, so a row that moves between keys may be missed or reported twice. The changes
+ * since the revision of the first page correct this.
  */
 
 struct dff_scan;
 
-/** What a reading came to. */
+/** Outcome of a completed scan. */
 struct dff_scan_result {
-	/** The store's newest revision at the first page. */
+	/** Newest revision of the store when the first page was read. */
 	int64_t revision;
 	int32_t n_rows;
 	int32_t n_pages;
-	/** Pages without an answer. */
+	/** Number of page requests that failed. */
 	int32_t n_failed;
+	/** Duration of the scan, ms. */
 	int64_t took_ms;
 };
 
-/** What a reading reports to. Each is called from the loop; none may free the reading but
- * @done. */
+/** Callbacks of a scan, called from the event loop. Only @done may free the scan. */
 struct dff_scan_sink {
 	void (*row) (void *ctx, const struct dff_row *row);
-	/** (nullable): a page was answered, or was not; the call began at @begun_ms. Before its
-	 * rows. */
+	/** (nullable): a page request has ended, served or not; it was sent at @begun_ms. Called
+	 * before @row for the rows of the page. */
 	void (*page) (void *ctx, const struct dff_rows_result *result, int64_t begun_ms);
 	void (*done) (void *ctx, const struct dff_scan_result *result);
 	void *ctx;
@@ -44,18 +45,18 @@
 	struct dff_scan_sink sink;
 };
 
-/** @options is copied. Nothing is read yet. */
+/** Creates a scan that is not started. @options is copied. */
 struct dff_scan *dff_scan_new (const struct dff_scan_options *options);
 
-/** Ends it; no callback comes afterwards. */
+/** Stops and frees the scan; no callback is called afterwards. */
 void dff_scan_free (struct dff_scan *scan);
 
 DFF_DEFINE_CLEANUP (dff_scan, dff_scan_free);
 
-/** Reads the table from its first row on. Not while it is being read. */
+/** Starts a scan from the first row of the table. The scan must not be running. */
 void dff_scan_start (struct dff_scan *scan);
 
-/** Returns: whether the table is being read. */
+/** Returns: whether the scan has been started and is not done. */
 bool dff_scan_is_running (const struct dff_scan *scan);
 
 #endif
--- a/rows/health.c
+++ b/rows/health.c
@@ -5,11 +5,11 @@
 
 #include "common/log.h"
 
-/** Time without an answer, beyond the wait that the call asks for, after which the path counts as
- * silent, ms: above the answers of a store that is sixty times as slow as usual. */
+/** Time without an answer, beyond the wait that the call requests, after which the store counts as
+ * silent, ms: above the latency of a store that is sixty times as slow as usual. */
 #define SILENCE_TIMEOUT_MS 700
-/** Time between two probes of a silent store, and how long each may take, ms: its return is noticed
- * within a fifth of a second, at a cost of some calls while nobody else is served. */
+/** Interval between two probes of a silent store, and the timeout of a probe, ms. The recovery is
+ * detected within 200 ms; the cost is a few calls while no other call is served. */
 #define PROBE_INTERVAL_MS 150
 #define PROBE_TIMEOUT_MS 1200
 
@@ -19,7 +19,8 @@
 	struct dff_timer *probe;
 	/** Calls in progress, oldest first. Elements: struct call. */
 	GQueue calls;
-	/** When the last call was begun that has been served. */
+	/** Start time of the most recently started call that has been served, ms; INT64_MIN: none.
+	 */
 	int64_t served_begun_ms;
 	bool silent;
 	int64_t *silences;
@@ -35,7 +36,7 @@
 	dff_rows_func done;
 	void *user;
 	int64_t begun_ms;
-	/** When it is overdue. */
+	/** Time at which the call is overdue, ms. */
 	int64_t due_ms;
 	GList link;
 };
@@ -73,8 +74,8 @@
 	return now_ms >= call->due_ms && health->served_begun_ms <= call->begun_ms;
 }
 
-/* A refusal does not count: a store that is mostly silent refuses some calls half a second later.
- */
+/* A refused call does not count as served: a store that is mostly silent still refuses some calls,
+ * after 500 ms. */
 static bool
 is_served (enum dff_rows_outcome outcome)
 {
--- a/rows/rows.c
+++ b/rows/rows.c
@@ -5,6 +5,6 @@
 {
 	g_string_truncate (key, 0);
 	g_string_append_len (key, row->key.data, (gssize)row->key.len);
-	/* One more byte, the lowest that a key takes. */
+	/* Appends the lowest byte that a key may contain. */
 	g_string_append_c (key, ' ');
 }
--- a/rows/scan.c
+++ b/rows/scan.c
@@ -6,16 +6,16 @@
 
 /** Rows of the largest page. */
 #define PAGE_ROWS_MAX DFF_ROWS_ANSWER_MAX
-/** Rows of the smallest, and the longest wait for one, ms: a full page of jobs has taken 1.4 s
- * where it takes 0.1 s otherwise, and one that is given up on each time ends in no reading at all.
- */
+/** Rows of the smallest page, and the longest timeout of a page, ms. A full page of jobs, which
+ * usually takes 0.1 s, has taken 1.4 s; a scan whose pages time out each time never completes. */
 #define PAGE_ROWS_MIN 25
 #define PAGE_TIMEOUT_MAX_MS 5000
-/** Pause after a page without an answer, doubled up to the limit, ms: a store that refuses is not
- * to be asked in a tight loop, and its return is to be noticed within half a second. */
+/** Backoff after a failed page, ms; it doubles with each failure up to the maximum. A store that
+ * refuses calls must not be called in a tight loop, and its recovery has to be detected within
+ * 500 ms. */
 #define RETRY_MIN_MS 50
 #define RETRY_MAX_MS 400
-/** A reading that took so long, ms, has a line in the log: ten times what one takes. */
+/** Duration from which a scan is logged as slow, ms: ten times the usual duration. */
 #define SLOW_SCAN_MS 1000
 
 struct call {
@@ -26,7 +26,8 @@
 struct dff_scan {
 	struct dff_scan_options options;
 	struct dff_timer *retry;
-	/** (nullable): the call in progress, to tell its callback that the reading is gone. */
+	/** (nullable): the call in progress. Its pointer to the scan is cleared when the scan is
+	 * freed. */
 	struct call *call;
 	bool running;
 	int32_t page_limit;
@@ -63,7 +64,7 @@
 	scan->running = false;
 	if (result->n_failed > 0 || result->took_ms >= SLOW_SCAN_MS) {
 		dff_log (DFF_LOG_RECORD, DFF_LOG_INFO,
-			 "Reading a table was slow. table=%s rows=%d pages=%d failed_pages=%d "
+			 "Table scan was slow. table=%s rows=%d pages=%d failed_pages=%d "
 			 "took_ms=%" PRId64 " revision=%" PRId64,
 			 scan->options.table, result->n_rows, result->n_pages, result->n_failed,
 			 result->took_ms, result->revision);
--- a/rows/subscription.c
+++ b/rows/subscription.c
@@ -6,8 +6,8 @@
 #include "common/log.h"
 #include "rows/scan.h"
 
-/** Pause after a call that failed, doubled up to the limit, ms: a store that is down is not to be
- * asked in a tight loop, and its return is to be noticed within half a second. */
+/** Backoff after a failed call, ms; it doubles with each failure up to the maximum. A store that is
+ * down must not be called in a tight loop, and its recovery has to be detected within 500 ms. */
 #define RETRY_MIN_MS 50
 #define RETRY_MAX_MS 400
 
@@ -15,13 +15,16 @@
 	struct dff_subscription_options options;
 	struct dff_scan *scan;
 	struct dff_timer *retry;
-	/** The call in progress, to tell its callback that the follower is gone. */
+	/** (nullable): the call in progress. Its pointer to the subscription is cleared when the
+	 * subscription is freed or no longer waits for the call. */
 	struct call *call;
-	/** Revision up to which changes are known. */
+	/** Revision up to which changes have been reported; 0: the table has to be scanned. */
 	int64_t revision;
 	bool ready;
+	/** Whether the last call failed; used to log only the first of several failures. */
 	bool failing;
 	int32_t retry_ms;
+	/** Start time of the most recent answered call, ms; INT64_MIN: none. */
 	int64_t answered_ms;
 };
 
@@ -42,7 +45,7 @@
 	return call;
 }
 
-/* Returns: (nullable): the follower, unless it is gone. */
+/* Returns: (nullable): the subscription; NULL if it no longer waits for this call. */
 static struct dff_subscription *
 call_end (struct call *call, int64_t *begun_ms)
 {
@@ -128,7 +131,8 @@
 		return;
 	if (result->outcome == DFF_ROWS_HISTORY_GONE) {
 		dff_log (DFF_LOG_RECORD, DFF_LOG_INFO,
-			 "History is gone, reading a table whole. table=%s revision=%" PRId64,
+			 "Store dropped the history; scanning table again. table=%s "
+			 "revision=%" PRId64,
 			 subscription->options.table, subscription->revision);
 		subscription->revision = 0;
 		follow (subscription);
--- a/tests/rows/test-reading.c
+++ b/tests/rows/test-reading.c
@@ -7,7 +7,7 @@
 #include "rows/scan.h"
 #include "standin/memory_rows.h"
 
-/* A table read whole, from a store with faults. */
+/* Scans of a table in a store with faults. */
 
 #define TABLE "table"
 #define START_MS 1000000
@@ -17,7 +17,7 @@
 	struct dff_memory_rows *rows;
 	struct dff_memory_rows_client *client;
 	struct dff_scan *scan;
-	/** Key to the number of times that it was reported. */
+	/** Key of a row to the number of times that the row was reported. */
 	GHashTable *seen;
 	int n_pages;
 	int n_done;
@@ -121,8 +121,8 @@
 	}
 }
 
-/* Symptom: a table that has grown is never read whole. Sequence: a full page of it takes longer
- * than the reader waits. Cause: each further attempt asked for as much, from the first row on. */
+/* Guards against a scan of a large table that never completes: a full page takes longer than the
+ * timeout, and each further attempt requests as many rows again, from the first row on. */
 static void
 test_slow_pages_become_smaller (void **state)
 {
@@ -138,8 +138,8 @@
 	fixture_close (&fixture);
 }
 
-/* Symptom: what was read before the store fell silent is read again. Cause: a reading began anew
- * after a page without an answer. */
+/* Guards against reading pages twice: the store becomes silent during a scan, and the scan starts
+ * again from the first row after the failed page. */
 static void
 test_scan_resumes_after_silence (void **state)
 {
@@ -159,8 +159,9 @@
 	fixture_close (&fixture);
 }
 
-/* Symptom: a process that the store refuses asks it hundreds of times a second. Sequence: it has
- * just taken the cell and reads what is on record. Cause: a refused page was asked for at once. */
+/* Guards against hundreds of calls a second to a store that refuses them: a process has just
+ * acquired the lease of the cell and scans the recorded state, and a refused page is requested
+ * again without a backoff. */
 static void
 test_refused_pages_are_spaced (void **state)
 {
