--- a/relay/dispatch.c
+++ b/relay/dispatch.c
@@ -13,18 +13,18 @@
 
 /** How long renewals are gathered before they are sent, ms: each message costs this process several
  * calls to the system. Orders are sent at once, and take along what is there. */
-#define GATHER_MS 10
+#define BATCH_DELAY_MS 10
 /** Silence after which a relay is given up, ms: three times what it leaves between two messages at
  * the most. Its workers are asked through others long before their leases lapse. */
-#define SILENT_MS 1000
+#define RELAY_TIMEOUT_MS 1000
 /** Time between two looks at who is silent, ms. */
-#define CHECK_EVERY_MS 100
+#define CHECK_INTERVAL_MS 100
 /** Calls to a worker without an answer, each through another relay, after which this process calls
  * it itself. */
-#define DETOURS_MAX 3
+#define RELAYED_ATTEMPTS_MAX 3
 /** Workers of which such calls are remembered; beyond it all are forgotten. Lives of workers come
  * and go for months. */
-#define DETOURS_KEPT 4096
+#define UNANSWERED_WORKERS_MAX 4096
 
 struct call {
 	dff_runner_func done;
@@ -38,7 +38,7 @@
 	/** Empty until its first message. */
 	struct dff_name name;
 	bool leaving;
-	int64_t heard_ms;
+	int64_t last_received_ms;
 	struct relay_batch *batch;
 	/** uint64_t * (in the call's table) to struct call. */
 	GHashTable *calls;
@@ -57,7 +57,7 @@
 	struct dff_timer *check;
 	int64_t checked_ms;
 	/** Calls without an answer, by worker: struct dff_name * to its count. */
-	GHashTable *detours;
+	GHashTable *unanswered;
 	int64_t *n_relays;
 	int64_t *n_relayed;
 	int64_t *n_direct;
@@ -81,29 +81,29 @@
 
 /* What a worker's calls without an answer say: the relay may be what does not reach it. */
 static void
-note_outcome (struct dff_dispatch *dispatch,
-	      const struct dff_name *worker,
-	      enum dff_runner_outcome outcome)
+record_outcome (struct dff_dispatch *dispatch,
+		const struct dff_name *worker,
+		enum dff_runner_outcome outcome)
 {
 	if (outcome != DFF_RUNNER_UNKNOWN && outcome != DFF_RUNNER_UNSENT)
 		return;
-	guint detours = GPOINTER_TO_UINT (g_hash_table_lookup (dispatch->detours, worker));
-	if (g_hash_table_size (dispatch->detours) >= DETOURS_KEPT)
-		g_hash_table_remove_all (dispatch->detours);
-	g_hash_table_insert (dispatch->detours, dff_name_dup (worker),
-			     GUINT_TO_POINTER (detours + 1));
+	guint unanswered = GPOINTER_TO_UINT (g_hash_table_lookup (dispatch->unanswered, worker));
+	if (g_hash_table_size (dispatch->unanswered) >= UNANSWERED_WORKERS_MAX)
+		g_hash_table_remove_all (dispatch->unanswered);
+	g_hash_table_insert (dispatch->unanswered, dff_name_dup (worker),
+			     GUINT_TO_POINTER (unanswered + 1));
 }
 
 /* Returns: (nullable): the relay for a worker's next call; NULL: none. */
 static struct dff_dispatch_relay *
-choose (const struct dff_dispatch *dispatch, const struct dff_name *worker)
+choose_relay (const struct dff_dispatch *dispatch, const struct dff_name *worker)
 {
-	guint detours = GPOINTER_TO_UINT (g_hash_table_lookup (dispatch->detours, worker));
-	if (detours % (DETOURS_MAX + 1) == DETOURS_MAX)
+	guint unanswered = GPOINTER_TO_UINT (g_hash_table_lookup (dispatch->unanswered, worker));
+	if (unanswered % (RELAYED_ATTEMPTS_MAX + 1) == RELAYED_ATTEMPTS_MAX)
 		return NULL;
 	struct dff_name key = *worker;
-	if (detours > 0)
-		key = dff_name_printf ("%.50s.%u", worker->data, detours);
+	if (unanswered > 0)
+		key = dff_name_printf ("%.50s.%u", worker->data, unanswered);
 	struct dff_dispatch_relay *best = NULL;
 	uint64_t best_weight = 0;
 	for (guint i = 0; i < dispatch->relays->len; i++) {
@@ -156,7 +156,7 @@
 	    void *user)
 {
 	const struct dff_runner *direct = dispatch->options.direct;
-	struct dff_dispatch_relay *relay = choose (dispatch, &order->worker);
+	struct dff_dispatch_relay *relay = choose_relay (dispatch, &order->worker);
 	if (relay != NULL) {
 		uint64_t id = add_call (relay, &order->worker, done, user);
 		relay_batch_add_order (relay->batch, id, kind, order);
@@ -187,11 +187,11 @@
 {
 	struct dff_dispatch *dispatch = ctx;
 	const struct dff_runner *direct = dispatch->options.direct;
-	struct dff_dispatch_relay *relay = choose (dispatch, &watch->worker);
+	struct dff_dispatch_relay *relay = choose_relay (dispatch, &watch->worker);
 	if (relay != NULL) {
 		uint64_t id = add_call (relay, &watch->worker, done, user);
 		relay_batch_add_watch (relay->batch, id, watch);
-		flush_within (dispatch, GATHER_MS);
+		flush_within (dispatch, BATCH_DELAY_MS);
 		return;
 	}
 	(*dispatch->n_direct)++;
@@ -237,7 +237,7 @@
 	dff_log (DFF_LOG_UPSTREAM, DFF_LOG_INFO,
 		 "Relay lost. relay=%s reason=%s calls=%u heard_ms_ago=%" PRId64 " relays=%u",
 		 relay->name.data, reason, g_hash_table_size (relay->calls),
-		 now_ms (dispatch) - relay->heard_ms, dispatch->relays->len);
+		 now_ms (dispatch) - relay->last_received_ms, dispatch->relays->len);
 	end_calls (relay);
 	free_relay (relay);
 }
@@ -250,13 +250,13 @@
 {
 	struct dff_dispatch *dispatch = ctx;
 	int64_t now = now_ms (dispatch);
-	int64_t late_ms = MAX (now - dispatch->checked_ms - CHECK_EVERY_MS, 0);
+	int64_t late_ms = MAX (now - dispatch->checked_ms - CHECK_INTERVAL_MS, 0);
 	dispatch->checked_ms = now;
-	dff_timer_start (dispatch->check, CHECK_EVERY_MS);
+	dff_timer_start (dispatch->check, CHECK_INTERVAL_MS);
 	for (guint i = dispatch->relays->len; i > 0; i--) {
 		struct dff_dispatch_relay *relay = g_ptr_array_index (dispatch->relays, i - 1);
-		relay->heard_ms += late_ms;
-		if (now - relay->heard_ms < SILENT_MS)
+		relay->last_received_ms += late_ms;
+		if (now - relay->last_received_ms < RELAY_TIMEOUT_MS)
 			continue;
 		relay->link.close (relay->link.ctx);
 		drop_relay (relay, "silent");
@@ -273,7 +273,7 @@
 	struct dff_dispatch_relay *relay = g_new0 (struct dff_dispatch_relay, 1);
 	relay->dispatch = dispatch;
 	relay->link = *link;
-	relay->heard_ms = now_ms (dispatch);
+	relay->last_received_ms = now_ms (dispatch);
 	relay->batch = relay_batch_new ();
 	relay->calls = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
 	g_ptr_array_add (dispatch->relays, relay);
@@ -287,7 +287,7 @@
 	drop_relay (relay, "disconnected");
 }
 
-struct taken {
+struct answered_call {
 	struct dff_dispatch *dispatch;
 	struct call *call;
 };
@@ -295,9 +295,9 @@
 static void
 take_result (void *user, const struct dff_runner_result *result)
 {
-	const struct taken *taken = user;
-	note_outcome (taken->dispatch, &taken->call->worker, result->outcome);
-	taken->call->done (taken->call->user, result);
+	const struct answered_call *answered_call = user;
+	record_outcome (answered_call->dispatch, &answered_call->call->worker, result->outcome);
+	answered_call->call->done (answered_call->call->user, result);
 }
 
 static void
@@ -306,8 +306,8 @@
 	gpointer id = NULL, value = NULL;
 	if (!g_hash_table_steal_extended (relay->calls, &answer->id, &id, &value))
 		return;
-	struct taken taken = {.dispatch = relay->dispatch, .call = value};
-	relay_answer_read (answer, take_result, &taken);
+	struct answered_call answered_call = {.dispatch = relay->dispatch, .call = value};
+	relay_answer_read (answer, take_result, &answered_call);
 	g_free (id);
 	g_free (value);
 }
@@ -325,7 +325,7 @@
 		drop_relay (relay, "unreadable");
 		return;
 	}
-	relay->heard_ms = now_ms (relay->dispatch);
+	relay->last_received_ms = now_ms (relay->dispatch);
 	if (named && dff_name_is_empty (&relay->name)) {
 		relay->name = name;
 		dff_log (DFF_LOG_UPSTREAM, DFF_LOG_INFO, "Relay connected. relay=%s relays=%u",
@@ -339,7 +339,7 @@
 
 /* Relays that stay with a process which has stood down are missed by its successor. */
 static void
-let_go (struct dff_dispatch *dispatch)
+drop_all_relays (struct dff_dispatch *dispatch)
 {
 	while (dispatch->relays->len > 0) {
 		struct dff_dispatch_relay *relay =
@@ -355,8 +355,8 @@
 	dispatch->limit = limit;
 	if (limit > 0)
 		return;
-	g_hash_table_remove_all (dispatch->detours);
-	let_go (dispatch);
+	g_hash_table_remove_all (dispatch->unanswered);
+	drop_all_relays (dispatch);
 }
 
 int32_t
@@ -396,13 +396,13 @@
 						  .watch = dispatch_watch,
 						  .ctx = dispatch};
 	dispatch->relays = g_ptr_array_new ();
-	dispatch->detours =
+	dispatch->unanswered =
 		g_hash_table_new_full (dff_name_hash, dff_name_equal_func, g_free, NULL);
 	open_metrics (dispatch);
 	dispatch->flush = dff_timer_new (options->timers, handle_flush, dispatch);
 	dispatch->check = dff_timer_new (options->timers, handle_check, dispatch);
 	dispatch->checked_ms = now_ms (dispatch);
-	dff_timer_start (dispatch->check, CHECK_EVERY_MS);
+	dff_timer_start (dispatch->check, CHECK_INTERVAL_MS);
 	return dispatch;
 }
 
@@ -417,6 +417,6 @@
 	g_ptr_array_unref (dispatch->relays);
 	dff_timer_free (dispatch->flush);
 	dff_timer_free (dispatch->check);
-	g_hash_table_unref (dispatch->detours);
+	g_hash_table_unref (dispatch->unanswered);
 	g_free (dispatch);
 }
--- a/relay/message.c
+++ b/relay/message.c
@@ -14,19 +14,19 @@
 };
 
 static ProtobufCBinaryData
-bytes_of (struct dff_str text)
+bytes_from_str (struct dff_str text)
 {
 	return (ProtobufCBinaryData){.len = text.len, .data = (uint8_t *)text.data};
 }
 
 static ProtobufCBinaryData
-bytes_of_name (const struct dff_name *name)
+bytes_from_name (const struct dff_name *name)
 {
 	return (ProtobufCBinaryData){.len = name->len, .data = (uint8_t *)name->data};
 }
 
 static struct dff_str
-str_of (const ProtobufCBinaryData *bytes)
+str_from_bytes (const ProtobufCBinaryData *bytes)
 {
 	/* Empty fields have no data, which libraries do not take for an empty string. */
 	return (struct dff_str){bytes->len > 0 ? (const char *)bytes->data : "", bytes->len};
@@ -36,23 +36,23 @@
 relay_name_read (const ProtobufCBinaryData *bytes, struct dff_name *name)
 {
 	*name = (struct dff_name){0};
-	return dff_name_parse (str_of (bytes), name);
+	return dff_name_parse (str_from_bytes (bytes), name);
 }
 
 static gpointer
-keep (struct relay_batch *batch, gpointer memory)
+own_memory (struct relay_batch *batch, gpointer memory)
 {
 	g_ptr_array_add (batch->memory, memory);
 	return memory;
 }
 
 static ProtobufCBinaryData
-keep_text (struct relay_batch *batch, struct dff_str text)
+copy_text (struct relay_batch *batch, struct dff_str text)
 {
 	if (text.len == 0)
 		return (ProtobufCBinaryData){0};
-	char *copy = keep (batch, g_memdup2 (text.data, text.len));
-	return bytes_of ((struct dff_str){copy, text.len});
+	char *copy = own_memory (batch, g_memdup2 (text.data, text.len));
+	return bytes_from_str ((struct dff_str){copy, text.len});
 }
 
 struct relay_batch *
@@ -83,7 +83,7 @@
 static Dff__Relay__Call *
 add_call (struct relay_batch *batch, uint64_t id, Dff__Relay__Kind kind)
 {
-	Dff__Relay__Call *call = keep (batch, g_new (Dff__Relay__Call, 1));
+	Dff__Relay__Call *call = own_memory (batch, g_new (Dff__Relay__Call, 1));
 	dff__relay__call__init (call);
 	call->id = id;
 	call->kind = kind;
@@ -92,9 +92,9 @@
 }
 
 static ProtobufCBinaryData
-keep_name (struct relay_batch *batch, const struct dff_name *name)
+copy_name (struct relay_batch *batch, const struct dff_name *name)
 {
-	return keep_text (batch, (struct dff_str){name->data, name->len});
+	return copy_text (batch, (struct dff_str){name->data, name->len});
 }
 
 void
@@ -104,23 +104,23 @@
 		       const struct dff_run_order *order)
 {
 	Dff__Relay__Call *call = add_call (batch, id, kind);
-	call->worker = keep_name (batch, &order->worker);
-	call->address = keep_name (batch, &order->address);
+	call->worker = copy_name (batch, &order->worker);
+	call->address = copy_name (batch, &order->address);
 	call->epoch = order->epoch;
 	call->deadline_ms = order->deadline_ms;
 	call->timeout_ms = order->timeout_ms;
-	call->task = keep_name (batch, &order->task);
+	call->task = copy_name (batch, &order->task);
 	call->run = order->run;
-	call->payload = keep_text (batch, order->payload);
-	call->checkpoint = keep_text (batch, order->checkpoint);
+	call->payload = copy_text (batch, order->payload);
+	call->checkpoint = copy_text (batch, order->checkpoint);
 }
 
 void
 relay_batch_add_watch (struct relay_batch *batch, uint64_t id, const struct dff_run_watch *watch)
 {
 	Dff__Relay__Call *call = add_call (batch, id, DFF__RELAY__KIND__WATCH);
-	call->worker = keep_name (batch, &watch->worker);
-	call->address = keep_name (batch, &watch->address);
+	call->worker = copy_name (batch, &watch->worker);
+	call->address = copy_name (batch, &watch->address);
 	call->epoch = watch->epoch;
 	call->deadline_ms = watch->deadline_ms;
 	call->timeout_ms = watch->timeout_ms;
@@ -133,15 +133,15 @@
 	     Dff__Relay__Answer *answer,
 	     const struct dff_runner_result *result)
 {
-	Dff__Relay__Open *runs = keep (batch, g_new (Dff__Relay__Open, result->n_running));
-	answer->running = keep (batch, g_new (Dff__Relay__Open *, result->n_running));
+	Dff__Relay__Open *runs = own_memory (batch, g_new (Dff__Relay__Open, result->n_running));
+	answer->running = own_memory (batch, g_new (Dff__Relay__Open *, result->n_running));
 	answer->n_running = result->n_running;
 	for (size_t i = 0; i < result->n_running; i++) {
 		const struct dff_run_active *from = &result->running[i];
 		dff__relay__open__init (&runs[i]);
-		runs[i].task = keep_text (batch, from->task);
+		runs[i].task = copy_text (batch, from->task);
 		runs[i].run = from->run;
-		runs[i].checkpoint = keep_text (batch, from->checkpoint);
+		runs[i].checkpoint = copy_text (batch, from->checkpoint);
 		runs[i].percent = from->percent;
 		answer->running[i] = &runs[i];
 	}
@@ -152,17 +152,17 @@
 	   Dff__Relay__Answer *answer,
 	   const struct dff_runner_result *result)
 {
-	Dff__Relay__Ended *ends = keep (batch, g_new (Dff__Relay__Ended, result->n_ended));
-	answer->ended = keep (batch, g_new (Dff__Relay__Ended *, result->n_ended));
+	Dff__Relay__Ended *ends = own_memory (batch, g_new (Dff__Relay__Ended, result->n_ended));
+	answer->ended = own_memory (batch, g_new (Dff__Relay__Ended *, result->n_ended));
 	answer->n_ended = result->n_ended;
 	for (size_t i = 0; i < result->n_ended; i++) {
 		const struct dff_run_ended *from = &result->ended[i];
 		dff__relay__ended__init (&ends[i]);
 		ends[i].number = from->number;
-		ends[i].task = keep_text (batch, from->task);
+		ends[i].task = copy_text (batch, from->task);
 		ends[i].run = from->run;
 		ends[i].end = from->end;
-		ends[i].checkpoint = keep_text (batch, from->checkpoint);
+		ends[i].checkpoint = copy_text (batch, from->checkpoint);
 		answer->ended[i] = &ends[i];
 	}
 }
@@ -172,7 +172,7 @@
 			uint64_t id,
 			const struct dff_runner_result *result)
 {
-	Dff__Relay__Answer *answer = keep (batch, g_new (Dff__Relay__Answer, 1));
+	Dff__Relay__Answer *answer = own_memory (batch, g_new (Dff__Relay__Answer, 1));
 	dff__relay__answer__init (answer);
 	answer->id = id;
 	answer->outcome = result->outcome;
@@ -205,7 +205,7 @@
 	message.n_calls = batch->calls->len;
 	message.answers = (Dff__Relay__Answer **)batch->answers->pdata;
 	message.n_answers = batch->answers->len;
-	message.name = bytes_of_name (&batch->name);
+	message.name = bytes_from_name (&batch->name);
 	message.leaving = batch->leaving;
 	size_t size = dff__relay__batch__get_packed_size (&message);
 	GByteArray *out = g_byte_array_sized_new ((guint)size);
@@ -223,8 +223,8 @@
 	*order = (struct dff_run_order){.run = call->run,
 					.epoch = call->epoch,
 					.deadline_ms = call->deadline_ms,
-					.payload = str_of (&call->payload),
-					.checkpoint = str_of (&call->checkpoint),
+					.payload = str_from_bytes (&call->payload),
+					.checkpoint = str_from_bytes (&call->checkpoint),
 					.timeout_ms = call->timeout_ms};
 	return relay_name_read (&call->worker, &order->worker) &&
 	       relay_name_read (&call->address, &order->address) &&
@@ -268,21 +268,22 @@
 		g_new (struct dff_run_active, answer->n_running);
 	for (size_t i = 0; i < answer->n_running; i++) {
 		const Dff__Relay__Open *from = answer->running[i];
-		running[i] = (struct dff_run_active){.task = str_of (&from->task),
-						     .run = from->run,
-						     .checkpoint = str_of (&from->checkpoint),
-						     .percent = from->percent};
+		running[i] =
+			(struct dff_run_active){.task = str_from_bytes (&from->task),
+						.run = from->run,
+						.checkpoint = str_from_bytes (&from->checkpoint),
+						.percent = from->percent};
 	}
 	g_autofree struct dff_run_ended *ended = g_new (struct dff_run_ended, answer->n_ended);
 	for (size_t i = 0; i < answer->n_ended; i++) {
 		const Dff__Relay__Ended *from = answer->ended[i];
 		bool known = from->end <= DFF_RUN_GANG_TIMEOUT;
 		ended[i] = (struct dff_run_ended){.number = from->number,
-						  .task = str_of (&from->task),
+						  .task = str_from_bytes (&from->task),
 						  .run = from->run,
 						  .end = known ? (enum dff_run_end)from->end
 							       : DFF_RUN_STOPPED,
-						  .checkpoint = str_of (&from->checkpoint)};
+						  .checkpoint = str_from_bytes (&from->checkpoint)};
 	}
 	bool known = answer->outcome <= DFF_RUNNER_UNKNOWN;
 	struct dff_runner_result result = {
--- a/relay/relay.c
+++ b/relay/relay.c
@@ -5,26 +5,26 @@
 
 /** How long answers are gathered before they are sent, ms: each message costs the other end a
  * wake-up, and a task's end is known as much later. */
-#define GATHER_MS 10
+#define BATCH_DELAY_MS 10
 /** Time between two messages at the most, ms: a process that tells nothing is given up. */
-#define SIGN_EVERY_MS 300
+#define HEARTBEAT_INTERVAL_MS 300
 /** Silence of the process that decides after which somebody else may do so, ms: it renews the
  * leases of each relay's workers several times a second. */
-#define SILENT_MS 700
+#define HOLDER_TIMEOUT_MS 700
 
 struct dff_relay {
 	struct dff_relay_options options;
 	struct dff_relay_link link;
 	bool connected;
 	/** When the other end was heard last. */
-	int64_t heard_ms;
+	int64_t last_received_ms;
 	/** Grows with each connection, to tell calls of an earlier one. */
 	int64_t connection;
 	/** Calls under way. Elements: struct call *. */
 	GHashTable *calls;
 	struct relay_batch *batch;
-	struct dff_timer *gather;
-	struct dff_timer *sign;
+	struct dff_timer *flush;
+	struct dff_timer *heartbeat;
 	int64_t *n_calls;
 };
 
@@ -45,11 +45,11 @@
 {
 	g_autoptr (GByteArray) bytes = relay_batch_pack (relay->batch);
 	relay->link.send (relay->link.ctx, bytes->data, bytes->len);
-	dff_timer_start (relay->sign, SIGN_EVERY_MS);
+	dff_timer_start (relay->heartbeat, HEARTBEAT_INTERVAL_MS);
 }
 
 static void
-handle_gather (void *ctx)
+handle_flush (void *ctx)
 {
 	struct dff_relay *relay = ctx;
 	if (relay->connected && !relay_batch_is_empty (relay->batch))
@@ -57,13 +57,14 @@
 }
 
 static void
-handle_sign (void *ctx)
+handle_heartbeat (void *ctx)
 {
 	struct dff_relay *relay = ctx;
 	if (!relay->connected)
 		return;
 	send_batch (relay);
-	if (now_ms (relay) - relay->heard_ms >= SILENT_MS && relay->options.holder_silent != NULL)
+	if (now_ms (relay) - relay->last_received_ms >= HOLDER_TIMEOUT_MS &&
+	    relay->options.holder_silent != NULL)
 		relay->options.holder_silent (relay->options.ctx);
 }
 
@@ -74,29 +75,29 @@
 	struct dff_relay *relay = call->relay;
 	if (relay->connected && call->connection == relay->connection) {
 		if (relay_batch_is_empty (relay->batch))
-			dff_timer_start (relay->gather, GATHER_MS);
+			dff_timer_start (relay->flush, BATCH_DELAY_MS);
 		relay_batch_add_answer (relay->batch, call->id, result);
 	}
 	g_hash_table_remove (relay->calls, call);
 }
 
 static bool
-carry_out (struct dff_relay *relay, const Dff__Relay__Call *from)
+execute_call (struct dff_relay *relay, const Dff__Relay__Call *message)
 {
 	const struct dff_runner *runner = relay->options.runner;
 	struct dff_run_order order;
 	struct dff_run_watch watch;
-	if (!relay_call_read (from, &order, &watch))
+	if (!relay_call_read (message, &order, &watch))
 		return false;
 	struct call *call = g_new0 (struct call, 1);
 	call->relay = relay;
 	call->connection = relay->connection;
-	call->id = from->id;
+	call->id = message->id;
 	g_hash_table_add (relay->calls, call);
 	(*relay->n_calls)++;
-	if (from->kind == DFF__RELAY__KIND__START)
+	if (message->kind == DFF__RELAY__KIND__START)
 		runner->start (runner->ctx, &order, handle_result, call);
-	else if (from->kind == DFF__RELAY__KIND__STOP)
+	else if (message->kind == DFF__RELAY__KIND__STOP)
 		runner->stop (runner->ctx, &order, handle_result, call);
 	else
 		runner->watch (runner->ctx, &watch, handle_result, call);
@@ -104,7 +105,7 @@
 }
 
 static void
-fail (struct dff_relay *relay)
+handle_unreadable_message (struct dff_relay *relay)
 {
 	dff_log (DFF_LOG_UPSTREAM, DFF_LOG_ERROR,
 		 "A message to this relay cannot be read. relay=%s", relay->options.name.data);
@@ -117,16 +118,16 @@
 {
 	Dff__Relay__Batch *batch = dff__relay__batch__unpack (NULL, len, data);
 	if (batch == NULL) {
-		fail (relay);
+		handle_unreadable_message (relay);
 		return;
 	}
-	relay->heard_ms = now_ms (relay);
+	relay->last_received_ms = now_ms (relay);
 	bool readable = true;
 	for (size_t i = 0; i < batch->n_calls && readable; i++)
-		readable = carry_out (relay, batch->calls[i]);
+		readable = execute_call (relay, batch->calls[i]);
 	dff__relay__batch__free_unpacked (batch, NULL);
 	if (!readable)
-		fail (relay);
+		handle_unreadable_message (relay);
 }
 
 void
@@ -134,7 +135,7 @@
 {
 	relay->link = *link;
 	relay->connected = true;
-	relay->heard_ms = now_ms (relay);
+	relay->last_received_ms = now_ms (relay);
 	relay->connection++;
 	/* Answers to an earlier connection are nothing to this one. */
 	relay_batch_free (relay->batch);
@@ -148,8 +149,8 @@
 dff_relay_disconnected (struct dff_relay *relay)
 {
 	relay->connected = false;
-	dff_timer_stop (relay->gather);
-	dff_timer_stop (relay->sign);
+	dff_timer_stop (relay->flush);
+	dff_timer_stop (relay->heartbeat);
 }
 
 void
@@ -167,8 +168,8 @@
 	relay->options = *options;
 	relay->calls = g_hash_table_new_full (NULL, NULL, g_free, NULL);
 	relay->batch = relay_batch_new ();
-	relay->gather = dff_timer_new (options->timers, handle_gather, relay);
-	relay->sign = dff_timer_new (options->timers, handle_sign, relay);
+	relay->flush = dff_timer_new (options->timers, handle_flush, relay);
+	relay->heartbeat = dff_timer_new (options->timers, handle_heartbeat, relay);
 	relay->n_calls = dff_metrics_counter (options->metrics, "dff_relay_calls_carried_total",
 					      "Calls carried out for the process that decides.");
 	return relay;
@@ -179,7 +180,7 @@
 {
 	g_hash_table_unref (relay->calls);
 	relay_batch_free (relay->batch);
-	dff_timer_free (relay->gather);
-	dff_timer_free (relay->sign);
+	dff_timer_free (relay->flush);
+	dff_timer_free (relay->heartbeat);
 	g_free (relay);
 }
--- a/relay/stream.c
+++ b/relay/stream.c
@@ -34,16 +34,16 @@
 
 /* Returns: whether a whole message was there. @fits: (out): whether its length is allowed. */
 static bool
-take_message (struct dff_stream *stream, bool *fits)
+take_message (struct dff_stream *stream, bool *within_limit)
 {
 	struct evbuffer *input = bufferevent_get_input (stream->events);
 	uint32_t length;
-	*fits = true;
+	*within_limit = true;
 	if (evbuffer_copyout (input, &length, LENGTH_BYTES) < LENGTH_BYTES)
 		return false;
 	length = ntohl (length);
-	*fits = length <= MESSAGE_BYTES_MAX;
-	if (!*fits || evbuffer_get_length (input) < LENGTH_BYTES + (size_t)length)
+	*within_limit = length <= MESSAGE_BYTES_MAX;
+	if (!*within_limit || evbuffer_get_length (input) < LENGTH_BYTES + (size_t)length)
 		return false;
 	evbuffer_drain (input, LENGTH_BYTES);
 	g_autofree uint8_t *message = g_malloc (length + 1);
@@ -53,7 +53,7 @@
 }
 
 static void
-release (struct dff_stream *stream)
+stream_destroy (struct dff_stream *stream)
 {
 	bufferevent_free (stream->events);
 	g_free (stream);
@@ -65,15 +65,15 @@
 {
 	(void)events;
 	struct dff_stream *stream = ctx;
-	bool fits = true;
+	bool within_limit = true;
 	stream->reading = true;
-	while (!stream->freed && take_message (stream, &fits))
+	while (!stream->freed && take_message (stream, &within_limit))
 		continue;
-	if (!stream->freed && !fits)
+	if (!stream->freed && !within_limit)
 		stream->handlers.ended (stream->handlers.ctx);
 	stream->reading = false;
 	if (stream->freed)
-		release (stream);
+		stream_destroy (stream);
 }
 
 static void
@@ -143,7 +143,7 @@
 {
 	stream->freed = true;
 	if (!stream->reading)
-		release (stream);
+		stream_destroy (stream);
 }
 
 void
--- a/tests/relay/test-relay.c
+++ b/tests/relay/test-relay.c
@@ -54,7 +54,7 @@
 	enum dff_run_end end;
 	size_t checkpoint_len;
 	int64_t clock_ms;
-	int64_t born_ms;
+	int64_t started_ms;
 };
 
 static struct dff_memory_task
@@ -93,7 +93,7 @@
 }
 
 static void
-note_silent (void *ctx)
+count_silence (void *ctx)
 {
 	struct fixture *fixture = ctx;
 	fixture->n_silent++;
@@ -109,7 +109,7 @@
 		.metrics = fixture->metrics,
 		.runner = dff_memory_runner_client_interface (process->client),
 		.name = dff_name_printf ("relay-%d", index),
-		.holder_silent = note_silent,
+		.holder_silent = count_silence,
 		.ctx = fixture};
 	process->relay = dff_relay_new (&options);
 	process->link = dff_memory_link_new (fixture->loop, fixture->dispatch, process->relay);
@@ -177,7 +177,7 @@
 	outcome->n_running = result->n_running;
 	outcome->n_ended = result->n_ended;
 	outcome->clock_ms = result->clock_ms;
-	outcome->born_ms = result->started_ms;
+	outcome->started_ms = result->started_ms;
 	if (result->n_ended > 0)
 		outcome->end = result->ended[0].end;
 	if (result->n_running > 0)
@@ -270,7 +270,7 @@
 
 /* Guards against the lists of two lives of a worker being mixed on their way through a relay. */
 static void
-test_lists_tell_the_life (void **state)
+test_answers_carry_the_incarnation (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -282,16 +282,16 @@
 				      .epoch = 1,
 				      .deadline_ms = DEADLINE_MS,
 				      .timeout_ms = 500};
-	int64_t born_ms = dff_virtual_loop_now_ms (fixture.loop);
+	int64_t started_ms = dff_virtual_loop_now_ms (fixture.loop);
 	for (int i = 0; i < 2; i++) {
 		struct outcome outcome = {0};
 		runner->watch (runner->ctx, &watch, handle_result, &outcome);
 		dff_virtual_loop_run (fixture.loop, 100);
 		assert_int_equal (outcome.outcome, DFF_RUNNER_DONE);
-		assert_int_equal (outcome.born_ms, born_ms);
+		assert_int_equal (outcome.started_ms, started_ms);
 		assert_in_range (outcome.clock_ms, 1, 200);
 		dff_memory_runner_kill (fixture.runner, "again");
-		born_ms = dff_virtual_loop_now_ms (fixture.loop);
+		started_ms = dff_virtual_loop_now_ms (fixture.loop);
 		dff_memory_runner_add_with_start (fixture.runner, "again", "10.0.9.1:1", 8, 1000);
 	}
 	close_fixture (&fixture);
@@ -299,7 +299,7 @@
 
 /* What a worker says comes back whole, and no call goes past the relays. */
 static void
-test_calls_and_answers (void **state)
+test_calls_and_answers_arrive_whole (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -340,7 +340,7 @@
  * the process that carries their calls is cut off, frozen, or gone. Cause: its calls never ended.
  * They end as unknown within a second or so, and the next ones go through another process. */
 static void
-test_lost_relay (void **state)
+test_calls_through_a_lost_relay (void **state)
 {
 	(void)state;
 	static const struct {
@@ -382,7 +382,7 @@
 /* Symptom: a worker counts as lost though it serves. Sequence: the process that carries its calls
  * does not reach it, others do. Cause: each call took the same way. */
 static void
-test_relay_that_does_not_reach_a_worker (void **state)
+test_worker_out_of_reach_of_relays (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -410,7 +410,7 @@
  * Sequence: it stands still for three seconds; its timers run before what has arrived is read.
  * Cause: its own pause was taken for their silence. */
 static void
-test_own_pause (void **state)
+test_own_pause_is_not_relay_silence (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -424,7 +424,7 @@
 
 /* A process that is about to stop is given nothing new; what it has begun ends there. */
 static void
-test_leaving_relay (void **state)
+test_stopping_relay_gets_no_calls (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -453,7 +453,7 @@
 
 /* More than are wanted are turned away, and none is wanted where nobody decides. */
 static void
-test_limit (void **state)
+test_relay_limit (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -471,12 +471,12 @@
 /* Bytes that are no message end the connection and nothing else: random ones, and a relay's
  * messages cut short or with a byte changed. Seeded. */
 static void
-test_unreadable_messages (void **state)
+test_unreadable_message_ends_the_connection (void **state)
 {
 	(void)state;
 	/* A name, and an answer to a call that nobody made, as protobuf has them. */
-	static const uint8_t sound[] = {0x1a, 0x03, 'r',  '-',  '1',  0x12, 0x06,
-					0x08, 0x07, 0x10, 0x02, 0x18, 0x05};
+	static const uint8_t valid_message[] = {0x1a, 0x03, 'r',  '-',  '1',  0x12, 0x06,
+						0x08, 0x07, 0x10, 0x02, 0x18, 0x05};
 	g_autoptr (GRand) rand = g_rand_new_with_seed (20261203);
 	struct fixture fixture;
 	open_fixture (&fixture);
@@ -487,10 +487,11 @@
 			for (size_t j = 0; j < len; j++)
 				bytes[j] = (uint8_t)g_rand_int (rand);
 		} else {
-			len = i % 3 == 1 ? MIN (len, sizeof (sound)) : sizeof (sound);
-			memcpy (bytes, sound, len);
+			len = i % 3 == 1 ? MIN (len, sizeof (valid_message))
+					 : sizeof (valid_message);
+			memcpy (bytes, valid_message, len);
 			if (i % 3 == 2)
-				bytes[g_rand_int_range (rand, 0, sizeof (sound))] =
+				bytes[g_rand_int_range (rand, 0, sizeof (valid_message))] =
 					(uint8_t)g_rand_int (rand);
 		}
 		dff_memory_link_inject (fixture.relays[0].link, bytes, len);
@@ -515,8 +516,8 @@
 
 struct stream_test {
 	struct event_base *base;
-	struct dff_stream *near;
-	struct dff_stream *far;
+	struct dff_stream *client;
+	struct dff_stream *server;
 	GString *received;
 	int n_messages;
 	bool connected;
@@ -538,7 +539,7 @@
 }
 
 static void
-handle_end (void *ctx)
+handle_ended (void *ctx)
 {
 	((struct stream_test *)ctx)->ended = true;
 }
@@ -548,14 +549,14 @@
 {
 	struct stream_test *test = ctx;
 	struct dff_stream_handlers handlers = {
-		.message = handle_message, .ended = handle_end, .ctx = test};
-	test->far = dff_stream_accept (test->base, fd, &handlers);
+		.message = handle_message, .ended = handle_ended, .ctx = test};
+	test->server = dff_stream_accept (test->base, fd, &handlers);
 }
 
 /* Messages arrive whole and in order, whatever their length; the end of one side is told to the
  * other, and a length beyond the limit ends the connection. */
 static void
-test_stream (void **state)
+test_stream_keeps_messages_whole (void **state)
 {
 	(void)state;
 	struct stream_test test = {.base = dff_event_base_new (), .received = g_string_new (NULL)};
@@ -565,26 +566,26 @@
 	struct dff_name address = dff_stream_listener_address (listener);
 	struct dff_stream_handlers handlers = {.connected = handle_connected,
 					       .message = handle_message,
-					       .ended = handle_end,
+					       .ended = handle_ended,
 					       .ctx = &test};
-	test.near = dff_stream_connect (test.base, &address, &handlers);
-	while (!test.connected || test.far == NULL)
+	test.client = dff_stream_connect (test.base, &address, &handlers);
+	while (!test.connected || test.server == NULL)
 		event_base_loop (test.base, EVLOOP_ONCE);
 	static uint8_t large[300000];
 	memset (large, 'x', sizeof (large));
-	dff_stream_send (test.near, (const uint8_t *)"a", 1);
-	dff_stream_send (test.near, large, 0);
-	dff_stream_send (test.near, large, 300000);
-	dff_stream_send (test.near, (const uint8_t *)"z", 1);
+	dff_stream_send (test.client, (const uint8_t *)"a", 1);
+	dff_stream_send (test.client, large, 0);
+	dff_stream_send (test.client, large, 300000);
+	dff_stream_send (test.client, (const uint8_t *)"z", 1);
 	while (test.n_messages < 4)
 		event_base_loop (test.base, EVLOOP_ONCE);
 	assert_int_equal (test.received->len, 300002);
 	assert_int_equal (test.received->str[0], 'a');
 	assert_int_equal (test.received->str[300001], 'z');
-	dff_stream_free (test.near);
+	dff_stream_free (test.client);
 	while (!test.ended)
 		event_base_loop (test.base, EVLOOP_ONCE);
-	dff_stream_free (test.far);
+	dff_stream_free (test.server);
 	dff_stream_listener_free (listener);
 	g_string_free (test.received, TRUE);
 	event_base_free (test.base);
@@ -594,16 +595,16 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_calls_and_answers),
-		cmocka_unit_test (test_lists_tell_the_life),
+		cmocka_unit_test (test_calls_and_answers_arrive_whole),
+		cmocka_unit_test (test_answers_carry_the_incarnation),
 		cmocka_unit_test (test_relays_leave_a_former_holder),
-		cmocka_unit_test (test_lost_relay),
-		cmocka_unit_test (test_relay_that_does_not_reach_a_worker),
-		cmocka_unit_test (test_own_pause),
-		cmocka_unit_test (test_leaving_relay),
-		cmocka_unit_test (test_limit),
-		cmocka_unit_test (test_unreadable_messages),
-		cmocka_unit_test (test_stream),
+		cmocka_unit_test (test_calls_through_a_lost_relay),
+		cmocka_unit_test (test_worker_out_of_reach_of_relays),
+		cmocka_unit_test (test_own_pause_is_not_relay_silence),
+		cmocka_unit_test (test_stopping_relay_gets_no_calls),
+		cmocka_unit_test (test_relay_limit),
+		cmocka_unit_test (test_unreadable_message_ends_the_connection),
+		cmocka_unit_test (test_stream_keeps_messages_whole),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
