--- a/include/relay/dispatch.h
+++ b/include/relay/dispatch.h
@@ -8,52 +8,53 @@
 #include "upstream/runner.h"
 
 /*
- * The deciding process's end of the relays: workers as struct dff_runner, with the calls spread
- * over other processes that have connected. Each worker's calls go through one of them, by
- * rendezvous hashing; where a call has no answer the next one of that worker goes through another,
- * and without any relay, or after several such calls, calls go straight to the worker. Calls keep
- * their meaning: each ends once, and one whose relay was lost may have been carried out, or may be
- * later.
+ * The holder's end of the relays: an implementation of struct dff_runner that distributes calls to
+ * workers over other processes, the relays, which have connected to the holder. The relay for a
+ * worker is chosen by rendezvous hashing. When a call to a worker is not answered, the next call to
+ * this worker goes through another relay. Calls go directly to the worker if no relay is connected,
+ * and after several calls without an answer. As with any runner, each call ends exactly once, and a
+ * call whose relay was lost may have been executed or may be executed later.
  */
 
 struct dff_dispatch;
 
-/** A relay that has connected. */
+/** A connected relay. */
 struct dff_dispatch_relay;
 
 struct dff_dispatch_options {
 	const struct dff_timers *timers;
 	struct dff_metrics *metrics;
-	/** Calls that go straight to the worker. */
+	/** Runner for the calls that go directly to the worker. */
 	const struct dff_runner *direct;
 };
 
 struct dff_dispatch *dff_dispatch_new (const struct dff_dispatch_options *options);
 
-/** Closes all connections. Calls in progress are dropped without calling back. */
+/** Closes all connections. Calls in progress are dropped without a callback. */
 void dff_dispatch_free (struct dff_dispatch *dispatch);
 
 DFF_DEFINE_CLEANUP (dff_dispatch, dff_dispatch_free);
 
-/** Returns: (transfer none): the workers, valid as long as @dispatch. */
+/** Returns: (transfer none): the runner that uses the relays, valid as long as @dispatch. */
 const struct dff_runner *dff_dispatch_interface (struct dff_dispatch *dispatch);
 
-/** Sets how many relays are taken at the most; those beyond it are turned away. With 0 those that
- * are there are let go of, as this process does not decide any more. */
+/** Sets the maximum number of relays; further connections are closed. With 0, which is set when
+ * this process is no longer the holder, all relays are disconnected. */
 void dff_dispatch_set_limit (struct dff_dispatch *dispatch, int32_t limit);
 
-/** Returns: how many relays there are. */
+/** Returns: the number of connected relays. */
 int32_t dff_dispatch_n_relays (const struct dff_dispatch *dispatch);
 
-/** Takes in a process that has connected. Returns: (transfer none) (nullable): NULL when there are
- * enough, and @link is closed. */
+/** Adds a process that has connected as a relay. Returns: (transfer none) (nullable): the relay;
+ * NULL if the maximum number is reached, in which case @link is closed. */
 struct dff_dispatch_relay *dff_dispatch_add (struct dff_dispatch *dispatch,
 					     const struct dff_relay_link *link);
 
-/** Takes in a message. One that cannot be read ends the connection. */
+/** Handles a message from a relay. A malformed message ends the connection. */
 void dff_dispatch_receive (struct dff_dispatch_relay *relay, const uint8_t *data, size_t len);
 
-/** The connection has ended: calls that were under way through it end as unknown. */
+/** Handles the end of a relay's connection: calls in progress through it end with
+ * DFF_RUNNER_UNKNOWN. */
 void dff_dispatch_remove (struct dff_dispatch_relay *relay);
 
 #endif
--- a/include/relay/link.h
+++ b/include/relay/link.h
@@ -4,14 +4,15 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* A connection between two processes that carries whole messages in order, as an interface: sockets
- * in the program, memory in tests. */
+/* Interface of a connection between two processes that carries whole messages in order. The program
+ * implements it with sockets, tests in memory. */
 
 struct dff_relay_link {
-	/** Sends a message; it is lost if the connection is, which the other end is told of. */
+	/** Sends a message. The message is lost if the connection is lost; the loss of the
+	 * connection is reported to the other end. */
 	void (*send) (void *ctx, const uint8_t *data, size_t len);
-	/** Ends the connection; nothing is received from it any more. The end that does so is not
-	 * told. */
+	/** Closes the connection; no message is received from it any more. The end of the
+	 * connection is not reported to the side that closes it. */
 	void (*close) (void *ctx);
 	void *ctx;
 };
--- a/include/relay/relay.h
+++ b/include/relay/relay.h
@@ -8,10 +8,10 @@
 #include "upstream/runner.h"
 
 /*
- * The other end: carries out the calls of the process that decides, and sends their answers back.
- * It decides nothing and keeps nothing. What a call may do when it is carried out late is bounded
- * by what the call itself carries: the epoch, the run's number and the deadline on the worker's
- * clock.
+ * The relay's end of a connection to the holder: executes the holder's calls to workers and sends
+ * the answers back. It makes no decisions and stores nothing. A call that is executed late can do
+ * no harm: the epoch, the run number and the deadline on the worker's clock, which the call
+ * carries, bound its effect.
  */
 
 struct dff_relay;
@@ -20,31 +20,33 @@
 	const struct dff_timers *timers;
 	struct dff_metrics *metrics;
 	const struct dff_runner *runner;
-	/** Name of this process, by which workers are shared out. */
+	/** Name of this process, by which the holder assigns workers to relays. */
 	struct dff_name name;
-	/** (nullable): nothing was heard of the process that decides for a while; told again and
-	 * again. */
+	/** (nullable): called repeatedly while no message arrives from the holder. */
 	void (*holder_silent) (void *ctx);
 	void *ctx;
 };
 
 struct dff_relay *dff_relay_new (const struct dff_relay_options *options);
 
-/** The runner must have dropped its calls by then, or have none: they do not call back any more. */
+/** Calls of the runner must not call back afterwards: the runner must have dropped them or have
+ * none in progress. */
 void dff_relay_free (struct dff_relay *relay);
 
 DFF_DEFINE_CLEANUP (dff_relay, dff_relay_free);
 
-/** Serves a process through a new connection; answers to calls of an earlier one are dropped. */
+/** Handles a new connection to the holder. Answers to calls from an earlier connection are dropped.
+ */
 void dff_relay_connected (struct dff_relay *relay, const struct dff_relay_link *link);
 
-/** Takes in a message. One that cannot be read ends the connection. */
+/** Handles a message from the holder. A malformed message ends the connection. */
 void dff_relay_receive (struct dff_relay *relay, const uint8_t *data, size_t len);
 
-/** The connection has ended. */
+/** Handles the end of the connection. */
 void dff_relay_disconnected (struct dff_relay *relay);
 
-/** Tells that this process is about to stop: it is given no further calls. */
+/** Announces to the holder that this process is about to stop, so that the holder sends it no
+ * further calls. */
 void dff_relay_leave (struct dff_relay *relay);
 
 #endif
--- a/include/relay/stream.h
+++ b/include/relay/stream.h
@@ -7,15 +7,18 @@
 #include "common/str.h"
 #include "relay/link.h"
 
-/* Whole messages over TCP: a length of four bytes, the highest first, then so many bytes. */
+/* Framed messages over TCP: the length in four bytes, big-endian, then as many bytes of the
+ * message.
+ */
 
 struct dff_stream;
 
 struct dff_stream_handlers {
-	/** A connection that was asked for is there. Not called for one that was accepted. */
+	/** An outgoing connection is established. Not called for an accepted connection. */
 	void (*connected) (void *ctx);
 	void (*message) (void *ctx, const uint8_t *data, size_t len);
-	/** The connection has ended or was never made; the stream is to be freed, here or later. */
+	/** The connection has ended or could not be established. The owner has to free the stream,
+	 * in this callback or later. */
 	void (*ended) (void *ctx);
 	void *ctx;
 };
@@ -30,19 +33,21 @@
 				      evutil_socket_t fd,
 				      const struct dff_stream_handlers *handlers);
 
-/** Ends the connection. Bytes that were not sent yet are dropped. */
+/** Closes the connection and frees the stream. Unsent bytes are dropped. */
 void dff_stream_free (struct dff_stream *stream);
 
 DFF_DEFINE_CLEANUP (dff_stream, dff_stream_free);
 
-/** Sends a message. A connection whose peer has left too much unread is ended. */
+/** Sends a message. If too many bytes are unsent because the peer does not read them, the
+ * connection ends. */
 void dff_stream_send (struct dff_stream *stream, const uint8_t *data, size_t len);
 
 struct dff_stream_listener;
 
 typedef void (*dff_stream_accept_func) (void *ctx, evutil_socket_t fd);
 
-/** Returns: (transfer full) (nullable): a socket that accepts connections at @address. */
+/** Returns: (transfer full) (nullable): a listener that accepts connections at @address, "IP:PORT";
+ * NULL on failure. */
 struct dff_stream_listener *dff_stream_listen (struct event_base *base,
 					       const struct dff_name *address,
 					       dff_stream_accept_func accept,
@@ -50,7 +55,7 @@
 
 void dff_stream_listener_free (struct dff_stream_listener *listener);
 
-/** Returns: "IP:PORT" that is bound. */
+/** Returns: the bound address, "IP:PORT". */
 struct dff_name dff_stream_listener_address (const struct dff_stream_listener *listener);
 
 #endif
--- a/relay/dispatch.c
+++ b/relay/dispatch.c
@@ -6,24 +6,26 @@
 #include "common/rendezvous.h"
 #include "relay/message.h"
 
-/* Symptom without relays: one process has thousands of connections, of which each renewal, order
- * and end costs a call over HTTP, and is out of processor time while more than a hundred others
- * idle; orders of a gang's members go out seconds apart. With them it exchanges a few batches a
- * second with each of some dozens of processes. */
-
-/** How long renewals are gathered before they are sent, ms: each message costs this process several
- * calls to the system. Orders are sent at once, and take along what is there. */
+/* Without relays the holder has thousands of connections, and each lease renewal, order and
+ * completion costs an HTTP call: the holder runs out of CPU time while more than a hundred other
+ * processes are idle, and the orders to the members of a gang are sent seconds apart. With relays
+ * it exchanges a few batches a second with each of some dozens of processes. */
+
+/** Time for which lease renewals are collected into a batch before it is sent, ms: each message
+ * costs the holder several system calls. An order is sent at once, together with the renewals that
+ * are pending for the same relay. */
 #define BATCH_DELAY_MS 10
-/** Silence after which a relay is given up, ms: three times what it leaves between two messages at
- * the most. Its workers are asked through others long before their leases lapse. */
+/** Time without a message after which a relay is dropped, ms: three times the relay's longest
+ * interval between two messages. The leases of its workers are then renewed through other relays
+ * long before they expire. */
 #define RELAY_TIMEOUT_MS 1000
-/** Time between two looks at who is silent, ms. */
+/** Interval between two checks for silent relays, ms. */
 #define CHECK_INTERVAL_MS 100
-/** Calls to a worker without an answer, each through another relay, after which this process calls
- * it itself. */
+/** Number of unanswered calls to a worker, each through another relay, after which the next call
+ * goes directly to the worker. */
 #define RELAYED_ATTEMPTS_MAX 3
-/** Workers of which such calls are remembered; beyond it all are forgotten. Lives of workers come
- * and go for months. */
+/** Maximum number of workers whose unanswered calls are counted; when it is reached, all counts are
+ * reset. Worker ids are replaced for months, and the table would grow without limit. */
 #define UNANSWERED_WORKERS_MAX 4096
 
 struct call {
@@ -35,12 +37,14 @@
 struct dff_dispatch_relay {
 	struct dff_dispatch *dispatch;
 	struct dff_relay_link link;
-	/** Empty until its first message. */
+	/** Name of the relay; empty until its first message arrives. */
 	struct dff_name name;
+	/** Whether the relay is about to stop and gets no further calls. */
 	bool leaving;
+	/** Time of the last message, ms, moved forward by pauses of this process. */
 	int64_t last_received_ms;
 	struct relay_batch *batch;
-	/** uint64_t * (in the call's table) to struct call. */
+	/** Calls in progress: uint64_t *, the id of a call, to struct call *. */
 	GHashTable *calls;
 };
 
@@ -52,11 +56,12 @@
 	int32_t limit;
 	uint64_t next_id;
 	struct dff_timer *flush;
-	/** When what is gathered is due to be sent; 0: nothing is. */
+	/** Time at which the collected calls are due to be sent, ms; 0: there are none. */
 	int64_t flush_ms;
 	struct dff_timer *check;
+	/** Time of the last check for silent relays, ms. */
 	int64_t checked_ms;
-	/** Calls without an answer, by worker: struct dff_name * to its count. */
+	/** Number of unanswered calls of each worker: struct dff_name * to guint. */
 	GHashTable *unanswered;
 	int64_t *n_relays;
 	int64_t *n_relayed;
@@ -79,7 +84,8 @@
 	g_free (relay);
 }
 
-/* What a worker's calls without an answer say: the relay may be what does not reach it. */
+/* Counts the unanswered calls of a worker. The relay may be unable to reach a worker that serves,
+ * so that the next call has to take another path. */
 static void
 record_outcome (struct dff_dispatch *dispatch,
 		const struct dff_name *worker,
@@ -94,7 +100,8 @@
 			     GUINT_TO_POINTER (unanswered + 1));
 }
 
-/* Returns: (nullable): the relay for a worker's next call; NULL: none. */
+/* Returns: (nullable): the relay for a worker's next call; NULL: the call goes directly to the
+ * worker. */
 static struct dff_dispatch_relay *
 choose_relay (const struct dff_dispatch *dispatch, const struct dff_name *worker)
 {
@@ -137,7 +144,7 @@
 	return id;
 }
 
-/* Never later than it is due already. */
+/* Sends the collected calls after @delay_ms, or earlier if they are already due earlier. */
 static void
 flush_within (struct dff_dispatch *dispatch, int32_t delay_ms)
 {
@@ -212,7 +219,7 @@
 	}
 }
 
-/* Ends what was under way through a relay that is no longer in the list. */
+/* Ends the calls in progress through a relay that has been removed from the list. */
 static void
 end_calls (struct dff_dispatch_relay *relay)
 {
@@ -242,9 +249,9 @@
 	free_relay (relay);
 }
 
-/* Symptom: all relays are given up at once and every worker is asked anew. Sequence: this process
- * stands still for a second or more while their messages wait to be read. Cause: its own pause was
- * taken for their silence. So the time by which a look comes late does not count. */
+/* The time by which a check is late does not count as silence of the relays. Otherwise a pause of
+ * this process of a second or more, during which messages wait to be read, would drop all relays at
+ * once, and every worker would be called again. */
 static void
 handle_check (void *ctx)
 {
@@ -337,7 +344,7 @@
 	dff__relay__batch__free_unpacked (batch, NULL);
 }
 
-/* Relays that stay with a process which has stood down are missed by its successor. */
+/* Disconnects all relays when this process steps down: the next holder needs them. */
 static void
 drop_all_relays (struct dff_dispatch *dispatch)
 {
--- a/relay/message.c
+++ b/relay/message.c
@@ -1,13 +1,13 @@
 #include "relay/message.h"
 
-/* The messages of a batch and the texts that they refer to are kept by the batch until it is
- * packed: a worker's list of what runs is only lent for the length of a callback. */
+/* A batch owns its messages and copies of the texts that they refer to until it is packed: a
+ * worker's list of runs is valid only during the callback that reports it. */
 
 struct relay_batch {
 	/** Elements: Dff__Relay__Call *, Dff__Relay__Answer *. */
 	GPtrArray *calls;
 	GPtrArray *answers;
-	/** What the messages refer to. */
+	/** Memory of the messages and of the texts that they refer to. Elements: gpointer. */
 	GPtrArray *memory;
 	struct dff_name name;
 	bool leaving;
@@ -28,7 +28,7 @@
 static struct dff_str
 str_from_bytes (const ProtobufCBinaryData *bytes)
 {
-	/* Empty fields have no data, which libraries do not take for an empty string. */
+	/* An empty field has a NULL pointer, which libraries do not accept as an empty string. */
 	return (struct dff_str){bytes->len > 0 ? (const char *)bytes->data : "", bytes->len};
 }
 
--- a/relay/message.h
+++ b/relay/message.h
@@ -6,10 +6,10 @@
 #include "relay/relay.pb-c.h"
 #include "upstream/runner.h"
 
-/* Batches of calls and answers between the two ends of a relay, and the types of the runner that
- * they stand for. */
+/* Batches of calls and answers between the holder and a relay, and their conversion to and from the
+ * types of the runner. */
 
-/** A batch being gathered. Adding copies what it is given. */
+/** A batch that collects calls and answers until it is sent. Everything that is added is copied. */
 struct relay_batch;
 
 struct relay_batch *relay_batch_new (void);
@@ -35,23 +35,25 @@
 
 void relay_batch_set_leaving (struct relay_batch *batch, bool leaving);
 
-/** Returns: (transfer full): the batch as bytes; it is empty afterwards, but for what it says of
- * the sender. */
+/** Returns: (transfer full): the batch in its encoded form. Afterwards the batch has no calls and
+ * no answers; the sender's name and leaving flag stay. */
 GByteArray *relay_batch_pack (struct relay_batch *batch);
 
-/** Reads a call into one of @order and @watch, by its kind. What they refer to is @call's. Returns:
- * whether its names are well formed. */
+/** Converts a call to @order or @watch, depending on its kind. The results refer to memory of
+ * @call. Returns: whether the call's kind, times and names are valid. */
 bool relay_call_read (const Dff__Relay__Call *call,
 		      struct dff_run_order *order,
 		      struct dff_run_watch *watch);
 
 typedef void (*relay_answer_func) (void *user, const struct dff_runner_result *result);
 
-/** Reads an answer and passes it to @done, where it is valid. Outcomes and ends that are not known
- * are taken for unknown and for stopped. */
+/** Converts an answer and passes it to @done; the result is valid during this callback only. An
+ * unrecognized outcome of the call becomes DFF_RUNNER_UNKNOWN, an unrecognized end of a run
+ * DFF_RUN_STOPPED. */
 void relay_answer_read (const Dff__Relay__Answer *answer, relay_answer_func done, void *user);
 
-/** Returns: what @bytes says. @name: (out): empty where they are no name. */
+/** Parses a name. @name: (out): empty if @bytes is not a valid name. Returns: whether it is valid.
+ */
 bool relay_name_read (const ProtobufCBinaryData *bytes, struct dff_name *name);
 
 #endif
--- a/relay/relay.c
+++ b/relay/relay.c
@@ -3,24 +3,27 @@
 #include "common/log.h"
 #include "relay/message.h"
 
-/** How long answers are gathered before they are sent, ms: each message costs the other end a
- * wake-up, and a task's end is known as much later. */
+/** Time for which answers are collected into a batch before it is sent, ms. Each message wakes the
+ * holder; a longer delay postpones the report of a completed task. */
 #define BATCH_DELAY_MS 10
-/** Time between two messages at the most, ms: a process that tells nothing is given up. */
+/** Longest interval between two messages to the holder, ms; an empty batch serves as heartbeat. The
+ * holder drops a relay that sends nothing. */
 #define HEARTBEAT_INTERVAL_MS 300
-/** Silence of the process that decides after which somebody else may do so, ms: it renews the
- * leases of each relay's workers several times a second. */
+/** Time without a message after which the holder is reported as silent, because another process may
+ * have become the holder, ms. The holder renews the leases of each relay's workers several times a
+ * second. */
 #define HOLDER_TIMEOUT_MS 700
 
 struct dff_relay {
 	struct dff_relay_options options;
 	struct dff_relay_link link;
 	bool connected;
-	/** When the other end was heard last. */
+	/** Time of the last message from the holder, or of the connection before the first one, ms.
+	 */
 	int64_t last_received_ms;
-	/** Grows with each connection, to tell calls of an earlier one. */
+	/** Number of the current connection, to detect calls from an earlier one. */
 	int64_t connection;
-	/** Calls under way. Elements: struct call *. */
+	/** Calls in progress. Elements: struct call *. */
 	GHashTable *calls;
 	struct relay_batch *batch;
 	struct dff_timer *flush;
@@ -108,7 +111,8 @@
 handle_unreadable_message (struct dff_relay *relay)
 {
 	dff_log (DFF_LOG_UPSTREAM, DFF_LOG_ERROR,
-		 "A message to this relay cannot be read. relay=%s", relay->options.name.data);
+		 "Malformed message from the holder; closing the connection. relay=%s",
+		 relay->options.name.data);
 	relay->link.close (relay->link.ctx);
 	dff_relay_disconnected (relay);
 }
@@ -137,7 +141,7 @@
 	relay->connected = true;
 	relay->last_received_ms = now_ms (relay);
 	relay->connection++;
-	/* Answers to an earlier connection are nothing to this one. */
+	/* Answers to calls from an earlier connection must not be sent over this one. */
 	relay_batch_free (relay->batch);
 	relay->batch = relay_batch_new ();
 	relay_batch_set_name (relay->batch, &relay->options.name);
--- a/relay/stream.c
+++ b/relay/stream.c
@@ -8,12 +8,14 @@
 #include "common/address.h"
 #include "common/http_connection.h"
 
-/** Bytes of a message at the most: a batch of calls to some dozens of workers is a hundredth. */
+/** Maximum length of a message, bytes: a hundred times a batch of calls to some dozens of workers.
+ */
 #define MESSAGE_BYTES_MAX (4 << 20)
-/** Bytes that may wait to be sent: what a small machine's link carries in two seconds. */
+/** Unsent bytes beyond which the connection ends: the amount that the link of a small machine
+ * carries in two seconds. */
 #define UNSENT_BYTES_MAX (4 << 20)
-/** Time after which a connection is given up that is not made, or whose bytes are not acknowledged,
- * ms: a peer without power says nothing. */
+/** Time after which a connection attempt fails, and time after which a connection with
+ * unacknowledged bytes ends, ms. A peer that has lost power does not close its connections. */
 #define CONNECT_TIMEOUT_MS 1000
 #define UNACKNOWLEDGED_MS 2000
 #define LENGTH_BYTES 4
@@ -21,7 +23,8 @@
 struct dff_stream {
 	struct bufferevent *events;
 	struct dff_stream_handlers handlers;
-	/** Whether messages are being handed out, and whether it was freed meanwhile. */
+	/** Whether handle_read() is calling the message handler, and whether the handler has freed
+	 * the stream meanwhile. */
 	bool reading;
 	bool freed;
 };
@@ -32,7 +35,8 @@
 	void *ctx;
 };
 
-/* Returns: whether a whole message was there. @fits: (out): whether its length is allowed. */
+/* Passes the next message to the handler. Returns: whether a complete message had arrived.
+ * @within_limit: (out): whether the length of the message is allowed. */
 static bool
 take_message (struct dff_stream *stream, bool *within_limit)
 {
@@ -59,7 +63,7 @@
 	g_free (stream);
 }
 
-/* A handler may free the stream. */
+/* A handler may free the stream: the memory is released after the last handler has returned. */
 static void
 handle_read (struct bufferevent *events, void *ctx)
 {
@@ -152,8 +156,8 @@
 	struct evbuffer *output = bufferevent_get_output (stream->events);
 	uint32_t length = htonl ((uint32_t)len);
 	if (evbuffer_get_length (output) > UNSENT_BYTES_MAX) {
-		/* Ends in the next turn of the loop: the caller may be in the middle of something.
-		 */
+		/* The end is reported in the next iteration of the event loop, because the caller
+		 * may not be prepared for it during the call. */
 		bufferevent_trigger_event (stream->events, BEV_EVENT_ERROR,
 					   BEV_OPT_DEFER_CALLBACKS);
 		return;
--- a/tests/relay/test-relay.c
+++ b/tests/relay/test-relay.c
@@ -11,8 +11,8 @@
 #include "standin/memory_link.h"
 #include "standin/memory_runner.h"
 
-/* Calls to workers through other processes: one that decides, three relays, a dozen workers, all in
- * memory under a virtual clock; and the stream between them over loopback. */
+/* Calls to workers through relays: a holder, three relays and a dozen workers in memory under a
+ * virtual clock. Also the stream between a holder and a relay over the loopback interface. */
 
 #define RELAYS 3
 #define WORKERS 12
@@ -25,7 +25,7 @@
 	struct dff_memory_link *link;
 };
 
-/** A clock that may be ahead of the loop's: the process has stood still. */
+/** A clock that can be set ahead of the event loop's clock, to simulate a pause of the process. */
 struct pausing_clock {
 	struct dff_clock clock;
 	const struct dff_clock *loop;
@@ -41,11 +41,11 @@
 	struct dff_memory_runner_client *direct;
 	struct dff_dispatch *dispatch;
 	struct relay_process relays[RELAYS];
-	/** Times that a relay was told that it hears nothing. */
+	/** Number of times that a relay reported the holder as silent. */
 	int n_silent;
 };
 
-/** What became of a call. */
+/** The outcome of a call. */
 struct outcome {
 	bool ended;
 	enum dff_runner_outcome outcome;
@@ -154,7 +154,7 @@
 {
 	for (int i = 0; i < RELAYS; i++)
 		dff_memory_link_free (fixture->relays[i].link);
-	/* Calls in progress end by themselves. */
+	/* Lets all calls in progress end. */
 	dff_virtual_loop_run (fixture->loop, 30000);
 	for (int i = 0; i < RELAYS; i++)
 		dff_relay_free (fixture->relays[i].relay);
@@ -236,9 +236,9 @@
 	return *dff_metrics_counter (fixture->metrics, name, "");
 }
 
-/* Guards against relays that stay with a process which does not decide any more, so that the next
- * one calls all workers itself: one that stands down lets go of them, and the silence of one that
- * is frozen or cut off is noticed. */
+/* Guards against relays that stay connected to a former holder, so that the next holder has to call
+ * all workers directly. A holder that steps down disconnects its relays, and a relay reports the
+ * silence of a holder that is frozen or isolated. */
 static void
 test_relays_leave_a_former_holder (void **state)
 {
@@ -268,7 +268,8 @@
 	close_fixture (&fixture);
 }
 
-/* Guards against the lists of two lives of a worker being mixed on their way through a relay. */
+/* Guards against mixing the run lists of two incarnations of a worker: an answer through a relay
+ * carries the start time of the incarnation. */
 static void
 test_answers_carry_the_incarnation (void **state)
 {
@@ -297,7 +298,7 @@
 	close_fixture (&fixture);
 }
 
-/* What a worker says comes back whole, and no call goes past the relays. */
+/* Answers of workers arrive complete, and all calls go through the relays. */
 static void
 test_calls_and_answers_arrive_whole (void **state)
 {
@@ -336,9 +337,9 @@
 	close_fixture (&fixture);
 }
 
-/* Symptom: workers stay without word until their leases lapse, and what they run is lost. Sequence:
- * the process that carries their calls is cut off, frozen, or gone. Cause: its calls never ended.
- * They end as unknown within a second or so, and the next ones go through another process. */
+/* Guards against lost runs when a relay is isolated, frozen or gone: calls through the relay never
+ * end, the leases of its workers are not renewed and expire. The calls have to end as unknown
+ * within 1.3 s, and the next calls have to go through another relay. */
 static void
 test_calls_through_a_lost_relay (void **state)
 {
@@ -379,8 +380,8 @@
 	}
 }
 
-/* Symptom: a worker counts as lost though it serves. Sequence: the process that carries its calls
- * does not reach it, others do. Cause: each call took the same way. */
+/* Guards against treating a serving worker as lost: its relay cannot reach it, other processes can,
+ * and every call goes through the same relay. */
 static void
 test_worker_out_of_reach_of_relays (void **state)
 {
@@ -401,14 +402,14 @@
 		assert_true (outcome.ended);
 		n_calls++;
 	} while (outcome.outcome != DFF_RUNNER_DONE && n_calls < 10);
-	/* After three ways that fail it is called without a relay. */
+	/* After three unanswered calls through relays, the fourth call goes directly. */
 	assert_int_equal (n_calls, 4);
 	close_fixture (&fixture);
 }
 
-/* Symptom: the process that decides gives up all its relays at once and asks every worker anew.
- * Sequence: it stands still for three seconds; its timers run before what has arrived is read.
- * Cause: its own pause was taken for their silence. */
+/* Guards against dropping all relays after a pause of the holder: it pauses for three seconds, its
+ * timers run before the messages that have arrived are read, and its own pause looks like silence
+ * of the relays. Every worker would be called again. */
 static void
 test_own_pause_is_not_relay_silence (void **state)
 {
@@ -422,7 +423,7 @@
 	close_fixture (&fixture);
 }
 
-/* A process that is about to stop is given nothing new; what it has begun ends there. */
+/* A relay that is about to stop gets no further calls; its calls in progress end normally. */
 static void
 test_stopping_relay_gets_no_calls (void **state)
 {
@@ -451,7 +452,7 @@
 	close_fixture (&fixture);
 }
 
-/* More than are wanted are turned away, and none is wanted where nobody decides. */
+/* Relays beyond the limit are disconnected. The limit of a process that is not the holder is 0. */
 static void
 test_relay_limit (void **state)
 {
@@ -468,13 +469,14 @@
 	close_fixture (&fixture);
 }
 
-/* Bytes that are no message end the connection and nothing else: random ones, and a relay's
- * messages cut short or with a byte changed. Seeded. */
+/* Bytes that are not a message end the connection and have no other effect: random bytes, and
+ * messages of a relay that are truncated or have one byte changed. The random numbers are seeded.
+ */
 static void
 test_unreadable_message_ends_the_connection (void **state)
 {
 	(void)state;
-	/* A name, and an answer to a call that nobody made, as protobuf has them. */
+	/* A protobuf-encoded batch with a name and an answer to a call that was never made. */
 	static const uint8_t valid_message[] = {0x1a, 0x03, 'r',  '-',  '1',  0x12, 0x06,
 						0x08, 0x07, 0x10, 0x02, 0x18, 0x05};
 	g_autoptr (GRand) rand = g_rand_new_with_seed (20261203);
@@ -553,8 +555,8 @@
 	test->server = dff_stream_accept (test->base, fd, &handlers);
 }
 
-/* Messages arrive whole and in order, whatever their length; the end of one side is told to the
- * other, and a length beyond the limit ends the connection. */
+/* Messages of any length arrive whole and in order, and closing one end is reported to the other.
+ */
 static void
 test_stream_keeps_messages_whole (void **state)
 {
