--- a/tests/holder/site.c
+++ b/tests/holder/site.c
@@ -33,122 +33,122 @@
 /** Time of day at the start, ms since 1970, and on the machines' clock. */
 #define START_MS 1000000
 /** When crashed workers are back in another life, ms. */
-#define BACK_MS 3200
+#define RESTART_DELAY_MS 3200
 
 /* What a task of a job does, by the first character of the job's id. */
 static struct dff_memory_task
 describe (void *ctx, const struct dff_name *task)
 {
 	(void)ctx;
-	struct dff_memory_task what = {.duration_ms = 1000, .accelerators = 1};
+	struct dff_memory_task description = {.duration_ms = 1000, .accelerators = 1};
 	switch (task->data[0]) {
 	case '1': /* long */
-		what.duration_ms = 6000;
+		description.duration_ms = 6000;
 		break;
 	case '2': /* gang of 3 whole workers */
-		what.gang = 3;
-		what.accelerators = SITE_ACCELERATORS;
+		description.gang = 3;
+		description.accelerators = SITE_ACCELERATORS;
 		break;
 	case '3': /* fails at once */
-		what.duration_ms = 0;
-		what.failing_runs = DFF_MEMORY_TASK_ALWAYS_FAILS;
+		description.duration_ms = 0;
+		description.failing_runs = DFF_MEMORY_TASK_ALWAYS_FAILS;
 		break;
 	case '4': /* long and saves */
-		what.duration_ms = 6000;
-		what.checkpoints = true;
+		description.duration_ms = 6000;
+		description.checkpoints = true;
 		break;
 	case '5': /* long gang of 2 */
-		what.duration_ms = 3000;
-		what.gang = 2;
-		what.accelerators = 4;
+		description.duration_ms = 3000;
+		description.gang = 2;
+		description.accelerators = 4;
 		break;
 	case '7': /* very long */
-		what.duration_ms = 30000;
+		description.duration_ms = 30000;
 		break;
 	case '8': /* gang of 2 whole workers, the last member fails once */
-		what.gang = 2;
-		what.accelerators = SITE_ACCELERATORS;
-		what.failing_runs = g_str_has_suffix (task->data, ".1") ? 1 : 0;
+		description.gang = 2;
+		description.accelerators = SITE_ACCELERATORS;
+		description.failing_runs = g_str_has_suffix (task->data, ".1") ? 1 : 0;
 		break;
 	case '9': /* the same, and it fails each time */
-		what.gang = 2;
-		what.accelerators = SITE_ACCELERATORS;
-		what.failing_runs =
+		description.gang = 2;
+		description.accelerators = SITE_ACCELERATORS;
+		description.failing_runs =
 			g_str_has_suffix (task->data, ".1") ? DFF_MEMORY_TASK_ALWAYS_FAILS : 0;
 		break;
 	case 'x': /* crashes its worker */
-		what.crashes = true;
-		what.crashes_after_ms = 10;
+		description.crashes = true;
+		description.crashes_after_ms = 10;
 		break;
 	case 'y': /* long gang of 2 whole workers, the last member crashes its worker */
-		what.duration_ms = 3000;
-		what.gang = 2;
-		what.accelerators = SITE_ACCELERATORS;
-		what.crashes = g_str_has_suffix (task->data, ".1");
-		what.crashes_after_ms = 10;
+		description.duration_ms = 3000;
+		description.gang = 2;
+		description.accelerators = SITE_ACCELERATORS;
+		description.crashes = g_str_has_suffix (task->data, ".1");
+		description.crashes_after_ms = 10;
 		break;
 	case 'z': /* crashes its worker after a while */
-		what.duration_ms = 6000;
-		what.crashes = true;
-		what.crashes_after_ms = 2500;
+		description.duration_ms = 6000;
+		description.crashes = true;
+		description.crashes_after_ms = 2500;
 		break;
 	case 'u': /* for minutes */
-		what.duration_ms = 100000;
+		description.duration_ms = 100000;
 		break;
 	case '6': /* a whole worker */
-		what.duration_ms = 2000;
-		what.accelerators = SITE_ACCELERATORS;
+		description.duration_ms = 2000;
+		description.accelerators = SITE_ACCELERATORS;
 		break;
 	default:
 		break;
 	}
-	return what;
+	return description;
 }
 
-struct presence {
+struct probe {
 	dff_holder_probe_func done;
 	void *user;
-	enum dff_holder_probe_result presence;
-	struct site_process *asker;
-	int32_t lives;
+	enum dff_holder_probe_result probe;
+	struct site_process *sender;
+	int32_t incarnation;
 };
 
 static void
-answer_presence (void *user)
+answer_probe (void *user)
 {
-	struct presence *presence = user;
-	if (presence->asker->alive && presence->asker->lives == presence->lives)
-		presence->done (presence->user, presence->presence);
-	g_free (presence);
+	struct probe *probe = user;
+	if (probe->sender->alive && probe->sender->incarnation == probe->incarnation)
+		probe->done (probe->user, probe->probe);
+	g_free (probe);
 }
 
 static void
 ask_presence (void *ctx,
 	      const struct dff_name *address,
 	      const struct dff_name *instance,
-	      const struct dff_holder_probe *question,
+	      const struct dff_holder_probe *query,
 	      dff_holder_probe_func done,
 	      void *user)
 {
-	struct site_process *asker = ctx;
-	struct site *site = asker->site;
-	struct presence *presence = g_new0 (struct presence, 1);
-	const struct site_process *asked = &site->processes[address->data[1] - '0'];
-	presence->done = done;
-	presence->user = user;
-	presence->asker = asker;
-	presence->lives = asker->lives;
-	if (asked->unheard) {
-		presence->presence = DFF_HOLDER_PROBE_TIMED_OUT;
-		dff_virtual_loop_schedule (site->loop, 300, answer_presence, presence);
+	struct site_process *sender = ctx;
+	struct site *site = sender->site;
+	struct probe *probe = g_new0 (struct probe, 1);
+	const struct site_process *target = &site->processes[address->data[1] - '0'];
+	probe->done = done;
+	probe->user = user;
+	probe->sender = sender;
+	probe->incarnation = sender->incarnation;
+	if (target->isolated) {
+		probe->probe = DFF_HOLDER_PROBE_TIMED_OUT;
+		dff_virtual_loop_schedule (site->loop, 300, answer_probe, probe);
 		return;
 	}
-	presence->presence = DFF_HOLDER_PROBE_REFUSED;
-	if (asked->alive)
-		presence->presence = DFF_HOLDER_PROBE_REPLACED;
-	if (asked->alive && dff_name_equal (&asked->instance, instance))
-		presence->presence = dff_holder_answer_probe (asked->holder, question);
-	dff_virtual_loop_schedule (site->loop, 2, answer_presence, presence);
+	probe->probe = DFF_HOLDER_PROBE_REFUSED;
+	if (target->alive)
+		probe->probe = DFF_HOLDER_PROBE_REPLACED;
+	if (target->alive && dff_name_equal (&target->instance, instance))
+		probe->probe = dff_holder_answer_probe (target->holder, query);
+	dff_virtual_loop_schedule (site->loop, 2, answer_probe, probe);
 }
 
 static bool
@@ -166,7 +166,7 @@
 }
 
 static void
-handle_store_heard (void *ctx)
+handle_store_recovered (void *ctx)
 {
 	struct site_process *process = ctx;
 	if (process->requests != NULL)
@@ -183,7 +183,7 @@
 		.rows = dff_memory_rows_client_interface (process->rows),
 		.probe_table = DFF_TABLE_CELL,
 		.probe_key = DFF_KEY_HOLDER,
-		.recovered = handle_store_heard,
+		.recovered = handle_store_recovered,
 		.recovered_ctx = process,
 	};
 	process->health = dff_rows_health_new (&options);
@@ -206,7 +206,7 @@
 }
 
 static void
-handle_requests_whole (void *ctx)
+handle_requests_end (void *ctx)
 {
 	dff_evacuations_end_snapshot (((struct site_process *)ctx)->evacuations);
 }
@@ -242,19 +242,19 @@
 		.timeout_margin_ms = 1000,
 		.sink = {.row = handle_request_row,
 			 .begin_snapshot = handle_requests_begin,
-			 .end_snapshot = handle_requests_whole,
+			 .end_snapshot = handle_requests_end,
 			 .ctx = process},
 	};
 	process->requests = dff_subscription_new (&follower);
 }
 
 void
-site_deafen (struct site *site, int process, bool deaf)
+site_block_requests (struct site *site, int process, bool blocked)
 {
-	struct site_process *deafened = &site->processes[process];
-	g_clear_pointer (&deafened->requests, dff_subscription_free);
-	if (!deaf)
-		follow_requests (site, deafened);
+	struct site_process *target = &site->processes[process];
+	g_clear_pointer (&target->requests, dff_subscription_free);
+	if (!blocked)
+		follow_requests (site, target);
 }
 
 static void
@@ -270,7 +270,7 @@
 		options.relay_address = dff_name_printf ("p%d", index);
 		options.relay_min_workers = 1;
 		options.relay_connect = site_relays_follow;
-		options.relay_set_limit = site_relays_want;
+		options.relay_set_limit = site_relays_set_limit;
 		options.relay_ctx = process;
 	}
 	options.metrics = process->metrics;
@@ -286,7 +286,7 @@
 	options.read_upstream = site_workers_read_upstream;
 	if (site->links)
 		site_links_options (process, &options);
-	if (site->evacuates) {
+	if (site->with_evacuations) {
 		options.evacuations_age_ms = evacuations_age_ms;
 		options.evacuations_ctx = process;
 	}
@@ -294,7 +294,7 @@
 	struct dff_holder_team team = {.name = dff_name_from ("team")};
 	dff_holder_set_teams (process->holder, &team, 1);
 	struct dff_name service = dff_name_from ("service");
-	if (site->unguarded)
+	if (site->unenforced)
 		dff_holder_set_unenforced (process->holder, &service, 1);
 }
 
@@ -304,8 +304,8 @@
 	struct site_process *process = &site->processes[index];
 	process->site = site;
 	process->alive = true;
-	process->lives++;
-	process->instance = dff_name_printf ("p%d.%d", index, process->lives);
+	process->incarnation++;
+	process->instance = dff_name_printf ("p%d.%d", index, process->incarnation);
 	process->metrics = dff_metrics_new ();
 	process->rows = dff_memory_rows_client_new (site->rows);
 	process->runner = dff_memory_runner_client_new (site->runner);
@@ -313,7 +313,7 @@
 	if (site->links)
 		site_links_start (process);
 	open_holder (site, process, index);
-	if (site->evacuates)
+	if (site->with_evacuations)
 		follow_requests (site, process);
 	struct dff_front_options front = {
 		.timers = dff_virtual_loop_timers (site->loop),
@@ -323,7 +323,7 @@
 		.ctx = process,
 	};
 	if (site->links)
-		site_links_front (process, &front);
+		site_links_front_options (process, &front);
 	process->front = dff_front_new (&front);
 }
 
@@ -352,7 +352,7 @@
 open_site (struct site *site)
 {
 	site->loop = dff_virtual_loop_new (START_MS);
-	site->back_ms = BACK_MS;
+	site->restart_delay_ms = RESTART_DELAY_MS;
 	site->rows = dff_memory_rows_new (site->loop);
 	site->accepted = g_ptr_array_new_with_free_func (g_free);
 	site->hops = g_ptr_array_new_with_free_func (site_hop_free);
@@ -361,13 +361,13 @@
 						    .stop_grace_ms = 400,
 						    .gang_wait_ms = 3000,
 						    .max_attempts = SITE_MAX_ATTEMPTS,
-						    .unenforced = site->unguarded,
+						    .unenforced = site->unenforced,
 						    .crashed = site_workers_handle_crash,
 						    .ctx = site};
 	site->runner = dff_memory_runner_new (&options);
 	for (int i = 0; i < SITE_WORKERS; i++)
 		site_workers_add (site, i);
-	if (site->unguarded)
+	if (site->unenforced)
 		site_workers_write_entries (site);
 	for (int i = 0; i < SITE_PROCESSES; i++)
 		site_start_process (site, i);
@@ -419,10 +419,10 @@
 }
 
 void
-site_open_unguarded (struct site *site)
+site_open_unenforced (struct site *site)
 {
 	memset (site, 0, sizeof (*site));
-	site->unguarded = true;
+	site->unenforced = true;
 	open_site (site);
 }
 
@@ -439,7 +439,7 @@
 site_open_with_evacuations (struct site *site)
 {
 	memset (site, 0, sizeof (*site));
-	site->evacuates = true;
+	site->with_evacuations = true;
 	open_site (site);
 }
 
@@ -567,7 +567,7 @@
 }
 
 int32_t
-site_waiting (struct site *site, int process)
+site_count_waiting (struct site *site, int process)
 {
 	struct answer answer = {0};
 	struct dff_front_reply reply = reply_to (site, &answer);
@@ -588,7 +588,7 @@
 }
 
 int64_t
-site_until (struct site *site, const char *id, const char *state, int64_t limit_ms)
+site_wait_for_state (struct site *site, const char *id, const char *state, int64_t limit_ms)
 {
 	int64_t begun_ms = dff_virtual_loop_now_ms (site->loop);
 	while (dff_virtual_loop_now_ms (site->loop) - begun_ms < limit_ms) {
--- a/tests/holder/site.h
+++ b/tests/holder/site.h
@@ -41,8 +41,8 @@
 	struct site *site;
 	bool alive;
 	/** Whether other processes do not hear it. */
-	bool unheard;
-	int32_t lives;
+	bool isolated;
+	int32_t incarnation;
 	struct dff_name instance;
 	struct dff_metrics *metrics;
 	struct dff_memory_rows_client *rows;
@@ -60,7 +60,7 @@
 	struct dff_evacuations *evacuations;
 	/** With links: what goes through the process that decides, and which that is. */
 	struct dff_intake *intake;
-	struct dff_name decider;
+	struct dff_name holder_address;
 };
 
 /** What a worker has written of itself last. */
@@ -76,7 +76,7 @@
 	/** Whether calls to workers go through the processes that do not decide. */
 	bool relays;
 	/** Whether processes follow requests to empty data centres. */
-	bool evacuates;
+	bool with_evacuations;
 	/** Whether rows and questions about states go through the process that decides. */
 	bool links;
 	/** Elements: struct hop *, see site_links.c. */
@@ -90,7 +90,7 @@
 	/** What a take-over takes each process, ms; from its next start on. */
 	int64_t takeover_ms[SITE_PROCESSES];
 	struct dff_memory_worker_faults *workers[SITE_WORKERS];
-	int32_t worker_lives[SITE_WORKERS];
+	int32_t worker_incarnations[SITE_WORKERS];
 	/** Whether workers start again under their ids, and tell when they started. */
 	bool same_ids;
 	/** What each worker's next life has room for; 0: as usual. */
@@ -99,11 +99,11 @@
 	int32_t accelerators[SITE_WORKERS];
 	/** Whether workers start what they have no room for, and write their entries again and
 	 * again. */
-	bool unguarded;
+	bool unenforced;
 	struct site_entry entries[SITE_WORKERS];
 	bool closing;
 	/** When a worker that a task has crashed is back in another life, ms; 0: it is gone. */
-	int64_t back_ms;
+	int64_t restart_delay_ms;
 	/** Elements: char *: jobs whose acceptance was confirmed. */
 	GPtrArray *accepted;
 };
@@ -119,7 +119,7 @@
 void site_open_with_relays (struct site *site);
 
 /** The same, without relays, with workers that start whatever they are told to. */
-void site_open_unguarded (struct site *site);
+void site_open_unenforced (struct site *site);
 
 /** The same, with workers that start again under their ids. */
 void site_open_with_same_ids (struct site *site, bool relays);
@@ -137,7 +137,7 @@
 void site_evacuate (struct site *site, int data_centre, bool requested);
 
 /** Has a process hear no more of operators' requests, or follow them anew. */
-void site_deafen (struct site *site, int process, bool deaf);
+void site_block_requests (struct site *site, int process, bool blocked);
 
 /** Has messages of a process's connection as a relay be lost, until it has another. */
 void site_silence_relay (struct site *site, int process);
@@ -172,7 +172,7 @@
 void site_end_worker (struct site *site, int index);
 
 /** Ends a worker's life; another one begins at its address. */
-void site_reborn_worker (struct site *site, int index);
+void site_restart_worker (struct site *site, int index);
 
 /** A plan of one step. */
 struct dff_plan *site_plan (const char *id, int32_t count, bool gang, int32_t accelerators);
@@ -186,9 +186,10 @@
 const char *site_state (struct site *site, int process, const char *id);
 
 /** Returns: the count of jobs not begun; -1: unavailable. */
-int32_t site_waiting (struct site *site, int process);
+int32_t site_count_waiting (struct site *site, int process);
 
 /** Runs until a job has @state, for @limit_ms at most. Returns: the time that took; -1: never. */
-int64_t site_until (struct site *site, const char *id, const char *state, int64_t limit_ms);
+int64_t
+site_wait_for_state (struct site *site, const char *id, const char *state, int64_t limit_ms);
 
 #endif
--- a/tests/holder/site_links.c
+++ b/tests/holder/site_links.c
@@ -1,17 +1,17 @@
 #include "tests/holder/site_links.h"
 
 /** Time until a message arrives, ms. */
-#define WAY_MS 1
+#define MESSAGE_DELAY_MS 1
 /** Time after which a question has no answer any more, ms. */
-#define ASK_TIMEOUT_MS 200
+#define QUERY_TIMEOUT_MS 200
 /** The same for a row, beyond its own time. */
 #define ROW_MARGIN_MS 200
 
 /** A row or a question on its way to the process that decides, and its answer back. Kept until the
  * site is closed: either end may be killed meanwhile. */
 struct hop {
-	struct site_process *asker;
-	int32_t asker_lives;
+	struct site_process *sender;
+	int32_t sender_incarnation;
 	struct site_process *target;
 	struct dff_name job;
 	GString *value;
@@ -21,27 +21,27 @@
 	void *user;
 	bool answered;
 	struct dff_intake_forward_result forwarded;
-	struct dff_holder_job_state sight;
+	struct dff_holder_job_state job_state;
 };
 
 static struct dff_virtual_loop *
 loop_of (const struct hop *hop)
 {
-	return hop->asker->site->loop;
+	return hop->sender->site->loop;
 }
 
 static struct hop *
-hop_new (struct site_process *asker, const struct dff_name *job, void *user)
+hop_new (struct site_process *sender, const struct dff_name *job, void *user)
 {
 	struct hop *hop = g_new0 (struct hop, 1);
-	hop->asker = asker;
-	hop->asker_lives = asker->lives;
-	hop->target = &asker->site->processes[asker->decider.data[1] - '0'];
+	hop->sender = sender;
+	hop->sender_incarnation = sender->incarnation;
+	hop->target = &sender->site->processes[sender->holder_address.data[1] - '0'];
 	hop->job = *job;
 	hop->user = user;
 	hop->forwarded = (struct dff_intake_forward_result){.delivery = DFF_INTAKE_UNREACHABLE,
 							    .outcome = DFF_ROWS_UNKNOWN};
-	g_ptr_array_add (asker->site->hops, hop);
+	g_ptr_array_add (sender->site->hops, hop);
 	return hop;
 }
 
@@ -55,16 +55,17 @@
 }
 
 static void
-deliver (void *user)
+deliver_answer (void *user)
 {
 	struct hop *hop = user;
-	if (hop->answered || !hop->asker->alive || hop->asker->lives != hop->asker_lives)
+	if (hop->answered || !hop->sender->alive ||
+	    hop->sender->incarnation != hop->sender_incarnation)
 		return;
 	hop->answered = true;
 	if (hop->row_done != NULL)
 		hop->row_done (hop->user, &hop->forwarded);
 	else
-		hop->state_done (hop->user, hop->sight.known, hop->sight.state);
+		hop->state_done (hop->user, hop->job_state.known, hop->job_state.state);
 }
 
 static void
@@ -73,28 +74,28 @@
 	struct hop *hop = user;
 	hop->forwarded.outcome = result->outcome;
 	hop->forwarded.delivery = DFF_INTAKE_DELIVERED;
-	dff_virtual_loop_schedule (loop_of (hop), WAY_MS, deliver, hop);
+	dff_virtual_loop_schedule (loop_of (hop), MESSAGE_DELAY_MS, deliver_answer, hop);
 }
 
 static void
-handle_sight (void *user, const struct dff_holder_job_state *sight)
+handle_job_state (void *user, const struct dff_holder_job_state *job_state)
 {
 	struct hop *hop = user;
-	hop->sight = *sight;
-	dff_virtual_loop_schedule (loop_of (hop), WAY_MS, deliver, hop);
+	hop->job_state = *job_state;
+	dff_virtual_loop_schedule (loop_of (hop), MESSAGE_DELAY_MS, deliver_answer, hop);
 }
 
 static void
-arrive (void *user)
+handle_arrival (void *user)
 {
 	struct hop *hop = user;
 	if (!hop->target->alive) {
 		hop->forwarded.outcome = DFF_ROWS_NOT_DONE;
-		dff_virtual_loop_schedule (loop_of (hop), WAY_MS, deliver, hop);
+		dff_virtual_loop_schedule (loop_of (hop), MESSAGE_DELAY_MS, deliver_answer, hop);
 		return;
 	}
 	if (hop->state_done != NULL) {
-		dff_holder_query_state (hop->target->holder, &hop->job, handle_sight, hop);
+		dff_holder_query_state (hop->target->holder, &hop->job, handle_job_state, hop);
 		return;
 	}
 	if (!dff_intake_is_holder (hop->target->intake)) {
@@ -102,7 +103,7 @@
 			.delivery = DFF_INTAKE_MISDIRECTED,
 			.outcome = DFF_ROWS_NOT_DONE,
 			.holder = *dff_intake_holder_address (hop->target->intake)};
-		dff_virtual_loop_schedule (loop_of (hop), WAY_MS, deliver, hop);
+		dff_virtual_loop_schedule (loop_of (hop), MESSAGE_DELAY_MS, deliver_answer, hop);
 		return;
 	}
 	struct dff_intake_row row = {.key = {hop->job.data, hop->job.len},
@@ -125,20 +126,21 @@
 	hop->value = g_string_new_len (row->value.data, (gssize)row->value.len);
 	hop->timeout_ms = row->timeout_ms;
 	hop->row_done = done;
-	dff_virtual_loop_schedule (loop_of (hop), WAY_MS, arrive, hop);
-	dff_virtual_loop_schedule (loop_of (hop), row->timeout_ms + ROW_MARGIN_MS, deliver, hop);
+	dff_virtual_loop_schedule (loop_of (hop), MESSAGE_DELAY_MS, handle_arrival, hop);
+	dff_virtual_loop_schedule (loop_of (hop), row->timeout_ms + ROW_MARGIN_MS, deliver_answer,
+				   hop);
 }
 
 static bool
-ask_state (void *ctx, const struct dff_name *job, dff_front_state_func done, void *user)
+query_state (void *ctx, const struct dff_name *job, dff_front_state_func done, void *user)
 {
 	struct site_process *process = ctx;
-	if (dff_name_is_empty (&process->decider))
+	if (dff_name_is_empty (&process->holder_address))
 		return false;
 	struct hop *hop = hop_new (process, job, user);
 	hop->state_done = done;
-	dff_virtual_loop_schedule (loop_of (hop), WAY_MS, arrive, hop);
-	dff_virtual_loop_schedule (loop_of (hop), ASK_TIMEOUT_MS, deliver, hop);
+	dff_virtual_loop_schedule (loop_of (hop), MESSAGE_DELAY_MS, handle_arrival, hop);
+	dff_virtual_loop_schedule (loop_of (hop), QUERY_TIMEOUT_MS, deliver_answer, hop);
 	return true;
 }
 
@@ -159,7 +161,7 @@
 }
 
 static bool
-writes_elsewhere (void *ctx)
+writes_forwarded (void *ctx)
 {
 	const struct site_process *process = ctx;
 	return dff_intake_writes_forwarded (process->intake);
@@ -167,33 +169,33 @@
 
 /* Everything goes through the process that decides, as in a store that is always slow. */
 static int64_t
-store_took_ms (void *ctx)
+store_latency_ms (void *ctx)
 {
 	(void)ctx;
 	return 1000;
 }
 
 static void
-note_moved (void *ctx, const struct dff_name *address)
+handle_holder_moved (void *ctx, const struct dff_name *address)
 {
 	struct site_process *process = ctx;
-	process->decider = *address;
+	process->holder_address = *address;
 }
 
 static void
-note_lost (void *ctx)
+handle_holder_lost (void *ctx)
 {
 	const struct site_process *process = ctx;
 	dff_holder_handle_holder_lost (process->holder);
 }
 
 static void
-note_holder (void *ctx, const struct dff_name *address, bool self)
+handle_holder_changed (void *ctx, const struct dff_name *address, bool self)
 {
 	struct site_process *process = ctx;
-	process->decider = *address;
+	process->holder_address = *address;
 	if (self)
-		process->decider =
+		process->holder_address =
 			dff_name_printf ("p%d", (int)(process - process->site->processes));
 	dff_intake_set_holder_address (process->intake, address, self);
 }
@@ -201,7 +203,7 @@
 void
 site_links_options (struct site_process *process, struct dff_holder_options *options)
 {
-	options->holder_changed = note_holder;
+	options->holder_changed = handle_holder_changed;
 	options->holder_ctx = process;
 }
 
@@ -214,26 +216,26 @@
 		.metrics = process->metrics,
 		.forward_min_latency_ms = 0,
 		.store_is_silent = store_is_silent,
-		.store_latency_ms = store_took_ms,
+		.store_latency_ms = store_latency_ms,
 		.store_ctx = process,
 		.forward = forward_row,
 		.forward_ctx = process,
 		.record = record_row,
 		.record_ctx = process,
-		.holder_lost = note_lost,
-		.holder_moved = note_moved,
+		.holder_lost = handle_holder_lost,
+		.holder_moved = handle_holder_moved,
 		.holder_ctx = process,
 	};
 	process->intake = dff_intake_new (&options);
-	process->decider = (struct dff_name){0};
+	process->holder_address = (struct dff_name){0};
 }
 
 void
-site_links_front (struct site_process *process, struct dff_front_options *options)
+site_links_front_options (struct site_process *process, struct dff_front_options *options)
 {
 	options->rows = dff_intake_interface (process->intake);
-	options->writes_forwarded = writes_elsewhere;
-	options->query_state = ask_state;
+	options->writes_forwarded = writes_forwarded;
+	options->query_state = query_state;
 	options->query_ctx = process;
 }
 
--- a/tests/holder/site_links.h
+++ b/tests/holder/site_links.h
@@ -12,7 +12,7 @@
 void site_links_start (struct site_process *process);
 
 /** Has a front go by it. */
-void site_links_front (struct site_process *process, struct dff_front_options *options);
+void site_links_front_options (struct site_process *process, struct dff_front_options *options);
 
 /** The process is killed; before its front and its store are freed. */
 void site_links_kill (struct site_process *process);
--- a/tests/holder/site_relays.c
+++ b/tests/holder/site_relays.c
@@ -44,7 +44,7 @@
 }
 
 void
-site_relays_want (void *ctx, int32_t n_relays)
+site_relays_set_limit (void *ctx, int32_t n_relays)
 {
 	struct site_process *process = ctx;
 	dff_dispatch_set_limit (process->dispatch, n_relays);
--- a/tests/holder/site_relays.h
+++ b/tests/holder/site_relays.h
@@ -10,7 +10,7 @@
 
 /** What a holder asks for: struct site_process as the context. */
 void site_relays_follow (void *ctx, const struct dff_name *address, int32_t n_relays);
-void site_relays_want (void *ctx, int32_t n_relays);
+void site_relays_set_limit (void *ctx, int32_t n_relays);
 
 /** Ends every connection of a process that is gone, its holder included. */
 void site_relays_kill (struct site_process *process);
--- a/tests/holder/site_workers.c
+++ b/tests/holder/site_workers.c
@@ -9,7 +9,7 @@
 {
 	if (site->same_ids)
 		return dff_name_printf ("w%d", index);
-	return dff_name_printf ("w%d-%d", index, site->worker_lives[index]);
+	return dff_name_printf ("w%d-%d", index, site->worker_incarnations[index]);
 }
 
 /* Value of a worker's row: "ADDRESS RACK LEAVING REMAINING ACCELERATORS BORN". */
@@ -119,7 +119,7 @@
 
 /* Has a worker notice starts that come too late after its data centre was to be emptied. */
 static void
-close_worker (struct site *site, int index)
+set_start_deadline (struct site *site, int index)
 {
 	int64_t evacuated_ms = site->evacuated_ms[index / SITE_PER_RACK];
 	site->workers[index]->no_starts_from_ms =
@@ -143,7 +143,7 @@
 			: dff_memory_runner_add (site->runner, id.data, address.data, accelerators,
 						 clock_permille);
 	site_list_worker (site, index, true, false);
-	close_worker (site, index);
+	set_start_deadline (site, index);
 }
 
 void
@@ -156,45 +156,46 @@
 		dff_memory_rows_remove (site->rows, DFF_TABLE_CONFIG, key);
 	site->evacuated_ms[data_centre] = requested ? dff_virtual_loop_now_ms (site->loop) : 0;
 	for (int i = 0; i < SITE_WORKERS; i++)
-		close_worker (site, i);
+		set_start_deadline (site, i);
 }
 
 void
-site_reborn_worker (struct site *site, int index)
+site_restart_worker (struct site *site, int index)
 {
 	struct dff_name id = worker_id (site, index);
 	dff_memory_runner_kill (site->runner, id.data);
 	/* One that starts again under its id writes over its entry. */
 	if (!site->same_ids)
 		site_list_worker (site, index, false, false);
-	site->worker_lives[index]++;
+	site->worker_incarnations[index]++;
 	site_workers_add (site, index);
 }
 
 struct crash {
 	struct site *site;
 	int index;
-	int32_t life;
+	int32_t incarnation;
 	struct dff_name id;
 };
 
 static void
-lapse_entry (void *user)
+expire_entry (void *user)
 {
 	g_autofree struct crash *crash = user;
 	/* Another life has written its own by then. */
-	if (crash->site->same_ids && crash->site->worker_lives[crash->index] != crash->life)
+	if (crash->site->same_ids &&
+	    crash->site->worker_incarnations[crash->index] != crash->incarnation)
 		return;
 	dff_memory_rows_remove (crash->site->rows, DFF_TABLE_UPSTREAMS, crash->id.data);
 }
 
 static void
-return_crashed (void *user)
+restart_crashed (void *user)
 {
 	g_autofree struct crash *crash = user;
-	if (crash->site->worker_lives[crash->index] != crash->life)
+	if (crash->site->worker_incarnations[crash->index] != crash->incarnation)
 		return;
-	crash->site->worker_lives[crash->index]++;
+	crash->site->worker_incarnations[crash->index]++;
 	site_workers_add (crash->site, crash->index);
 }
 
@@ -205,12 +206,12 @@
 	int index = id[1] - '0';
 	struct crash crash = {.site = site,
 			      .index = index,
-			      .life = site->worker_lives[index],
+			      .incarnation = site->worker_incarnations[index],
 			      .id = dff_name_from (id)};
 	site->entries[crash.index].listed = false;
-	dff_virtual_loop_schedule (site->loop, SITE_ENTRY_LAPSE_MS, lapse_entry,
+	dff_virtual_loop_schedule (site->loop, SITE_ENTRY_LAPSE_MS, expire_entry,
 				   g_memdup2 (&crash, sizeof (crash)));
-	if (site->back_ms > 0)
-		dff_virtual_loop_schedule (site->loop, site->back_ms, return_crashed,
+	if (site->restart_delay_ms > 0)
+		dff_virtual_loop_schedule (site->loop, site->restart_delay_ms, restart_crashed,
 					   g_memdup2 (&crash, sizeof (crash)));
 }
--- a/tests/holder/test-holder-crashes.c
+++ b/tests/holder/test-holder-crashes.c
@@ -7,36 +7,36 @@
 
 /** Time by which such a job is over, ms: five crashes with the workers' leases to wait for, and
  * take-overs between. */
-#define OVER_MS 120000
+#define END_LIMIT_MS 120000
 /** Starts at the most: of a task under which three workers have crashed, two more. */
-#define STARTS_MAX 5
+#define MAX_STARTS 5
 
 /** Jobs that crash their workers, and as many beside them. */
-#define N_BESIDE 4
+#define N_OTHER_JOBS 4
 /** Times that a worker is lost under a task which is not to blame. */
-#define UNLUCKY_TIMES 6
+#define BLAMELESS_LOSSES 6
 /** Time until the lease of a worker that is cut off has surely lapsed, ms. */
-#define LEASE_PASSED_MS 11000
+#define LEASE_EXPIRED_MS 11000
 
 /** Time by which a task is started again, ms. */
 #define WAIT_MS 8000
 /** Time that a task is at work before its worker tells that it leaves, ms. */
-#define AT_WORK_MS 1500
+#define RUN_MS 1500
 /** Notice of a worker that leaves, ms. */
 #define NOTICE_MS 1800
 
-enum worker_end {
-	DFF_END_IS_CUT_OFF,
-	DFF_END_LEAVES,
-	DFF_END_CRASHES,
+enum worker_loss {
+	DFF_LOSS_CUT_OFF,
+	DFF_LOSS_LEAVES,
+	DFF_LOSS_CRASHES,
 	/** And the next one leaves, which the task is stopped for in time. */
-	DFF_END_CRASHES_NEXT_LEAVES,
+	DFF_LOSS_CRASHES_NEXT_LEAVES,
 };
 
-struct unlucky_case {
+struct blameless_case {
 	const char *name;
 	const char *id;
-	enum worker_end end;
+	enum worker_loss loss;
 	/** How long the task is at work between two of them, ms. */
 	int64_t between_ms;
 };
@@ -47,7 +47,7 @@
 	int32_t count;
 	int32_t accelerators;
 	/** When a crashed worker is back; 0: never. */
-	int64_t back_ms;
+	int64_t restart_delay_ms;
 	bool gang;
 	bool endless;
 	/** Whether the process that decides is killed after each crash. */
@@ -57,25 +57,25 @@
 };
 
 static int32_t
-n_lives (const struct site *site)
+count_incarnations (const struct site *site)
 {
-	int32_t lives = 0;
+	int32_t incarnations = 0;
 	for (int i = 0; i < SITE_WORKERS; i++)
-		lives += site->worker_lives[i];
-	return lives;
+		incarnations += site->worker_incarnations[i];
+	return incarnations;
 }
 
 /* Has the holder be killed each time a crashed worker is back, until the job is over. */
 static void
 run_with_take_overs (struct site *site, const char *id)
 {
-	int32_t lives = n_lives (site);
-	for (int i = 0; i < OVER_MS / 100; i++) {
+	int32_t incarnations = count_incarnations (site);
+	for (int i = 0; i < END_LIMIT_MS / 100; i++) {
 		site_run (site, 100);
 		int holder = site_holder (site);
-		if (n_lives (site) == lives || holder < 0)
+		if (count_incarnations (site) == incarnations || holder < 0)
 			continue;
-		lives = n_lives (site);
+		incarnations = count_incarnations (site);
 		site_kill_process (site, holder);
 		site_run (site, 700);
 		site_start_process (site, holder);
@@ -94,70 +94,84 @@
 static void
 test_task_that_crashes_its_workers (void **state)
 {
-	const struct crash_case *at = *state;
+	const struct crash_case *test_case = *state;
 	struct site site;
 	site_open (&site);
-	site.back_ms = at->back_ms;
-	for (int i = 0; i < SITE_WORKERS && at->unanswered; i++) {
+	site.restart_delay_ms = test_case->restart_delay_ms;
+	for (int i = 0; i < SITE_WORKERS && test_case->unanswered; i++) {
 		site.workers[i]->late_orders = 1;
 		site.workers[i]->late_ms = 600;
 	}
-	struct dff_plan *plan = site_plan (at->id, at->count, at->gang, at->accelerators);
-	dff_plan_step (plan, 0)->endless = at->endless;
+	struct dff_plan *plan = site_plan (test_case->id, test_case->count, test_case->gang,
+					   test_case->accelerators);
+	dff_plan_step (plan, 0)->endless = test_case->endless;
 	assert_int_equal (site_submit (&site, 0, plan), DFF_FRONT_OK);
-	if (at->taken_over)
-		run_with_take_overs (&site, at->id);
-	int64_t took_ms = site_until (&site, at->id, "failed", OVER_MS);
+	if (test_case->taken_over)
+		run_with_take_overs (&site, test_case->id);
+	int64_t took_ms = site_wait_for_state (&site, test_case->id, "failed", END_LIMIT_MS);
 	const char *violation = dff_memory_runner_violation (site.runner);
 	if (violation != NULL)
 		fail_msg ("%s", violation);
 	assert_int_not_equal (took_ms, -1);
 	site_run (&site, 10000);
-	g_autofree char *task = g_strdup_printf ("%s.0.0.%d", at->id, at->count - 1);
+	g_autofree char *task = g_strdup_printf ("%s.0.0.%d", test_case->id, test_case->count - 1);
 	/* To be given up, a job needs a task under which two workers have crashed. */
-	assert_in_range (dff_memory_runner_n_incarnations_ended (site.runner, task), 2, STARTS_MAX);
-	assert_in_range (dff_memory_runner_n_starts (site.runner, task), 2, STARTS_MAX);
+	assert_in_range (dff_memory_runner_n_incarnations_ended (site.runner, task), 2, MAX_STARTS);
+	assert_in_range (dff_memory_runner_n_starts (site.runner, task), 2, MAX_STARTS);
 	site_close (&site);
 }
 
 static struct crash_case crash_cases[] = {
-	{.name = "single", .id = "x", .count = 1, .accelerators = 1, .back_ms = 3200},
-	{.name = "lease lapses", .id = "x", .count = 1, .accelerators = 1, .back_ms = 14000},
-	{.name = "workers are gone", .id = "x", .count = 1, .accelerators = 1, .back_ms = 0},
+	{.name = "single", .id = "x", .count = 1, .accelerators = 1, .restart_delay_ms = 3200},
+	{.name = "lease lapses",
+	 .id = "x",
+	 .count = 1,
+	 .accelerators = 1,
+	 .restart_delay_ms = 14000},
+	{.name = "workers are gone",
+	 .id = "x",
+	 .count = 1,
+	 .accelerators = 1,
+	 .restart_delay_ms = 0},
 	{.name = "endless",
 	 .id = "x",
 	 .count = 1,
 	 .accelerators = 1,
-	 .back_ms = 3200,
+	 .restart_delay_ms = 3200,
 	 .endless = true},
 	{.name = "late orders",
 	 .id = "x",
 	 .count = 1,
 	 .accelerators = 1,
-	 .back_ms = 3200,
+	 .restart_delay_ms = 3200,
 	 .unanswered = true},
 	{.name = "take-overs",
 	 .id = "x",
 	 .count = 1,
 	 .accelerators = 1,
-	 .back_ms = 3200,
+	 .restart_delay_ms = 3200,
 	 .taken_over = true},
 	/* The other member has not begun, or is broken. */
-	{.name = "gang", .id = "y", .count = 2, .gang = true, .accelerators = 8, .back_ms = 3200},
+	{.name = "gang",
+	 .id = "y",
+	 .count = 2,
+	 .gang = true,
+	 .accelerators = 8,
+	 .restart_delay_ms = 3200},
 	{.name = "gang, take-overs",
 	 .id = "y",
 	 .count = 2,
 	 .gang = true,
 	 .accelerators = 8,
-	 .back_ms = 3200,
+	 .restart_delay_ms = 3200,
 	 .taken_over = true},
 	/* It has been seen at work before. */
-	{.name = "late crash", .id = "z", .count = 1, .accelerators = 1, .back_ms = 3200},
+	{.name = "late crash", .id = "z", .count = 1, .accelerators = 1, .restart_delay_ms = 3200},
 	{.name = "late crash, take-overs",
 	 .id = "z",
 	 .count = 1,
 	 .accelerators = 1,
-	 .back_ms = 3200,
+	 .restart_delay_ms = 3200,
 	 .taken_over = true},
 };
 
@@ -166,9 +180,9 @@
 wait_for_run (struct site *site, const char *task, int other)
 {
 	for (int i = 0; i < WAIT_MS / 10; i++) {
-		const char *where = dff_memory_runner_worker_of (site->runner, task);
-		if (where != NULL && where[1] - '0' != other)
-			return where[1] - '0';
+		const char *worker_id = dff_memory_runner_worker_of (site->runner, task);
+		if (worker_id != NULL && worker_id[1] - '0' != other)
+			return worker_id[1] - '0';
 		site_run (site, 10);
 	}
 	fail_msg ("%s is not started", task);
@@ -177,30 +191,30 @@
 
 /* Has the worker that runs @task be away for good, or for longer than its lease. */
 static void
-lose_worker_of (struct site *site, const char *task, enum worker_end end)
+lose_worker (struct site *site, const char *task, enum worker_loss loss)
 {
 	int worker = wait_for_run (site, task, -1);
-	switch (end) {
-	case DFF_END_IS_CUT_OFF:
+	switch (loss) {
+	case DFF_LOSS_CUT_OFF:
 		site->workers[worker]->drops_calls = true;
-		site_run (site, LEASE_PASSED_MS);
+		site_run (site, LEASE_EXPIRED_MS);
 		site->workers[worker]->drops_calls = false;
 		return;
-	case DFF_END_LEAVES:
+	case DFF_LOSS_LEAVES:
 		site_announce_leaving (site, worker, 500);
 		site_run (site, 500);
-		site_reborn_worker (site, worker);
+		site_restart_worker (site, worker);
 		return;
-	case DFF_END_CRASHES:
-		site_reborn_worker (site, worker);
+	case DFF_LOSS_CRASHES:
+		site_restart_worker (site, worker);
 		return;
-	case DFF_END_CRASHES_NEXT_LEAVES:
-		site_reborn_worker (site, worker);
+	case DFF_LOSS_CRASHES_NEXT_LEAVES:
+		site_restart_worker (site, worker);
 		worker = wait_for_run (site, task, worker);
-		site_run (site, AT_WORK_MS);
+		site_run (site, RUN_MS);
 		site_announce_leaving (site, worker, NOTICE_MS);
 		wait_for_run (site, task, worker);
-		site_reborn_worker (site, worker);
+		site_restart_worker (site, worker);
 		return;
 	}
 }
@@ -209,20 +223,21 @@
  * is cut off until its lease has lapsed, or leaves, or crashes after the task was at work there for
  * long. Cause: each was counted as if the task had crashed the worker. */
 static void
-test_task_that_is_unlucky (void **state)
+test_task_that_is_not_to_blame (void **state)
 {
-	const struct unlucky_case *at = *state;
+	const struct blameless_case *test_case = *state;
 	struct site site;
 	site_open (&site);
-	assert_int_equal (site_submit (&site, 0, site_plan (at->id, 1, false, 1)), DFF_FRONT_OK);
-	g_autofree char *task = g_strdup_printf ("%s.0.0.0", at->id);
-	for (int i = 0; i < UNLUCKY_TIMES; i++) {
-		site_run (&site, at->between_ms);
-		lose_worker_of (&site, task, at->end);
+	assert_int_equal (site_submit (&site, 0, site_plan (test_case->id, 1, false, 1)),
+			  DFF_FRONT_OK);
+	g_autofree char *task = g_strdup_printf ("%s.0.0.0", test_case->id);
+	for (int i = 0; i < BLAMELESS_LOSSES; i++) {
+		site_run (&site, test_case->between_ms);
+		lose_worker (&site, task, test_case->loss);
 	}
-	assert_int_not_equal (site_until (&site, at->id, "completed", 120000), -1);
-	bool twice = at->end == DFF_END_CRASHES_NEXT_LEAVES;
-	int32_t n_starts = (twice ? 2 : 1) * UNLUCKY_TIMES + 1;
+	assert_int_not_equal (site_wait_for_state (&site, test_case->id, "completed", 120000), -1);
+	bool twice = test_case->loss == DFF_LOSS_CRASHES_NEXT_LEAVES;
+	int32_t n_starts = (twice ? 2 : 1) * BLAMELESS_LOSSES + 1;
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, task), n_starts);
 	site_close (&site);
 }
@@ -232,54 +247,58 @@
  * with one worker is placed again at the same moment. Cause: it was placed together, so that the
  * same tasks were there whenever a worker ended. */
 static void
-test_jobs_beside (void **state)
+test_jobs_beside_crashing_jobs (void **state)
 {
 	(void)state;
 	struct site site;
 	site_open (&site);
-	for (int i = 0; i < N_BESIDE; i++) {
+	for (int i = 0; i < N_OTHER_JOBS; i++) {
 		g_autofree char *crashing = g_strdup_printf ("x%d", i);
-		g_autofree char *sound = g_strdup_printf ("a%d", i);
+		g_autofree char *healthy = g_strdup_printf ("a%d", i);
 		assert_int_equal (site_submit (&site, 0, site_plan (crashing, 1, false, 1)),
 				  DFF_FRONT_OK);
-		assert_int_equal (site_submit (&site, 0, site_plan (sound, 1, false, 1)),
+		assert_int_equal (site_submit (&site, 0, site_plan (healthy, 1, false, 1)),
 				  DFF_FRONT_OK);
 	}
-	for (int i = 0; i < N_BESIDE; i++) {
+	for (int i = 0; i < N_OTHER_JOBS; i++) {
 		g_autofree char *crashing = g_strdup_printf ("x%d", i);
-		g_autofree char *sound = g_strdup_printf ("a%d", i);
-		assert_int_not_equal (site_until (&site, crashing, "failed", OVER_MS), -1);
-		assert_int_not_equal (site_until (&site, sound, "completed", OVER_MS), -1);
+		g_autofree char *healthy = g_strdup_printf ("a%d", i);
+		assert_int_not_equal (site_wait_for_state (&site, crashing, "failed", END_LIMIT_MS),
+				      -1);
+		assert_int_not_equal (
+			site_wait_for_state (&site, healthy, "completed", END_LIMIT_MS), -1);
 	}
 	site_close (&site);
 }
 
-static struct unlucky_case unlucky_cases[] = {
-	{.name = "cut off", .id = "7", .end = DFF_END_IS_CUT_OFF, .between_ms = 2000},
-	{.name = "workers leave", .id = "7", .end = DFF_END_LEAVES, .between_ms = 2000},
+static struct blameless_case blameless_cases[] = {
+	{.name = "cut off", .id = "7", .loss = DFF_LOSS_CUT_OFF, .between_ms = 2000},
+	{.name = "workers leave", .id = "7", .loss = DFF_LOSS_LEAVES, .between_ms = 2000},
 	{.name = "crashes, and sound ends between",
 	 .id = "7",
-	 .end = DFF_END_CRASHES_NEXT_LEAVES,
+	 .loss = DFF_LOSS_CRASHES_NEXT_LEAVES,
 	 .between_ms = 0},
-	{.name = "crashes after long", .id = "u", .end = DFF_END_CRASHES, .between_ms = 70000},
+	{.name = "crashes after long", .id = "u", .loss = DFF_LOSS_CRASHES, .between_ms = 70000},
 };
 
 int
 main (void)
 {
 	size_t n_crashes = G_N_ELEMENTS (crash_cases);
-	struct CMUnitTest tests[G_N_ELEMENTS (crash_cases) + G_N_ELEMENTS (unlucky_cases) + 1];
+	struct CMUnitTest tests[G_N_ELEMENTS (crash_cases) + G_N_ELEMENTS (blameless_cases) + 1];
 	for (size_t i = 0; i < n_crashes; i++) {
 		tests[i] = (struct CMUnitTest){.name = crash_cases[i].name,
 					       .test_func = test_task_that_crashes_its_workers,
 					       .initial_state = &crash_cases[i]};
 	}
-	for (size_t i = 0; i < G_N_ELEMENTS (unlucky_cases); i++) {
-		tests[n_crashes + i] = (struct CMUnitTest){.name = unlucky_cases[i].name,
-							   .test_func = test_task_that_is_unlucky,
-							   .initial_state = &unlucky_cases[i]};
+	for (size_t i = 0; i < G_N_ELEMENTS (blameless_cases); i++) {
+		tests[n_crashes + i] =
+			(struct CMUnitTest){.name = blameless_cases[i].name,
+					    .test_func = test_task_that_is_not_to_blame,
+					    .initial_state = &blameless_cases[i]};
 	}
-	tests[G_N_ELEMENTS (tests) - 1] = (struct CMUnitTest)cmocka_unit_test (test_jobs_beside);
+	tests[G_N_ELEMENTS (tests) - 1] =
+		(struct CMUnitTest)cmocka_unit_test (test_jobs_beside_crashing_jobs);
 	site_tests_begin (tests, G_N_ELEMENTS (tests));
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/holder/test-holder-ends.c
+++ b/tests/holder/test-holder-ends.c
@@ -4,18 +4,18 @@
  * acknowledgement and the end of the holder follow each other. The gangs have two members, of which
  * the last fails; the other's worker is the one that is heard late. */
 
-#define KEPT_TASK ".0.0.0"
+#define HEALTHY_TASK ".0.0.0"
 #define FAILING_TASK ".0.0.1"
 /** From a member's failure to its record and acknowledgement, ms. */
-#define NOTED_MS 150
+#define RECORD_MS 150
 
 static struct dff_memory_worker_faults *
 faults_of (struct site *site, const char *job, const char *task)
 {
 	g_autofree char *name = g_strconcat (job, task, NULL);
-	const char *where = dff_memory_runner_worker_of (site->runner, name);
-	assert_non_null (where);
-	return site->workers[where[1] - '0'];
+	const char *worker_id = dff_memory_runner_worker_of (site->runner, name);
+	assert_non_null (worker_id);
+	return site->workers[worker_id[1] - '0'];
 }
 
 /* Runs until the last member of a gang has failed. */
@@ -44,7 +44,7 @@
  * Cause: the row told how many runs had failed, but not that the open one was among them, so that
  * the next holder heard of a broken member alone. */
 static void
-test_failure_on_record (void **state)
+test_recorded_failure_counts_for_next_holder (void **state)
 {
 	(void)state;
 	struct site site;
@@ -52,13 +52,13 @@
 	site_submit (&site, 0, site_plan ("9", 2, true, SITE_ACCELERATORS));
 	run_until_failed (&site, "9");
 	site_run (&site, 1000);
-	struct dff_memory_worker_faults *kept = faults_of (&site, "9", KEPT_TASK);
-	kept->drops_answers = true;
+	struct dff_memory_worker_faults *healthy = faults_of (&site, "9", HEALTHY_TASK);
+	healthy->drops_answers = true;
 	run_until_failed (&site, "9");
-	site_run (&site, NOTED_MS);
+	site_run (&site, RECORD_MS);
 	replace_holder (&site);
-	kept->drops_answers = false;
-	assert_int_not_equal (site_until (&site, "9", "failed", 10000), -1);
+	healthy->drops_answers = false;
+	assert_int_not_equal (site_wait_for_state (&site, "9", "failed", 10000), -1);
 	site_run (&site, 3000);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "9"), 2 * SITE_MAX_ATTEMPTS);
 	site_close (&site);
@@ -68,22 +68,22 @@
  * recorded, but not acknowledged, as the answer of the store is lost; the holder is killed, and the
  * next one hears the same end. Cause: it was counted again. */
 static void
-test_failure_heard_again (void **state)
+test_repeated_failure_counts_once (void **state)
 {
 	(void)state;
 	struct site site;
 	site_open (&site);
 	site_submit (&site, 0, site_plan ("8", 2, true, SITE_ACCELERATORS));
 	site_run (&site, 300);
-	struct dff_memory_worker_faults *kept = faults_of (&site, "8", KEPT_TASK);
-	kept->drops_answers = true;
+	struct dff_memory_worker_faults *healthy = faults_of (&site, "8", HEALTHY_TASK);
+	healthy->drops_answers = true;
 	dff_memory_rows_client_faults (site.processes[site_holder (&site)].rows)->lost_permille =
 		1000;
 	run_until_failed (&site, "8");
-	site_run (&site, NOTED_MS);
+	site_run (&site, RECORD_MS);
 	replace_holder (&site);
-	kept->drops_answers = false;
-	assert_int_not_equal (site_until (&site, "8", "completed", 10000), -1);
+	healthy->drops_answers = false;
+	assert_int_not_equal (site_wait_for_state (&site, "8", "completed", 10000), -1);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "8"), 2 * 2);
 	site_close (&site);
 }
@@ -92,8 +92,8 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_failure_on_record),
-		cmocka_unit_test (test_failure_heard_again),
+		cmocka_unit_test (test_recorded_failure_counts_for_next_holder),
+		cmocka_unit_test (test_repeated_failure_counts_once),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/holder/test-holder-evacuation.c
+++ b/tests/holder/test-holder-evacuation.c
@@ -12,7 +12,7 @@
 /* Starts a job with one task a worker on so many workers. Returns: starts that were carried out
  * within a second. */
 static int32_t
-starts_of (struct site *site, const char *id, int32_t count)
+count_starts (struct site *site, const char *id, int32_t count)
 {
 	struct dff_plan *plan = site_plan (id, count, false, 1);
 	dff_plan_step (plan, 0)->per_worker = 1;
@@ -24,54 +24,63 @@
 /* Symptom: tasks are started in a data centre that an operator empties. Sequence: the requests of
  * each case, in order; then a job with one task a worker. Cause: nobody read them. */
 static void
-test_orders_of_requests (void **state)
+test_request_sequences (void **state)
 {
 	(void)state;
-	enum what {
-		DFF_STEP_END,
-		DFF_STEP_ASK,
-		DFF_STEP_BACK,
-		DFF_STEP_DROP_HISTORY,
-		DFF_STEP_TAKE_OVER,
-		DFF_STEP_ASK_NOWHERE
+	enum action {
+		DFF_ACTION_END,
+		DFF_ACTION_EVACUATE,
+		DFF_ACTION_WITHDRAW,
+		DFF_ACTION_DROP_HISTORY,
+		DFF_ACTION_TAKE_OVER,
+		DFF_ACTION_EVACUATE_UNKNOWN
 	};
 	static const struct {
 		struct {
-			enum what what;
+			enum action action;
 			int data_centre;
 		} steps[6];
 		int32_t n_starts;
 	} cases[] = {
-		{{{DFF_STEP_ASK, FIRST}}, 3},
-		{{{DFF_STEP_ASK, FIRST}, {DFF_STEP_BACK, FIRST}}, 6},
-		{{{DFF_STEP_ASK, FIRST}, {DFF_STEP_ASK, SECOND}}, 0},
-		{{{DFF_STEP_ASK, FIRST}, {DFF_STEP_ASK, SECOND}, {DFF_STEP_BACK, FIRST}}, 3},
-		{{{DFF_STEP_ASK, FIRST}, {DFF_STEP_DROP_HISTORY, 0}}, 3},
-		{{{DFF_STEP_ASK, FIRST}, {DFF_STEP_DROP_HISTORY, 0}, {DFF_STEP_BACK, FIRST}}, 6},
-		{{{DFF_STEP_ASK, FIRST}, {DFF_STEP_BACK, FIRST}, {DFF_STEP_DROP_HISTORY, 0}}, 6},
-		{{{DFF_STEP_ASK, FIRST}, {DFF_STEP_TAKE_OVER, 0}}, 3},
-		{{{DFF_STEP_ASK, FIRST},
-		  {DFF_STEP_TAKE_OVER, 0},
-		  {DFF_STEP_BACK, FIRST},
-		  {DFF_STEP_TAKE_OVER, 0}},
+		{{{DFF_ACTION_EVACUATE, FIRST}}, 3},
+		{{{DFF_ACTION_EVACUATE, FIRST}, {DFF_ACTION_WITHDRAW, FIRST}}, 6},
+		{{{DFF_ACTION_EVACUATE, FIRST}, {DFF_ACTION_EVACUATE, SECOND}}, 0},
+		{{{DFF_ACTION_EVACUATE, FIRST},
+		  {DFF_ACTION_EVACUATE, SECOND},
+		  {DFF_ACTION_WITHDRAW, FIRST}},
+		 3},
+		{{{DFF_ACTION_EVACUATE, FIRST}, {DFF_ACTION_DROP_HISTORY, 0}}, 3},
+		{{{DFF_ACTION_EVACUATE, FIRST},
+		  {DFF_ACTION_DROP_HISTORY, 0},
+		  {DFF_ACTION_WITHDRAW, FIRST}},
 		 6},
-		{{{DFF_STEP_ASK_NOWHERE, 0}}, 6},
+		{{{DFF_ACTION_EVACUATE, FIRST},
+		  {DFF_ACTION_WITHDRAW, FIRST},
+		  {DFF_ACTION_DROP_HISTORY, 0}},
+		 6},
+		{{{DFF_ACTION_EVACUATE, FIRST}, {DFF_ACTION_TAKE_OVER, 0}}, 3},
+		{{{DFF_ACTION_EVACUATE, FIRST},
+		  {DFF_ACTION_TAKE_OVER, 0},
+		  {DFF_ACTION_WITHDRAW, FIRST},
+		  {DFF_ACTION_TAKE_OVER, 0}},
+		 6},
+		{{{DFF_ACTION_EVACUATE_UNKNOWN, 0}}, 6},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct site site;
 		site_open_with_evacuations (&site);
-		for (size_t j = 0; cases[i].steps[j].what != DFF_STEP_END; j++) {
+		for (size_t j = 0; cases[i].steps[j].action != DFF_ACTION_END; j++) {
 			int holder = site_holder (&site);
-			switch (cases[i].steps[j].what) {
-			case DFF_STEP_ASK:
-			case DFF_STEP_BACK:
+			switch (cases[i].steps[j].action) {
+			case DFF_ACTION_EVACUATE:
+			case DFF_ACTION_WITHDRAW:
 				site_evacuate (&site, cases[i].steps[j].data_centre,
-					       cases[i].steps[j].what == DFF_STEP_ASK);
+					       cases[i].steps[j].action == DFF_ACTION_EVACUATE);
 				break;
-			case DFF_STEP_DROP_HISTORY:
+			case DFF_ACTION_DROP_HISTORY:
 				dff_memory_rows_drop_history (site.rows);
 				break;
-			case DFF_STEP_TAKE_OVER:
+			case DFF_ACTION_TAKE_OVER:
 				site_kill_process (&site, holder);
 				site_start_process (&site, holder);
 				break;
@@ -82,7 +91,7 @@
 			}
 			site_run (&site, 2000);
 		}
-		assert_int_equal (starts_of (&site, "7", SITE_WORKERS), cases[i].n_starts);
+		assert_int_equal (count_starts (&site, "7", SITE_WORKERS), cases[i].n_starts);
 		site_close (&site);
 	}
 }
@@ -91,7 +100,7 @@
  * ever. Sequence: the store is silent for all; the request is removed, and the store drops its
  * history. Cause: only changes were looked at. */
 static void
-test_ends_unheard (void **state)
+test_end_missed_during_silence (void **state)
 {
 	(void)state;
 	struct site site;
@@ -106,7 +115,7 @@
 	for (int i = 0; i < SITE_PROCESSES; i++)
 		dff_memory_rows_client_faults (site.processes[i].rows)->silent = false;
 	site_run (&site, 4000);
-	assert_int_equal (starts_of (&site, "7", SITE_WORKERS), SITE_WORKERS);
+	assert_int_equal (count_starts (&site, "7", SITE_WORKERS), SITE_WORKERS);
 	site_close (&site);
 }
 
@@ -141,7 +150,7 @@
 		site_evacuate (&site, FIRST, false);
 		if (cases[i].killed)
 			site_start_process (&site, holder);
-		assert_int_not_equal (site_until (&site, "7", "completed", 80000), -1);
+		assert_int_not_equal (site_wait_for_state (&site, "7", "completed", 80000), -1);
 		site_close (&site);
 	}
 }
@@ -151,43 +160,43 @@
  * are carried out; a data centre is to be emptied. Cause: nobody asked how old the knowledge was.
  */
 static void
-test_nothing_starts_unknowing (void **state)
+test_no_starts_with_stale_requests (void **state)
 {
 	(void)state;
 	struct site site;
 	site_open_with_evacuations (&site);
 	int holder = site_holder (&site);
-	site_deafen (&site, holder, true);
+	site_block_requests (&site, holder, true);
 	site_evacuate (&site, FIRST, true);
 	site_run (&site, SITE_EVACUATION_MS);
-	assert_int_equal (starts_of (&site, "7", SITE_WORKERS), 0);
+	assert_int_equal (count_starts (&site, "7", SITE_WORKERS), 0);
 	assert_int_equal (site_holder (&site), holder);
-	site_deafen (&site, holder, false);
+	site_block_requests (&site, holder, false);
 	site_run (&site, 1000);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "7"), SITE_PER_RACK);
 	site_evacuate (&site, FIRST, false);
-	assert_int_not_equal (site_until (&site, "7", "completed", 60000), -1);
+	assert_int_not_equal (site_wait_for_state (&site, "7", "completed", 60000), -1);
 	site_close (&site);
 }
 
 /* What runs in a data centre that is emptied goes on to its end, and its end is heard: nothing is
  * started twice. */
 static void
-test_what_runs_ends (void **state)
+test_running_tasks_end (void **state)
 {
 	(void)state;
 	struct site site;
 	site_open_with_evacuations (&site);
-	assert_int_equal (starts_of (&site, "1", SITE_WORKERS), SITE_WORKERS);
+	assert_int_equal (count_starts (&site, "1", SITE_WORKERS), SITE_WORKERS);
 	site_evacuate (&site, FIRST, true);
 	site_evacuate (&site, SECOND, true);
-	assert_int_not_equal (site_until (&site, "1", "completed", 8000), -1);
+	assert_int_not_equal (site_wait_for_state (&site, "1", "completed", 8000), -1);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "1"), SITE_WORKERS);
 	/* The last data centre: what is handed in waits, and begins when one is taken back. */
-	assert_int_equal (starts_of (&site, "a", 2), 0);
+	assert_int_equal (count_starts (&site, "a", 2), 0);
 	assert_string_equal (site_state (&site, 0, "a"), "queued");
 	site_evacuate (&site, SECOND, false);
-	assert_int_not_equal (site_until (&site, "a", "completed", 5000), -1);
+	assert_int_not_equal (site_wait_for_state (&site, "a", "completed", 5000), -1);
 	site_close (&site);
 }
 
@@ -195,11 +204,11 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_orders_of_requests),
-		cmocka_unit_test (test_ends_unheard),
+		cmocka_unit_test (test_request_sequences),
+		cmocka_unit_test (test_end_missed_during_silence),
 		cmocka_unit_test (test_recorded_starts),
-		cmocka_unit_test (test_nothing_starts_unknowing),
-		cmocka_unit_test (test_what_runs_ends),
+		cmocka_unit_test (test_no_starts_with_stale_requests),
+		cmocka_unit_test (test_running_tasks_end),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/holder/test-holder-lives.c
+++ b/tests/holder/test-holder-lives.c
@@ -4,13 +4,13 @@
  * clocks and numbers of ends begin anew. The workers notice what must never happen. */
 
 /** The worker that starts again. */
-#define RESTARTED 2
+#define RESTARTED_WORKER 2
 /** Time from its last start until everything is over, ms: the lost task's wait and its run. */
-#define OVER_MS 9500
+#define END_LIMIT_MS 9500
 /** The same where only the lapse of its lease tells, or nothing tells at all. */
-#define OVER_UNTOLD_MS 30000
+#define END_LIMIT_UNREPORTED_MS 30000
 
-struct life_case {
+struct restart_case {
 	const char *name;
 	/** How long the next life's entries do not reach the store, ms. */
 	int32_t held_back_ms;
@@ -18,7 +18,7 @@
 	int32_t cut_before_ms;
 	int32_t cut_after_ms;
 	/** Lives that follow the first, and the time between two, ms. */
-	int times;
+	int n_restarts;
 	int32_t between_ms;
 	/** What the next life has room for; 0: the same. */
 	int32_t accelerators;
@@ -31,7 +31,7 @@
 	bool taken_over_after;
 	bool relays;
 	/** The next life's lists do not tell when it started. */
-	bool hides_birth;
+	bool hides_start;
 };
 
 static void
@@ -46,42 +46,42 @@
 }
 
 static void
-restart (struct site *site, const struct life_case *at)
+restart_worker (struct site *site, const struct restart_case *test_case)
 {
-	struct dff_memory_worker_faults *faults = site->workers[RESTARTED];
-	if (at->leaves)
-		site_announce_leaving (site, RESTARTED, 1500);
-	faults->drops_calls = at->cut_before_ms > 0;
-	site_run (site, at->cut_before_ms);
-	if (at->taken_over_before)
+	struct dff_memory_worker_faults *faults = site->workers[RESTARTED_WORKER];
+	if (test_case->leaves)
+		site_announce_leaving (site, RESTARTED_WORKER, 1500);
+	faults->drops_calls = test_case->cut_before_ms > 0;
+	site_run (site, test_case->cut_before_ms);
+	if (test_case->taken_over_before)
 		take_over (site);
-	site->next_accelerators[RESTARTED] = at->accelerators;
-	site_hold_entries_back (site, RESTARTED, at->held_back_ms > 0);
+	site->next_accelerators[RESTARTED_WORKER] = test_case->accelerators;
+	site_hold_entries_back (site, RESTARTED_WORKER, test_case->held_back_ms > 0);
 	struct dff_memory_worker_faults before = *faults;
-	for (int i = 0; i < at->times; i++) {
-		site_reborn_worker (site, RESTARTED);
-		site_run (site, at->between_ms);
+	for (int i = 0; i < test_case->n_restarts; i++) {
+		site_restart_worker (site, RESTARTED_WORKER);
+		site_run (site, test_case->between_ms);
 	}
-	faults = site->workers[RESTARTED];
+	faults = site->workers[RESTARTED_WORKER];
 	*faults = before;
-	faults->drops_calls = at->cut_after_ms > 0;
-	faults->hides_start = at->hides_birth;
-	if (at->taken_over_after)
+	faults->drops_calls = test_case->cut_after_ms > 0;
+	faults->hides_start = test_case->hides_start;
+	if (test_case->taken_over_after)
 		take_over (site);
-	site_run (site, at->cut_after_ms);
+	site_run (site, test_case->cut_after_ms);
 	faults->drops_calls = false;
-	site_run (site, MAX (at->held_back_ms - at->cut_after_ms, 0));
-	site_hold_entries_back (site, RESTARTED, false);
-	site_list_worker (site, RESTARTED, true, false);
+	site_run (site, MAX (test_case->held_back_ms - test_case->cut_after_ms, 0));
+	site_hold_entries_back (site, RESTARTED_WORKER, false);
+	site_list_worker (site, RESTARTED_WORKER, true, false);
 }
 
 /* Has a task that takes six seconds run on each worker, and short ones end there before. */
 static void
-begin_work (struct site *site)
+start_tasks (struct site *site)
 {
 	assert_int_equal (site_submit (site, 0, site_plan ("a", 3 * SITE_WORKERS, false, 1)),
 			  DFF_FRONT_OK);
-	assert_int_not_equal (site_until (site, "a", "completed", 6000), -1);
+	assert_int_not_equal (site_wait_for_state (site, "a", "completed", 6000), -1);
 	struct dff_plan *plan = site_plan ("1", SITE_WORKERS, false, 1);
 	dff_plan_step (plan, 0)->per_worker = 1;
 	assert_int_equal (site_submit (site, 0, plan), DFF_FRONT_OK);
@@ -95,69 +95,76 @@
 	struct dff_plan *plan = site_plan ("b", SITE_WORKERS, false, 1);
 	dff_plan_step (plan, 0)->per_worker = 1;
 	assert_int_equal (site_submit (site, 0, plan), DFF_FRONT_OK);
-	assert_in_range (site_until (site, "b", "completed", 4000), 0, 2500);
+	assert_in_range (site_wait_for_state (site, "b", "completed", 4000), 0, 2500);
 }
 
 /* Guards against runs of a life that is over being taken for running, being waited for until its
  * lease would have lapsed, or being started beside a late order of theirs; against ends, clocks and
  * farewells of one life being taken for the next one's. */
 static void
-test_worker_that_starts_again (void **state)
+test_restarted_worker (void **state)
 {
-	const struct life_case *at = *state;
+	const struct restart_case *test_case = *state;
 	struct site site;
-	site_open_with_same_ids (&site, at->relays);
+	site_open_with_same_ids (&site, test_case->relays);
 	site_run (&site, 1500);
-	if (at->late_ms > 0) {
-		site.workers[RESTARTED]->late_orders = 2;
-		site.workers[RESTARTED]->late_ms = at->late_ms;
+	if (test_case->late_ms > 0) {
+		site.workers[RESTARTED_WORKER]->late_orders = 2;
+		site.workers[RESTARTED_WORKER]->late_ms = test_case->late_ms;
 	}
-	begin_work (&site);
-	restart (&site, at);
-	int64_t limit_ms = at->hides_birth ? OVER_UNTOLD_MS : OVER_MS;
-	assert_in_range (site_until (&site, "1", "completed", OVER_UNTOLD_MS), 0, limit_ms);
-	if (!at->hides_birth)
+	start_tasks (&site);
+	restart_worker (&site, test_case);
+	int64_t limit_ms = test_case->hides_start ? END_LIMIT_UNREPORTED_MS : END_LIMIT_MS;
+	assert_in_range (site_wait_for_state (&site, "1", "completed", END_LIMIT_UNREPORTED_MS), 0,
+			 limit_ms);
+	if (!test_case->hides_start)
 		check_worker_is_used (&site);
 	site_run (&site, 15000);
 	assert_int_equal (dff_memory_runner_n_active (site.runner), 0);
 	site_close (&site);
 }
 
-static const struct life_case cases[] = {
-	{.name = "at once", .times = 1},
-	{.name = "at once, through relays", .times = 1, .relays = true},
-	{.name = "its entry comes late", .times = 1, .held_back_ms = 3000},
-	{.name = "within a lease, cut off", .times = 1, .cut_before_ms = 800, .cut_after_ms = 1500},
-	{.name = "cut off, entry late", .times = 1, .cut_before_ms = 300, .held_back_ms = 4000},
-	{.name = "twice in a row", .times = 2, .between_ms = 5},
-	{.name = "twice in a row, known between", .times = 2, .between_ms = 400},
-	{.name = "four times, through relays", .times = 4, .between_ms = 150, .relays = true},
-	{.name = "with less room", .times = 1, .accelerators = 2},
-	{.name = "before a take-over", .times = 1, .taken_over_after = true},
-	{.name = "during a take-over", .times = 1, .taken_over_before = true},
+static const struct restart_case cases[] = {
+	{.name = "at once", .n_restarts = 1},
+	{.name = "at once, through relays", .n_restarts = 1, .relays = true},
+	{.name = "its entry comes late", .n_restarts = 1, .held_back_ms = 3000},
+	{.name = "within a lease, cut off",
+	 .n_restarts = 1,
+	 .cut_before_ms = 800,
+	 .cut_after_ms = 1500},
+	{.name = "cut off, entry late",
+	 .n_restarts = 1,
+	 .cut_before_ms = 300,
+	 .held_back_ms = 4000},
+	{.name = "twice in a row", .n_restarts = 2, .between_ms = 5},
+	{.name = "twice in a row, known between", .n_restarts = 2, .between_ms = 400},
+	{.name = "four times, through relays", .n_restarts = 4, .between_ms = 150, .relays = true},
+	{.name = "with less room", .n_restarts = 1, .accelerators = 2},
+	{.name = "before a take-over", .n_restarts = 1, .taken_over_after = true},
+	{.name = "during a take-over", .n_restarts = 1, .taken_over_before = true},
 	{.name = "cut off during a take-over",
-	 .times = 1,
+	 .n_restarts = 1,
 	 .cut_before_ms = 400,
 	 .cut_after_ms = 1200,
 	 .taken_over_before = true},
-	{.name = "after it had told that it leaves", .times = 1, .leaves = true},
-	{.name = "leaves, entry late", .times = 1, .leaves = true, .held_back_ms = 2000},
-	{.name = "orders before it arrive after", .times = 1, .late_ms = 1500},
-	{.name = "orders arrive much later", .times = 1, .late_ms = 6000},
-	{.name = "orders arrive later, twice", .times = 2, .between_ms = 300, .late_ms = 1500},
-	{.name = "its lists do not tell", .times = 1, .hides_birth = true},
+	{.name = "after it had told that it leaves", .n_restarts = 1, .leaves = true},
+	{.name = "leaves, entry late", .n_restarts = 1, .leaves = true, .held_back_ms = 2000},
+	{.name = "orders before it arrive after", .n_restarts = 1, .late_ms = 1500},
+	{.name = "orders arrive much later", .n_restarts = 1, .late_ms = 6000},
+	{.name = "orders arrive later, twice", .n_restarts = 2, .between_ms = 300, .late_ms = 1500},
+	{.name = "its lists do not tell", .n_restarts = 1, .hides_start = true},
 };
 
 /* Guards against tasks that crash their workers being started for ever: points are given though
  * the worker is back under its id. */
 static void
-test_crashes_count (void **state)
+test_crashes_are_blamed (void **state)
 {
 	(void)state;
 	struct site site;
 	site_open_with_same_ids (&site, false);
 	assert_int_equal (site_submit (&site, 0, site_plan ("x", 1, false, 1)), DFF_FRONT_OK);
-	assert_int_not_equal (site_until (&site, "x", "failed", 60000), -1);
+	assert_int_not_equal (site_wait_for_state (&site, "x", "failed", 60000), -1);
 	assert_in_range (dff_memory_runner_n_starts (site.runner, "x"), 2, 5);
 	site_close (&site);
 }
@@ -165,12 +172,12 @@
 /* Guards against a worker that was set aside, as it failed all that it started, staying so when it
  * has started again. */
 static void
-test_sound_after_failures (void **state)
+test_restart_ends_quarantine (void **state)
 {
 	(void)state;
 	struct site site;
 	site_open_with_same_ids (&site, false);
-	site.workers[RESTARTED]->fails = true;
+	site.workers[RESTARTED_WORKER]->fails = true;
 	for (int i = 0; i < 3; i++) {
 		g_autofree char *id = g_strdup_printf ("c%d", i);
 		struct dff_plan *plan = site_plan (id, SITE_WORKERS, false, 1);
@@ -179,7 +186,7 @@
 		site_run (&site, 500);
 	}
 	site_run (&site, 3000);
-	site_reborn_worker (&site, RESTARTED);
+	site_restart_worker (&site, RESTARTED_WORKER);
 	site_run (&site, 2500);
 	check_worker_is_used (&site);
 	site_close (&site);
@@ -192,7 +199,7 @@
 {
 	(void)state;
 	static const struct {
-		const char *born;
+		const char *started;
 		/** Of the worker, of another one, of nobody. */
 		const char *address;
 	} entries[] = {
@@ -204,16 +211,16 @@
 		struct site site;
 		site_open_with_same_ids (&site, false);
 		site_run (&site, 1500);
-		begin_work (&site);
+		start_tasks (&site);
 		g_autofree char *value = g_strdup_printf ("%s r0 0 -1 %d %s", entries[i].address,
-							  SITE_ACCELERATORS, entries[i].born);
+							  SITE_ACCELERATORS, entries[i].started);
 		dff_memory_rows_put (site.rows, DFF_TABLE_UPSTREAMS, "w2", dff_str_from (value));
 		site_run (&site, 2000);
 		/* The worker writes its own again. */
-		site_list_worker (&site, RESTARTED, true, false);
+		site_list_worker (&site, RESTARTED_WORKER, true, false);
 		site_run (&site, 600);
 		check_worker_is_used (&site);
-		assert_int_not_equal (site_until (&site, "1", "completed", 8000), -1);
+		assert_int_not_equal (site_wait_for_state (&site, "1", "completed", 8000), -1);
 		assert_int_equal (dff_memory_runner_n_starts (site.runner, "1"), SITE_WORKERS);
 		site_close (&site);
 	}
@@ -249,27 +256,27 @@
 		{"starter removed, worker starts again", 5000, 1, 300, true, true},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (late_cases); i++) {
-		const struct late_case *at = &late_cases[i];
+		const struct late_case *test_case = &late_cases[i];
 		struct site site;
 		site_open_with_same_ids (&site, false);
 		site_run (&site, 1500);
 		int starter = site_holder (&site);
 		int other = (starter + 1) % SITE_PROCESSES;
 		for (int j = 0; j < SITE_WORKERS; j++) {
-			site.workers[j]->late_orders = at->late_orders;
-			site.workers[j]->late_ms = at->late_ms;
+			site.workers[j]->late_orders = test_case->late_orders;
+			site.workers[j]->late_ms = test_case->late_ms;
 		}
 		assert_int_equal (site_submit (&site, other, site_plan ("7", 4, false, 8)),
 				  DFF_FRONT_OK);
-		if (at->cancelled_before)
+		if (test_case->cancelled_before)
 			assert_int_equal (site_cancel (&site, other, "7"), DFF_FRONT_OK);
-		site_run (&site, at->removed_after_ms);
-		if (at->removed_after_ms > 0)
+		site_run (&site, test_case->removed_after_ms);
+		if (test_case->removed_after_ms > 0)
 			site_kill_process (&site, starter);
-		if (!at->cancelled_before)
+		if (!test_case->cancelled_before)
 			assert_int_equal (site_cancel (&site, other, "7"), DFF_FRONT_OK);
-		if (at->restarts)
-			site_reborn_worker (&site, 0);
+		if (test_case->restarts)
+			site_restart_worker (&site, 0);
 		int64_t running_ms = 0;
 		for (int j = 0; j < 200; j++) {
 			site_run (&site, 100);
@@ -287,13 +294,13 @@
 {
 	struct CMUnitTest tests[G_N_ELEMENTS (cases) + 4] = {
 		cmocka_unit_test (test_late_start_of_a_cancelled_job),
-		cmocka_unit_test (test_crashes_count),
-		cmocka_unit_test (test_sound_after_failures),
+		cmocka_unit_test (test_crashes_are_blamed),
+		cmocka_unit_test (test_restart_ends_quarantine),
 		cmocka_unit_test (test_entry_of_another_writer),
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		tests[4 + i] = (struct CMUnitTest){.name = cases[i].name,
-						   .test_func = test_worker_that_starts_again,
+						   .test_func = test_restarted_worker,
 						   .initial_state = (void *)&cases[i]};
 	}
 	site_tests_begin (tests, G_N_ELEMENTS (tests));
--- a/tests/holder/test-holder-rooms.c
+++ b/tests/holder/test-holder-rooms.c
@@ -4,9 +4,9 @@
  * start that they have no room for, once whoever sent it had the time to learn of that. */
 
 /** By then a change of a worker's room is known, ms. */
-#define KNOWN_MS 2500
+#define CAPACITY_REPORTED_MS 2500
 /** By then it counts though it is not known, ms. */
-#define COUNTS_MS 5000
+#define CAPACITY_STALE_MS 5000
 
 static void
 resize_all (struct site *site, int32_t accelerators)
@@ -18,18 +18,18 @@
 /* What runs goes on, nothing is started beyond the smaller room, and all of it is used once it has
  * grown again. */
 static void
-test_room_that_shrinks_and_grows (void **state)
+test_capacity_shrinks_and_grows (void **state)
 {
 	(void)state;
 	struct site site;
-	site_open_unguarded (&site);
+	site_open_unenforced (&site);
 	int32_t n_all = SITE_WORKERS * SITE_ACCELERATORS;
 	site_submit (&site, 0, site_plan ("1", n_all, false, 1));
 	site_run (&site, 500);
 	int32_t n_running = dff_memory_runner_n_active (site.runner);
 	assert_in_range (n_running, n_all / 2, n_all);
 	resize_all (&site, 2);
-	site_run (&site, KNOWN_MS);
+	site_run (&site, CAPACITY_REPORTED_MS);
 	site_submit (&site, 0, site_plan ("7", n_all, false, 1));
 	site_run (&site, 1000);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "7"), 0);
@@ -47,23 +47,23 @@
  * that decides; that process goes on by what it heard last. Cause: what a worker had said of itself
  * was taken to be so for as long as the worker answered. */
 static void
-test_room_that_nobody_hears_of (void **state)
+test_unreported_capacity (void **state)
 {
 	(void)state;
 	struct site site;
-	site_open_unguarded (&site);
+	site_open_unenforced (&site);
 	for (int i = 0; i < SITE_WORKERS - 1; i++) {
 		site_hold_entries_back (&site, i, true);
 		site_resize_worker (&site, i, 1);
 	}
-	site_run (&site, COUNTS_MS);
+	site_run (&site, CAPACITY_STALE_MS);
 	site_submit (&site, 0, site_plan ("a", SITE_ACCELERATORS, false, 1));
-	assert_in_range (site_until (&site, "a", "completed", 10000), 1000, 3500);
+	assert_in_range (site_wait_for_state (&site, "a", "completed", 10000), 1000, 3500);
 	assert_null (dff_memory_runner_violation (site.runner));
 	/* Once they are heard, they are used, as far as they have room. */
 	for (int i = 0; i < SITE_WORKERS - 1; i++)
 		site_hold_entries_back (&site, i, false);
-	site_run (&site, KNOWN_MS);
+	site_run (&site, CAPACITY_REPORTED_MS);
 	site_submit (&site, 0, site_plan ("7", SITE_WORKERS * SITE_ACCELERATORS, false, 1));
 	site_run (&site, 4000);
 	assert_in_range (dff_memory_runner_n_active (site.runner), SITE_ACCELERATORS,
@@ -75,8 +75,8 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_room_that_shrinks_and_grows),
-		cmocka_unit_test (test_room_that_nobody_hears_of),
+		cmocka_unit_test (test_capacity_shrinks_and_grows),
+		cmocka_unit_test (test_unreported_capacity),
 	};
 	site_tests_begin (tests, G_N_ELEMENTS (tests));
 	return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/holder/test-holder-seeds.c
+++ b/tests/holder/test-holder-seeds.c
@@ -59,48 +59,48 @@
 #define TASKS_MAX 4
 
 enum variant {
-	DFF_PLAY_PLAIN,
+	DFF_VARIANT_PLAIN,
 	/** Paths between machines break too. */
-	DFF_PLAY_PATHS,
+	DFF_VARIANT_PATHS,
 	/** The same, with calls to workers through relays, which fall silent too. */
-	DFF_PLAY_RELAYS,
+	DFF_VARIANT_RELAYS,
 	/** Rows of jobs and questions about states go through the process that decides. */
-	DFF_PLAY_LINKS,
+	DFF_VARIANT_LINKS,
 	/** Operators empty data centres and take them back. */
-	DFF_PLAY_EVACUATIONS,
+	DFF_VARIANT_EVACUATIONS,
 	/** Gangs fail, and little goes wrong but with the holder, its store and its lists. */
-	DFF_PLAY_FAILURES,
+	DFF_VARIANT_FAILURES,
 	/** Some tasks crash the workers that start them. */
-	DFF_PLAY_CRASHES,
+	DFF_VARIANT_CRASHES,
 	/** Workers' room shrinks and grows, and they start what they have no room for. */
-	DFF_PLAY_ROOMS,
+	DFF_VARIANT_CAPACITY,
 	/** Workers start again under their ids, and paths between machines break. */
-	DFF_PLAY_LIVES,
+	DFF_VARIANT_RESTARTS,
 };
 
-struct play {
+struct run {
 	struct site site;
 	GRand *rand;
 	int n_jobs;
 	/** Jobs that were given up though it was others that crashed their workers. */
-	int n_unlucky;
+	int n_blameless;
 	enum variant variant;
 	/** Elements: char *: jobs whose cancellation was confirmed, or may have taken effect. */
 	GPtrArray *cancelled;
 };
 
 static int
-pick (struct play *play, int count)
+pick (struct run *run, int count)
 {
-	return g_rand_int_range (play->rand, 0, count);
+	return g_rand_int_range (run->rand, 0, count);
 }
 
 static int
-pick_live (struct play *play)
+pick_live (struct run *run)
 {
-	int first = pick (play, SITE_PROCESSES);
+	int first = pick (run, SITE_PROCESSES);
 	for (int i = 0; i < SITE_PROCESSES; i++) {
-		if (play->site.processes[(first + i) % SITE_PROCESSES].alive)
+		if (run->site.processes[(first + i) % SITE_PROCESSES].alive)
 			return (first + i) % SITE_PROCESSES;
 	}
 	return -1;
@@ -132,60 +132,60 @@
 };
 
 static void
-submit (struct play *play)
+submit (struct run *run)
 {
-	int process = pick_live (play);
-	if (process < 0 || play->n_jobs == JOBS_MAX)
+	int process = pick_live (run);
+	if (process < 0 || run->n_jobs == JOBS_MAX)
 		return;
 	const struct job_kind *kinds = mixed_kinds;
 	int n_kinds = G_N_ELEMENTS (mixed_kinds);
-	if (play->variant == DFF_PLAY_FAILURES) {
+	if (run->variant == DFF_VARIANT_FAILURES) {
 		kinds = failing_kinds;
 		n_kinds = G_N_ELEMENTS (failing_kinds);
-	} else if (play->variant == DFF_PLAY_CRASHES) {
+	} else if (run->variant == DFF_VARIANT_CRASHES) {
 		kinds = crashing_kinds;
 		n_kinds = G_N_ELEMENTS (crashing_kinds);
 	}
-	const struct job_kind *kind = &kinds[pick (play, n_kinds)];
-	g_autofree char *id = g_strdup_printf ("%cj%d", kind->kind, play->n_jobs++);
+	const struct job_kind *kind = &kinds[pick (run, n_kinds)];
+	g_autofree char *id = g_strdup_printf ("%cj%d", kind->kind, run->n_jobs++);
 	struct dff_plan *plan = site_plan (id, kind->count, kind->gang, kind->accelerators);
-	plan->priority = pick (play, 3);
-	site_submit (&play->site, process, plan);
+	plan->priority = pick (run, 3);
+	site_submit (&run->site, process, plan);
 }
 
 static void
-cancel (struct play *play)
+cancel (struct run *run)
 {
-	int process = pick_live (play);
-	if (process < 0 || play->site.accepted->len == 0)
+	int process = pick_live (run);
+	if (process < 0 || run->site.accepted->len == 0)
 		return;
 	const char *id =
-		g_ptr_array_index (play->site.accepted, pick (play, (int)play->site.accepted->len));
-	enum dff_front_outcome outcome = site_cancel (&play->site, process, id);
+		g_ptr_array_index (run->site.accepted, pick (run, (int)run->site.accepted->len));
+	enum dff_front_outcome outcome = site_cancel (&run->site, process, id);
 	if (outcome == DFF_FRONT_OK || outcome == DFF_FRONT_UNKNOWN)
-		g_ptr_array_add (play->cancelled, g_strdup (id));
+		g_ptr_array_add (run->cancelled, g_strdup (id));
 }
 
 static void
-break_process (struct play *play)
+break_process (struct run *run)
 {
-	int process = pick (play, SITE_PROCESSES);
-	if (play->site.processes[process].alive)
-		site_kill_process (&play->site, process);
+	int process = pick (run, SITE_PROCESSES);
+	if (run->site.processes[process].alive)
+		site_kill_process (&run->site, process);
 	else
-		site_start_process (&play->site, process);
+		site_start_process (&run->site, process);
 }
 
 static void
-break_store (struct play *play)
+break_store (struct run *run)
 {
-	int process = pick_live (play);
+	int process = pick_live (run);
 	if (process < 0)
 		return;
 	struct dff_memory_rows_faults *faults =
-		dff_memory_rows_client_faults (play->site.processes[process].rows);
+		dff_memory_rows_client_faults (run->site.processes[process].rows);
 	memset (faults, 0, sizeof (*faults));
-	switch (pick (play, 6)) {
+	switch (pick (run, 6)) {
 	case 0:
 		faults->silent = true;
 		return;
@@ -197,34 +197,34 @@
 		return;
 	case 3:
 		faults->late_permille = 400;
-		faults->late_ms = 100 + pick (play, 4000);
+		faults->late_ms = 100 + pick (run, 4000);
 		return;
 	case 4:
 		faults->feeds_held = true;
 		return;
 	default:
-		faults->delay_ms = 50 + pick (play, 300);
+		faults->delay_ms = 50 + pick (run, 300);
 		return;
 	}
 }
 
 static void
-heal_stores (struct play *play)
+heal_stores (struct run *run)
 {
 	for (int i = 0; i < SITE_PROCESSES; i++) {
-		if (play->site.processes[i].alive)
-			memset (dff_memory_rows_client_faults (play->site.processes[i].rows), 0,
+		if (run->site.processes[i].alive)
+			memset (dff_memory_rows_client_faults (run->site.processes[i].rows), 0,
 				sizeof (struct dff_memory_rows_faults));
 	}
 }
 
 static void
-break_worker (struct play *play)
+break_worker (struct run *run)
 {
-	int index = pick (play, SITE_WORKERS);
-	struct dff_memory_worker_faults *faults = play->site.workers[index];
+	int index = pick (run, SITE_WORKERS);
+	struct dff_memory_worker_faults *faults = run->site.workers[index];
 	*faults = (struct dff_memory_worker_faults){.no_starts_from_ms = faults->no_starts_from_ms};
-	switch (pick (play, 8)) {
+	switch (pick (run, 8)) {
 	case 0:
 		faults->drops_calls = true;
 		return;
@@ -235,17 +235,17 @@
 		faults->hung = true;
 		return;
 	case 3:
-		faults->late_orders = 1 + pick (play, 4);
-		faults->late_ms = 500 + pick (play, 8000);
+		faults->late_orders = 1 + pick (run, 4);
+		faults->late_ms = 500 + pick (run, 8000);
 		return;
 	case 4:
-		site_reborn_worker (&play->site, index);
+		site_restart_worker (&run->site, index);
 		return;
 	case 5:
-		site_list_worker (&play->site, index, true, true);
+		site_list_worker (&run->site, index, true, true);
 		return;
 	case 6:
-		site_list_worker (&play->site, index, false, false);
+		site_list_worker (&run->site, index, false, false);
 		return;
 	default:
 		faults->refuses = true;
@@ -254,190 +254,190 @@
 }
 
 static void
-heal_workers (struct play *play)
+heal_workers (struct run *run)
 {
 	for (int i = 0; i < SITE_WORKERS; i++) {
-		site_hold_entries_back (&play->site, i, false);
-		memset (play->site.workers[i], 0, sizeof (struct dff_memory_worker_faults));
+		site_hold_entries_back (&run->site, i, false);
+		memset (run->site.workers[i], 0, sizeof (struct dff_memory_worker_faults));
 		/* A worker that was said to leave has left; another comes. */
-		site_reborn_worker (&play->site, i);
+		site_restart_worker (&run->site, i);
 	}
 }
 
 static void
-break_path (struct play *play)
+break_path (struct run *run)
 {
-	int process = pick_live (play);
+	int process = pick_live (run);
 	if (process < 0)
 		return;
-	int worker = pick (play, SITE_WORKERS);
-	if (play->variant == DFF_PLAY_RELAYS && pick (play, 2) == 0) {
-		site_silence_relay (&play->site, process);
+	int worker = pick (run, SITE_WORKERS);
+	if (run->variant == DFF_VARIANT_RELAYS && pick (run, 2) == 0) {
+		site_silence_relay (&run->site, process);
 		return;
 	}
-	switch (pick (play, 4)) {
+	switch (pick (run, 4)) {
 	case 0:
-		play->site.processes[process].unheard = true;
+		run->site.processes[process].isolated = true;
 		return;
 	case 1:
-		site_cut_worker_from (&play->site, worker, process, true);
+		site_cut_worker_from (&run->site, worker, process, true);
 		return;
 	case 2:
 		/* This process alone reaches it. */
 		for (int i = 0; i < SITE_PROCESSES; i++) {
-			if (play->site.processes[i].alive)
-				site_cut_worker_from (&play->site, worker, i, i != process);
+			if (run->site.processes[i].alive)
+				site_cut_worker_from (&run->site, worker, i, i != process);
 		}
 		return;
 	default:
 		/* It reaches this worker alone, and no store. */
 		for (int i = 0; i < SITE_WORKERS; i++)
-			site_cut_worker_from (&play->site, i, process, i != worker);
-		play->site.processes[process].unheard = true;
-		dff_memory_rows_client_faults (play->site.processes[process].rows)->silent = true;
+			site_cut_worker_from (&run->site, i, process, i != worker);
+		run->site.processes[process].isolated = true;
+		dff_memory_rows_client_faults (run->site.processes[process].rows)->silent = true;
 		return;
 	}
 }
 
 static void
-heal_paths (struct play *play)
+heal_paths (struct run *run)
 {
 	for (int i = 0; i < SITE_PROCESSES; i++) {
-		play->site.processes[i].unheard = false;
-		for (int j = 0; j < SITE_WORKERS && play->site.processes[i].alive; j++)
-			site_cut_worker_from (&play->site, j, i, false);
+		run->site.processes[i].isolated = false;
+		for (int j = 0; j < SITE_WORKERS && run->site.processes[i].alive; j++)
+			site_cut_worker_from (&run->site, j, i, false);
 	}
 }
 
 static void
-step_paths (struct play *play)
+step_paths (struct run *run)
 {
-	int what = pick (play, 100);
-	if (what < 25)
-		break_path (play);
-	else if (what < 32)
-		heal_paths (play);
+	int roll = pick (run, 100);
+	if (roll < 25)
+		break_path (run);
+	else if (roll < 32)
+		heal_paths (run);
 }
 
 /* The holder's answers from the store are lost, its writes late, or lists of workers do not reach
  * it; then it is killed. */
 static void
-break_holder (struct play *play)
+break_holder (struct run *run)
 {
-	int holder = site_holder (&play->site);
+	int holder = site_holder (&run->site);
 	if (holder < 0)
 		return;
 	struct dff_memory_rows_faults *faults =
-		dff_memory_rows_client_faults (play->site.processes[holder].rows);
-	switch (pick (play, 3)) {
+		dff_memory_rows_client_faults (run->site.processes[holder].rows);
+	switch (pick (run, 3)) {
 	case 0:
 		faults->lost_permille = 1000;
 		break;
 	case 1:
 		faults->late_permille = 1000;
-		faults->late_ms = 10 + pick (play, 1000);
+		faults->late_ms = 10 + pick (run, 1000);
 		break;
 	default:
 		break;
 	}
-	site_run (&play->site, pick (play, STEP_MS));
-	site_kill_process (&play->site, holder);
-	site_run (&play->site, pick (play, STEP_MS));
-	site_start_process (&play->site, holder);
+	site_run (&run->site, pick (run, STEP_MS));
+	site_kill_process (&run->site, holder);
+	site_run (&run->site, pick (run, STEP_MS));
+	site_start_process (&run->site, holder);
 }
 
 static void
-step_failures (struct play *play)
-{
-	int what = pick (play, 100);
-	struct dff_memory_worker_faults *worker = play->site.workers[pick (play, SITE_WORKERS)];
-	if (what < 40)
-		submit (play);
-	else if (what < 60)
-		break_holder (play);
-	else if (what < 75)
+step_failures (struct run *run)
+{
+	int roll = pick (run, 100);
+	struct dff_memory_worker_faults *worker = run->site.workers[pick (run, SITE_WORKERS)];
+	if (roll < 40)
+		submit (run);
+	else if (roll < 60)
+		break_holder (run);
+	else if (roll < 75)
 		worker->drops_answers = !worker->drops_answers;
-	else if (what < 80)
-		worker->answer_ms = pick (play, 400);
-	else if (what < 85)
-		site_reborn_worker (&play->site, pick (play, SITE_WORKERS));
-	site_run (&play->site, pick (play, STEP_MS));
+	else if (roll < 80)
+		worker->answer_ms = pick (run, 400);
+	else if (roll < 85)
+		site_restart_worker (&run->site, pick (run, SITE_WORKERS));
+	site_run (&run->site, pick (run, STEP_MS));
 }
 
 static void
-step_evacuations (struct play *play)
+step_evacuations (struct run *run)
 {
-	int what = pick (play, 100);
-	int data_centre = pick (play, SITE_DATA_CENTRES);
-	if (what < 12)
-		site_evacuate (&play->site, data_centre, true);
-	else if (what < 22)
-		site_evacuate (&play->site, data_centre, false);
-	else if (what < 26)
-		dff_memory_rows_drop_history (play->site.rows);
+	int roll = pick (run, 100);
+	int data_centre = pick (run, SITE_DATA_CENTRES);
+	if (roll < 12)
+		site_evacuate (&run->site, data_centre, true);
+	else if (roll < 22)
+		site_evacuate (&run->site, data_centre, false);
+	else if (roll < 26)
+		dff_memory_rows_drop_history (run->site.rows);
 }
 
 static void
-step_rooms (struct play *play)
+step_capacity (struct run *run)
 {
-	int what = pick (play, 100);
-	int worker = pick (play, SITE_WORKERS);
-	if (what < 15)
-		site_resize_worker (&play->site, worker, pick (play, SITE_ACCELERATORS));
-	else if (what < 22)
-		site_resize_worker (&play->site, worker, SITE_ACCELERATORS);
+	int roll = pick (run, 100);
+	int worker = pick (run, SITE_WORKERS);
+	if (roll < 15)
+		site_resize_worker (&run->site, worker, pick (run, SITE_ACCELERATORS));
+	else if (roll < 22)
+		site_resize_worker (&run->site, worker, SITE_ACCELERATORS);
 }
 
 static void
-step_lives (struct play *play)
-{
-	int what = pick (play, 100);
-	int worker = pick (play, SITE_WORKERS);
-	struct dff_memory_worker_faults faults = *play->site.workers[worker];
-	if (what < 10)
-		site_hold_entries_back (&play->site, worker, pick (play, 2) == 0);
-	else if (what < 30)
-		site_reborn_worker (&play->site, worker);
+step_restarts (struct run *run)
+{
+	int roll = pick (run, 100);
+	int worker = pick (run, SITE_WORKERS);
+	struct dff_memory_worker_faults faults = *run->site.workers[worker];
+	if (roll < 10)
+		site_hold_entries_back (&run->site, worker, pick (run, 2) == 0);
+	else if (roll < 30)
+		site_restart_worker (&run->site, worker);
 	/* Behind a cut, and with what is on its way to it. */
-	if (what >= 10 && what < 20)
-		*play->site.workers[worker] = faults;
+	if (roll >= 10 && roll < 20)
+		*run->site.workers[worker] = faults;
 }
 
 static void
-step (struct play *play)
-{
-	if (play->variant == DFF_PLAY_ROOMS)
-		step_rooms (play);
-	if (play->variant == DFF_PLAY_EVACUATIONS)
-		step_evacuations (play);
-	if (play->variant == DFF_PLAY_LIVES)
-		step_lives (play);
-	if (play->variant == DFF_PLAY_PATHS || play->variant == DFF_PLAY_RELAYS ||
-	    play->variant == DFF_PLAY_LIVES)
-		step_paths (play);
-	int what = pick (play, 100);
-	if (what < 40)
-		submit (play);
-	else if (what < 46)
-		cancel (play);
-	else if (what < 56)
-		break_process (play);
-	else if (what < 70)
-		break_store (play);
-	else if (what < 78)
-		heal_stores (play);
-	else if (what < 90)
-		break_worker (play);
-	else if (what < 94)
-		dff_memory_rows_drop_history (play->site.rows);
-	site_run (&play->site, pick (play, STEP_MS));
+step (struct run *run)
+{
+	if (run->variant == DFF_VARIANT_CAPACITY)
+		step_capacity (run);
+	if (run->variant == DFF_VARIANT_EVACUATIONS)
+		step_evacuations (run);
+	if (run->variant == DFF_VARIANT_RESTARTS)
+		step_restarts (run);
+	if (run->variant == DFF_VARIANT_PATHS || run->variant == DFF_VARIANT_RELAYS ||
+	    run->variant == DFF_VARIANT_RESTARTS)
+		step_paths (run);
+	int roll = pick (run, 100);
+	if (roll < 40)
+		submit (run);
+	else if (roll < 46)
+		cancel (run);
+	else if (roll < 56)
+		break_process (run);
+	else if (roll < 70)
+		break_store (run);
+	else if (roll < 78)
+		heal_stores (run);
+	else if (roll < 90)
+		break_worker (run);
+	else if (roll < 94)
+		dff_memory_rows_drop_history (run->site.rows);
+	site_run (&run->site, pick (run, STEP_MS));
 }
 
 static bool
-is_cancelled (const struct play *play, const char *id)
+is_cancelled (const struct run *run, const char *id)
 {
-	for (guint i = 0; i < play->cancelled->len; i++) {
-		if (strcmp (g_ptr_array_index (play->cancelled, i), id) == 0)
+	for (guint i = 0; i < run->cancelled->len; i++) {
+		if (strcmp (g_ptr_array_index (run->cancelled, i), id) == 0)
 			return true;
 	}
 	return false;
@@ -445,98 +445,98 @@
 
 /* Whether two workers or more have crashed under a task of a job, which may be given up then. */
 static bool
-has_crashed_workers (const struct play *play, const char *id)
+has_crashed_workers (const struct run *run, const char *id)
 {
 	for (int i = 0; i < TASKS_MAX; i++) {
 		g_autofree char *task = g_strdup_printf ("%s.0.0.%d", id, i);
-		if (dff_memory_runner_n_incarnations_ended (play->site.runner, task) >= 2)
+		if (dff_memory_runner_n_incarnations_ended (run->site.runner, task) >= 2)
 			return true;
 	}
 	return false;
 }
 
 static void
-check_end (struct play *play, guint seed, const char *id)
+check_end (struct run *run, guint seed, const char *id)
 {
-	const char *wanted = strchr ("39xyz", id[0]) != NULL ? "failed" : "completed";
-	const char *state = site_state (&play->site, 0, id);
-	if (strcmp (state, wanted) == 0)
+	const char *expected = strchr ("39xyz", id[0]) != NULL ? "failed" : "completed";
+	const char *state = site_state (&run->site, 0, id);
+	if (strcmp (state, expected) == 0)
 		return;
-	bool crash = play->variant == DFF_PLAY_CRASHES || play->variant == DFF_PLAY_LIVES;
-	if (crash && strcmp (state, "failed") == 0 && has_crashed_workers (play, id)) {
-		play->n_unlucky++;
+	bool crash = run->variant == DFF_VARIANT_CRASHES || run->variant == DFF_VARIANT_RESTARTS;
+	if (crash && strcmp (state, "failed") == 0 && has_crashed_workers (run, id)) {
+		run->n_blameless++;
 		return;
 	}
 	/* The answer to a cancellation may have been lost. */
-	if (strcmp (state, "cancelled") == 0 && is_cancelled (play, id))
+	if (strcmp (state, "cancelled") == 0 && is_cancelled (run, id))
 		return;
-	fail_msg ("seed %u: job %s is %s, not %s", seed, id, state, wanted);
+	fail_msg ("seed %u: job %s is %s, not %s", seed, id, state, expected);
 }
 
 static void
-play_seed (guint seed, enum variant variant)
-{
-	struct play play = {.rand = g_rand_new_with_seed (seed),
-			    .variant = variant,
-			    .cancelled = g_ptr_array_new_with_free_func (g_free)};
-	if (variant == DFF_PLAY_RELAYS)
-		site_open_with_relays (&play.site);
-	else if (variant == DFF_PLAY_LINKS)
-		site_open_with_links (&play.site);
-	else if (variant == DFF_PLAY_EVACUATIONS)
-		site_open_with_evacuations (&play.site);
-	else if (variant == DFF_PLAY_ROOMS)
-		site_open_unguarded (&play.site);
-	else if (variant == DFF_PLAY_LIVES)
-		site_open_with_same_ids (&play.site, seed % 2 == 0);
+run_seed (guint seed, enum variant variant)
+{
+	struct run run = {.rand = g_rand_new_with_seed (seed),
+			  .variant = variant,
+			  .cancelled = g_ptr_array_new_with_free_func (g_free)};
+	if (variant == DFF_VARIANT_RELAYS)
+		site_open_with_relays (&run.site);
+	else if (variant == DFF_VARIANT_LINKS)
+		site_open_with_links (&run.site);
+	else if (variant == DFF_VARIANT_EVACUATIONS)
+		site_open_with_evacuations (&run.site);
+	else if (variant == DFF_VARIANT_CAPACITY)
+		site_open_unenforced (&run.site);
+	else if (variant == DFF_VARIANT_RESTARTS)
+		site_open_with_same_ids (&run.site, seed % 2 == 0);
 	else
-		site_open (&play.site);
-	dff_memory_rows_seed (play.site.rows, seed);
+		site_open (&run.site);
+	dff_memory_rows_seed (run.site.rows, seed);
 	for (int i = 0; i < STEPS; i++) {
-		if (variant == DFF_PLAY_FAILURES)
-			step_failures (&play);
+		if (variant == DFF_VARIANT_FAILURES)
+			step_failures (&run);
 		else
-			step (&play);
+			step (&run);
 	}
-	heal_stores (&play);
-	heal_paths (&play);
+	heal_stores (&run);
+	heal_paths (&run);
 	for (int i = 0; i < SITE_PROCESSES; i++) {
-		if (!play.site.processes[i].alive)
-			site_start_process (&play.site, i);
+		if (!run.site.processes[i].alive)
+			site_start_process (&run.site, i);
 	}
-	heal_workers (&play);
-	for (int i = 0; variant == DFF_PLAY_EVACUATIONS && i < SITE_DATA_CENTRES; i++)
-		site_evacuate (&play.site, i, false);
-	site_run (&play.site, SETTLE_MS);
-	for (guint i = 0; i < play.site.accepted->len; i++)
-		check_end (&play, seed, g_ptr_array_index (play.site.accepted, i));
-	site_run (&play.site, 20000);
-	assert_int_equal (dff_memory_runner_n_active (play.site.runner), 0);
-	const char *violation = dff_memory_runner_violation (play.site.runner);
+	heal_workers (&run);
+	for (int i = 0; variant == DFF_VARIANT_EVACUATIONS && i < SITE_DATA_CENTRES; i++)
+		site_evacuate (&run.site, i, false);
+	site_run (&run.site, SETTLE_MS);
+	for (guint i = 0; i < run.site.accepted->len; i++)
+		check_end (&run, seed, g_ptr_array_index (run.site.accepted, i));
+	site_run (&run.site, 20000);
+	assert_int_equal (dff_memory_runner_n_active (run.site.runner), 0);
+	const char *violation = dff_memory_runner_violation (run.site.runner);
 	if (violation != NULL)
 		fail_msg ("seed %u: %s", seed, violation);
-	if (play.n_unlucky > 0)
+	if (run.n_blameless > 0)
 		print_message ("seed %u: %d of %u jobs given up for what others did\n", seed,
-			       play.n_unlucky, play.site.accepted->len);
-	site_close (&play.site);
-	g_rand_free (play.rand);
-	g_ptr_array_unref (play.cancelled);
+			       run.n_blameless, run.site.accepted->len);
+	site_close (&run.site);
+	g_rand_free (run.rand);
+	g_ptr_array_unref (run.cancelled);
 }
 
 static guint
-number_from (const char *name, guint otherwise)
+number_from (const char *name, guint fallback)
 {
 	const char *text = getenv (name);
-	return text != NULL ? (guint)strtoul (text, NULL, 10) : otherwise;
+	return text != NULL ? (guint)strtoul (text, NULL, 10) : fallback;
 }
 
 static void
-play_seeds (enum variant variant)
+run_seeds (enum variant variant)
 {
 	guint first = number_from ("DFF_SEED_FIRST", SEED_FIRST);
 	guint count = number_from ("DFF_SEED_COUNT", SEED_COUNT);
 	for (guint seed = first; seed < first + count; seed++)
-		play_seed (seed, variant);
+		run_seed (seed, variant);
 }
 
 static void
@@ -544,8 +544,8 @@
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS (failed_seeds); i++)
-		play_seed (failed_seeds[i], DFF_PLAY_PLAIN);
-	play_seeds (DFF_PLAY_PLAIN);
+		run_seed (failed_seeds[i], DFF_VARIANT_PLAIN);
+	run_seeds (DFF_VARIANT_PLAIN);
 }
 
 static void
@@ -553,8 +553,8 @@
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS (failed_seeds_with_paths); i++)
-		play_seed (failed_seeds_with_paths[i], DFF_PLAY_PATHS);
-	play_seeds (DFF_PLAY_PATHS);
+		run_seed (failed_seeds_with_paths[i], DFF_VARIANT_PATHS);
+	run_seeds (DFF_VARIANT_PATHS);
 }
 
 static void
@@ -562,22 +562,22 @@
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS (failed_seeds_with_relays); i++)
-		play_seed (failed_seeds_with_relays[i], DFF_PLAY_RELAYS);
-	play_seeds (DFF_PLAY_RELAYS);
+		run_seed (failed_seeds_with_relays[i], DFF_VARIANT_RELAYS);
+	run_seeds (DFF_VARIANT_RELAYS);
 }
 
 static void
 test_seeds_with_links (void **state)
 {
 	(void)state;
-	play_seeds (DFF_PLAY_LINKS);
+	run_seeds (DFF_VARIANT_LINKS);
 }
 
 static void
 test_seeds_with_evacuations (void **state)
 {
 	(void)state;
-	play_seeds (DFF_PLAY_EVACUATIONS);
+	run_seeds (DFF_VARIANT_EVACUATIONS);
 }
 
 static void
@@ -585,15 +585,15 @@
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS (failed_seeds_with_failures); i++)
-		play_seed (failed_seeds_with_failures[i], DFF_PLAY_FAILURES);
-	play_seeds (DFF_PLAY_FAILURES);
+		run_seed (failed_seeds_with_failures[i], DFF_VARIANT_FAILURES);
+	run_seeds (DFF_VARIANT_FAILURES);
 }
 
 static void
 test_seeds_with_crashes (void **state)
 {
 	(void)state;
-	play_seeds (DFF_PLAY_CRASHES);
+	run_seeds (DFF_VARIANT_CRASHES);
 }
 
 static void
@@ -601,8 +601,8 @@
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS (failed_seeds_with_rooms); i++)
-		play_seed (failed_seeds_with_rooms[i], DFF_PLAY_ROOMS);
-	play_seeds (DFF_PLAY_ROOMS);
+		run_seed (failed_seeds_with_rooms[i], DFF_VARIANT_CAPACITY);
+	run_seeds (DFF_VARIANT_CAPACITY);
 }
 
 static void
@@ -610,8 +610,8 @@
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS (failed_seeds_with_lives); i++)
-		play_seed (failed_seeds_with_lives[i], DFF_PLAY_LIVES);
-	play_seeds (DFF_PLAY_LIVES);
+		run_seed (failed_seeds_with_lives[i], DFF_VARIANT_RESTARTS);
+	run_seeds (DFF_VARIANT_RESTARTS);
 }
 
 int
--- a/tests/holder/test-holder-store.c
+++ b/tests/holder/test-holder-store.c
@@ -14,7 +14,7 @@
 /* A process holds on to the cell for eight seconds, whatever it takes, and the job of four tasks
  * that it has begun completes once its calls are quick again. */
 static void
-assert_holds_on (struct site *site, int holder)
+assert_keeps_lease (struct site *site, int holder)
 {
 	for (int waited_ms = 0; waited_ms < 8000; waited_ms += 10) {
 		site_run (site, 10);
@@ -26,7 +26,7 @@
 		faults->delay_ms = 0;
 		faults->commit_delay_ms = 0;
 	}
-	assert_int_not_equal (site_until (site, "1", "completed", 9000), -1);
+	assert_int_not_equal (site_wait_for_state (site, "1", "completed", 9000), -1);
 	assert_int_equal (dff_memory_runner_n_starts (site->runner, "1"), 4);
 }
 
@@ -88,7 +88,7 @@
 /* A site without processes, of which the second is quick and the others take longer to take over.
  */
 static void
-open_with_quick_process (struct site *site, int64_t slow_ms)
+open_with_fast_process (struct site *site, int64_t slow_ms)
 {
 	site_open (site);
 	for (int i = 0; i < SITE_PROCESSES; i++) {
@@ -101,11 +101,11 @@
  * round. Sequence: a small machine is the first to take the cell, is in place late and falls
  * behind, and the next one takes its turn. Cause: it was left to chance who takes the cell. */
 static void
-test_quick_process_decides (void **state)
+test_fast_process_becomes_holder (void **state)
 {
 	(void)state;
 	struct site site;
-	open_with_quick_process (&site, 1200);
+	open_with_fast_process (&site, 1200);
 	for (int i = 0; i < SITE_PROCESSES; i++)
 		site_start_process (&site, i);
 	/* All begin with a row that knows nothing of them: whoever is first, the quick one follows.
@@ -126,13 +126,13 @@
 	assert_in_range (waited_ms, 0, 3500);
 	site_run (&site, 8000);
 	assert_int_equal (site_holder (&site), 1);
-	assert_int_not_equal (site_until (&site, "7", "completed", 30000), -1);
+	assert_int_not_equal (site_wait_for_state (&site, "7", "completed", 30000), -1);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "7"), 4);
 	site_close (&site);
 }
 
 static int64_t
-n_readings (const struct site *site, int process)
+count_reads (const struct site *site, int process)
 {
 	return *dff_metrics_counter (site->processes[process].metrics, "dff_rows_gets_total", "");
 }
@@ -141,7 +141,7 @@
  * against readings of the store that grow with the fleet by three a second and machine: what a
  * process reads that is not among the next to decide is counted. */
 static void
-test_readings_of_slow_processes (void **state)
+test_reads_of_slow_processes (void **state)
 {
 	(void)state;
 	static const struct {
@@ -157,15 +157,15 @@
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct site site;
-		open_with_quick_process (&site, cases[i].takeover_ms);
+		open_with_fast_process (&site, cases[i].takeover_ms);
 		site_start_process (&site, 1);
 		site_run (&site, 4000);
 		site_start_process (&site, 0);
 		site_run (&site, 4000);
-		int64_t before = n_readings (&site, 0);
+		int64_t before = count_reads (&site, 0);
 		site_run (&site, 20000);
 		assert_int_equal (site_holder (&site), 1);
-		assert_in_range (n_readings (&site, 0) - before, cases[i].least, cases[i].most);
+		assert_in_range (count_reads (&site, 0) - before, cases[i].least, cases[i].most);
 		site_close (&site);
 	}
 }
@@ -174,22 +174,22 @@
  * does not look who decides: one that does not reach it looks at once, and no more often than
  * others. */
 static void
-test_lost_decider_is_looked_up (void **state)
+test_lost_holder_is_looked_up (void **state)
 {
 	(void)state;
 	struct site site;
-	open_with_quick_process (&site, 60000);
+	open_with_fast_process (&site, 60000);
 	site_start_process (&site, 1);
 	site_run (&site, 4000);
 	site_start_process (&site, 0);
 	site_run (&site, 4000);
 	for (int i = 0; i < 5; i++) {
-		int64_t before = n_readings (&site, 0);
+		int64_t before = count_reads (&site, 0);
 		for (int j = 0; j < 4; j++) {
 			dff_holder_handle_holder_lost (site.processes[0].holder);
 			site_run (&site, 100);
 		}
-		assert_in_range (n_readings (&site, 0) - before, 1, 2);
+		assert_in_range (count_reads (&site, 0) - before, 1, 2);
 		site_run (&site, 1700);
 	}
 	site_close (&site);
@@ -203,7 +203,7 @@
 	(void)state;
 	for (int phase_ms = 0; phase_ms < 1400; phase_ms += 200) {
 		struct site site;
-		open_with_quick_process (&site, 1200);
+		open_with_fast_process (&site, 1200);
 		site_start_process (&site, 1);
 		site_run (&site, 4000);
 		site_start_process (&site, 0);
@@ -253,8 +253,9 @@
 		memset (dff_memory_rows_client_faults (site.processes[i].rows), 0,
 			sizeof (struct dff_memory_rows_faults));
 	for (guint i = 0; i < site.accepted->len; i++) {
-		assert_int_not_equal (site_until (&site, g_ptr_array_index (site.accepted, i),
-						  "completed", 20000),
+		assert_int_not_equal (site_wait_for_state (&site,
+							   g_ptr_array_index (site.accepted, i),
+							   "completed", 20000),
 				      -1);
 	}
 	site_close (&site);
@@ -281,10 +282,10 @@
 	site_run (&site, 300);
 	assert_string_equal (site_state (&site, 0, "b"), "gone");
 	assert_int_equal (site_submit (&site, 1, site_plan ("c", 1, false, 1)), DFF_FRONT_OK);
-	assert_int_not_equal (site_until (&site, "1", "completed", 5000), -1);
+	assert_int_not_equal (site_wait_for_state (&site, "1", "completed", 5000), -1);
 	/* Leases were renewed all the while. */
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "1"), 6);
-	assert_int_not_equal (site_until (&site, "c", "completed", 5000), -1);
+	assert_int_not_equal (site_wait_for_state (&site, "c", "completed", 5000), -1);
 	site_close (&site);
 }
 
@@ -292,13 +293,13 @@
  * just after each question in progress was sent. */
 #define OUTAGE_MS 4200
 /** A probe of a silent store, and two transactions. */
-#define BACK_WITHIN_MS 300
+#define RECOVERY_MS 300
 
 /* Symptom: jobs are accepted and begin only a second after the store's return. Sequence: the store
  * is silent for seconds; the holder's transaction, and questions about jobs, were sent just before
  * its return and are lost. Cause: they were waited for until their time was up. */
 static void
-test_back_at_once (void **state)
+test_recovery_after_silence (void **state)
 {
 	(void)state;
 	for (int64_t more_ms = 0; more_ms < 1500; more_ms += 150) {
@@ -309,12 +310,12 @@
 		set_silent (&site, true);
 		site_run (&site, OUTAGE_MS + more_ms);
 		set_silent (&site, false);
-		site_run (&site, BACK_WITHIN_MS);
+		site_run (&site, RECOVERY_MS);
 		for (int i = 0; i < SITE_PROCESSES; i++)
 			assert_false (dff_rows_health_is_silent (site.processes[i].health));
 		assert_int_equal (site_submit (&site, 1, site_plan ("b", 1, false, 1)),
 				  DFF_FRONT_OK);
-		site_run (&site, BACK_WITHIN_MS);
+		site_run (&site, RECOVERY_MS);
 		assert_int_equal (dff_memory_runner_n_starts (site.runner, "b"), 1);
 		site_close (&site);
 	}
@@ -342,7 +343,7 @@
 		for (int j = 0; j < SITE_PROCESSES; j++)
 			dff_memory_rows_client_faults (site.processes[j].rows)->delay_ms =
 				j == holder ? cases[i].write_ms : cases[i].read_ms;
-		assert_holds_on (&site, holder);
+		assert_keeps_lease (&site, holder);
 		site_close (&site);
 	}
 }
@@ -367,7 +368,7 @@
 			dff_memory_rows_client_faults (site.processes[holder].rows);
 		faults->delay_ms = 200;
 		faults->commit_delay_ms = delays_ms[i];
-		assert_holds_on (&site, holder);
+		assert_keeps_lease (&site, holder);
 		site_close (&site);
 	}
 }
@@ -396,7 +397,7 @@
 	assert_int_not_equal (site_holder (&site), -1);
 	int other = (holder + 1) % SITE_PROCESSES;
 	assert_int_equal (site_submit (&site, other, site_plan ("c", 1, false, 1)), DFF_FRONT_OK);
-	assert_int_not_equal (site_until (&site, "c", "completed", 20000), -1);
+	assert_int_not_equal (site_wait_for_state (&site, "c", "completed", 20000), -1);
 	site_close (&site);
 }
 
@@ -453,10 +454,10 @@
 	struct site site;
 	site_open (&site);
 	site_submit (&site, 0, site_plan ("a", 3, false, 1));
-	site_until (&site, "a", "completed", 5000);
+	site_wait_for_state (&site, "a", "completed", 5000);
 	dff_memory_rows_drop_history (site.rows);
 	site_submit (&site, 1, site_plan ("b", 1, false, 1));
-	assert_int_not_equal (site_until (&site, "b", "completed", 5000), -1);
+	assert_int_not_equal (site_wait_for_state (&site, "b", "completed", 5000), -1);
 	site_run (&site, 2000);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "a"), 3);
 	site_close (&site);
@@ -464,7 +465,7 @@
 
 /* Symptom: a stopping process leaves the cell without a holder for a second. */
 static void
-test_resign (void **state)
+test_step_down (void **state)
 {
 	(void)state;
 	struct site site;
@@ -477,7 +478,7 @@
 	assert_true (dff_holder_has_stepped_down (site.processes[holder].holder));
 	assert_int_not_equal (site_holder (&site), holder);
 	assert_int_not_equal (site_holder (&site), -1);
-	assert_int_not_equal (site_until (&site, "1", "completed", 9000), -1);
+	assert_int_not_equal (site_wait_for_state (&site, "1", "completed", 9000), -1);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "1"), 4);
 	site_close (&site);
 }
@@ -493,11 +494,11 @@
 	site_open (&site);
 	site_submit (&site, 0, site_plan ("7", 1, false, 1));
 	site_run (&site, 400);
-	const char *where = dff_memory_runner_worker_of (site.runner, "7.0.0.0");
-	assert_non_null (where);
-	int reached = where[1] - '0';
+	const char *worker_id = dff_memory_runner_worker_of (site.runner, "7.0.0.0");
+	assert_non_null (worker_id);
+	int reached = worker_id[1] - '0';
 	int first = site_holder (&site);
-	site.processes[first].unheard = true;
+	site.processes[first].isolated = true;
 	dff_memory_rows_client_faults (site.processes[first].rows)->silent = true;
 	for (int i = 0; i < SITE_PROCESSES; i++)
 		site_cut_worker_from (&site, reached, i, i != first);
@@ -515,8 +516,8 @@
 	site_cut_worker_from (&site, reached, second, true);
 	site_run (&site, 22000);
 	dff_memory_rows_client_faults (site.processes[first].rows)->silent = false;
-	site.processes[first].unheard = false;
-	assert_int_not_equal (site_until (&site, "7", "completed", 60000), -1);
+	site.processes[first].isolated = false;
+	assert_int_not_equal (site_wait_for_state (&site, "7", "completed", 60000), -1);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "7"), 2);
 	site_close (&site);
 }
@@ -526,20 +527,20 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test (test_take_over),
-		cmocka_unit_test (test_quick_process_decides),
-		cmocka_unit_test (test_readings_of_slow_processes),
-		cmocka_unit_test (test_lost_decider_is_looked_up),
+		cmocka_unit_test (test_fast_process_becomes_holder),
+		cmocka_unit_test (test_reads_of_slow_processes),
+		cmocka_unit_test (test_lost_holder_is_looked_up),
 		cmocka_unit_test (test_slow_processes_follow),
 		cmocka_unit_test (test_lost_and_late_answers),
 		cmocka_unit_test (test_silent_store),
 		cmocka_unit_test (test_slow_store),
-		cmocka_unit_test (test_back_at_once),
+		cmocka_unit_test (test_recovery_after_silence),
 		cmocka_unit_test (test_slow_holder),
 		cmocka_unit_test (test_slow_pages),
 		cmocka_unit_test (test_held_feeds),
 		cmocka_unit_test (test_leaving_while_feeds_are_held),
 		cmocka_unit_test (test_dropped_history),
-		cmocka_unit_test (test_resign),
+		cmocka_unit_test (test_step_down),
 		cmocka_unit_test (test_renewals_of_an_earlier_holder),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/holder/test-holder-submissions.c
+++ b/tests/holder/test-holder-submissions.c
@@ -26,7 +26,7 @@
  * Sequence: a job's row waits for the transaction before it and its own; then it is taken in, and
  * its start's record waits for two more. Cause: one process wrote both, one after the other. */
 static void
-test_slow_store (void **state)
+test_start_delay_in_slow_store (void **state)
 {
 	(void)state;
 	struct site site;
@@ -56,7 +56,7 @@
  * as the last task has ended, is told that the job runs, and asks again after its pause. Cause: the
  * end was not heard of yet, or not on record. */
 static void
-test_state_at_the_end (void **state)
+test_state_query_at_completion (void **state)
 {
 	(void)state;
 	struct site site;
@@ -79,7 +79,7 @@
  * was heard, its record is on the way to a store that does not answer; the holder is lost. Cause:
  * what was not on record was told. */
 static void
-test_state_is_on_record (void **state)
+test_unrecorded_completion_is_not_reported (void **state)
 {
 	(void)state;
 	struct site site;
@@ -95,7 +95,7 @@
 	site_run (&site, 20);
 	assert_string_equal (site_state (&site, other, "a"), "running");
 	site_kill_process (&site, holder);
-	assert_int_not_equal (site_until (&site, "a", "completed", 5000), -1);
+	assert_int_not_equal (site_wait_for_state (&site, "a", "completed", 5000), -1);
 	site_close (&site);
 }
 
@@ -104,13 +104,13 @@
  * finds the row there; the holder may be killed just then. Cause: what was open was told as done
  * or not done. */
 static void
-test_fates (void **state)
+test_submission_outcomes (void **state)
 {
 	(void)state;
 	static const struct {
 		struct dff_memory_rows_faults faults;
 		bool killed;
-		bool written_before;
+		bool recorded_before;
 	} cases[] = {
 		{.faults = {.refuses = true}},
 		{.faults = {.refuses = true}, .killed = true},
@@ -120,15 +120,15 @@
 		{.faults = {.lost_permille = 1000}, .killed = true},
 		{.faults = {.late_permille = 1000, .late_ms = 700}},
 		{.faults = {.late_permille = 1000, .late_ms = 700}, .killed = true},
-		{.written_before = true},
-		{.faults = {.lost_permille = 1000}, .written_before = true},
+		{.recorded_before = true},
+		{.faults = {.lost_permille = 1000}, .recorded_before = true},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct site site;
 		site_open_with_links (&site);
 		int holder = site_holder (&site);
 		int other = (holder + 1) % SITE_PROCESSES;
-		if (cases[i].written_before) {
+		if (cases[i].recorded_before) {
 			struct dff_plan *plan = site_plan ("a", 2, false, 1);
 			g_autoptr (GString) row = dff_plan_encode (plan);
 			dff_memory_rows_put (site.rows, DFF_TABLE_JOBS, "a",
@@ -144,23 +144,24 @@
 		}
 		memset (faults_of (&site, holder), 0, sizeof (struct dff_memory_rows_faults));
 		site_run (&site, 15000);
-		const char *told = site_state (&site, other, "a");
+		const char *job_state = site_state (&site, other, "a");
 		if (outcome == DFF_FRONT_UNAVAILABLE) {
-			assert_string_equal (told, "gone");
+			assert_string_equal (job_state, "gone");
 			assert_int_equal (dff_memory_runner_n_starts (site.runner, "a"), 0);
 		} else if (outcome == DFF_FRONT_OK) {
-			assert_string_equal (told, "completed");
+			assert_string_equal (job_state, "completed");
 		} else {
-			assert_true (strcmp (told, "gone") == 0 || strcmp (told, "completed") == 0);
+			assert_true (strcmp (job_state, "gone") == 0 ||
+				     strcmp (job_state, "completed") == 0);
 		}
-		if (strcmp (told, "completed") == 0)
+		if (strcmp (job_state, "completed") == 0)
 			assert_int_equal (dff_memory_runner_n_starts (site.runner, "a"), 2);
 		site_close (&site);
 	}
 }
 
 static void
-handle_nothing (void *user, const struct dff_runner_result *result)
+ignore_result (void *user, const struct dff_runner_result *result)
 {
 	(void)user;
 	(void)result;
@@ -178,7 +179,7 @@
 				      .address = dff_name_from ("10.0.0.0:1"),
 				      .epoch = 2,
 				      .timeout_ms = 500};
-	runner->watch (runner->ctx, &watch, handle_nothing, NULL);
+	runner->watch (runner->ctx, &watch, ignore_result, NULL);
 }
 
 /* Symptom: a caller is told that its job was not done, and it runs. Sequence: the transaction with
@@ -186,7 +187,7 @@
  * is refused by the store, so that nothing else settles it; the transaction is carried out. Cause:
  * what the holder had in flight was told as not done. */
 static void
-stand_down_around (int64_t lead_ms)
+submit_around_step_down (int64_t lead_ms)
 {
 	struct site site;
 	site_open_with_links (&site);
@@ -209,11 +210,11 @@
 /* How long before the job the holder's epoch is overtaken, in small steps over more than the time
  * in which it notices: some meet each moment of the transaction. */
 static void
-test_stood_down (void **state)
+test_submission_during_step_down (void **state)
 {
 	(void)state;
 	for (int64_t lead_ms = 0; lead_ms <= 1200; lead_ms += 25)
-		stand_down_around (lead_ms);
+		submit_around_step_down (lead_ms);
 }
 
 /* Symptom: what a withdrawn job was given stays taken, or the same job is never accepted again.
@@ -239,7 +240,7 @@
 	assert_int_equal (
 		site_submit (&site, other, site_plan ("6", SITE_WORKERS, false, SITE_ACCELERATORS)),
 		DFF_FRONT_OK);
-	assert_int_not_equal (site_until (&site, "6", "completed", 8000), -1);
+	assert_int_not_equal (site_wait_for_state (&site, "6", "completed", 8000), -1);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "6"), SITE_WORKERS);
 	site_close (&site);
 }
@@ -249,7 +250,7 @@
  * another one cancelled there. Cause: nobody asked whether another process could do it. When
  * nobody's store answers, they are told at once. */
 static void
-test_cut_off_process (void **state)
+test_process_without_store (void **state)
 {
 	(void)state;
 	struct site site;
@@ -285,7 +286,7 @@
  * as that lasts, once another process decides: the former holder, turned away as well, was told who
  * follows it, and tells them. */
 static void
-test_store_turns_holder_and_others_away (void **state)
+test_holder_and_peer_without_store (void **state)
 {
 	(void)state;
 	static const bool silent[] = {true, false};
@@ -295,10 +296,10 @@
 		int former = site_holder (&site);
 		int other = (former + 1) % SITE_PROCESSES;
 		int next = (former + 2) % SITE_PROCESSES;
-		int turned_away[] = {former, other};
-		for (size_t j = 0; j < G_N_ELEMENTS (turned_away); j++) {
-			struct dff_memory_rows_faults *faults =
-				dff_memory_rows_client_faults (site.processes[turned_away[j]].rows);
+		int without_store[] = {former, other};
+		for (size_t j = 0; j < G_N_ELEMENTS (without_store); j++) {
+			struct dff_memory_rows_faults *faults = dff_memory_rows_client_faults (
+				site.processes[without_store[j]].rows);
 			faults->silent = silent[i];
 			faults->refuses = !silent[i];
 		}
@@ -319,14 +320,14 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_store_turns_holder_and_others_away),
-		cmocka_unit_test (test_slow_store),
-		cmocka_unit_test (test_state_at_the_end),
-		cmocka_unit_test (test_state_is_on_record),
-		cmocka_unit_test (test_fates),
-		cmocka_unit_test (test_stood_down),
+		cmocka_unit_test (test_holder_and_peer_without_store),
+		cmocka_unit_test (test_start_delay_in_slow_store),
+		cmocka_unit_test (test_state_query_at_completion),
+		cmocka_unit_test (test_unrecorded_completion_is_not_reported),
+		cmocka_unit_test (test_submission_outcomes),
+		cmocka_unit_test (test_submission_during_step_down),
 		cmocka_unit_test (test_withdrawn_jobs),
-		cmocka_unit_test (test_cut_off_process),
+		cmocka_unit_test (test_process_without_store),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/holder/test-holder-workers.c
+++ b/tests/holder/test-holder-workers.c
@@ -6,7 +6,7 @@
 
 /* Has a long task run on each worker. */
 static void
-run_one_a_worker (struct site *site)
+run_task_on_each_worker (struct site *site)
 {
 	struct dff_plan *plan = site_plan ("1", SITE_WORKERS, false, 1);
 	dff_plan_step (plan, 0)->per_worker = 1;
@@ -19,11 +19,11 @@
 #define ENTRY_EVERY_MS 300
 
 static void
-write_entries (struct site *site, int turn)
+write_entries (struct site *site, int round)
 {
 	for (int i = 0; i < LARGE_FLEET; i++) {
 		g_autofree char *key = g_strdup_printf ("silent-%d", i);
-		g_autofree char *value = g_strdup_printf ("10.9.0.1:%d r9 0 %d", i + 1, turn);
+		g_autofree char *value = g_strdup_printf ("10.9.0.1:%d r9 0 %d", i + 1, round);
 		dff_memory_rows_put (site->rows, DFF_TABLE_UPSTREAMS, key, dff_str_from (value));
 	}
 }
@@ -37,13 +37,13 @@
 	(void)state;
 	struct site site;
 	site_open (&site);
-	for (int turn = 0; turn < 12; turn++) {
-		write_entries (&site, turn);
+	for (int round = 0; round < 12; round++) {
+		write_entries (&site, round);
 		site_run (&site, ENTRY_EVERY_MS);
 	}
 	site_announce_leaving (&site, 0, 20000);
-	for (int turn = 12; turn < 16; turn++) {
-		write_entries (&site, turn);
+	for (int round = 12; round < 16; round++) {
+		write_entries (&site, round);
 		site_run (&site, ENTRY_EVERY_MS);
 	}
 	struct dff_plan *plan = site_plan ("7", SITE_WORKERS, false, 1);
@@ -58,7 +58,7 @@
  * other processes; one of these is killed or falls silent, and another is there or not. Cause: the
  * calls that it carried never ended, or were taken for not sent. */
 static void
-test_relay_gone (void **state)
+test_lost_relay (void **state)
 {
 	(void)state;
 	static const struct {
@@ -70,7 +70,7 @@
 		site_open_with_relays (&site);
 		int holder = site_holder (&site);
 		site_run (&site, 1500);
-		run_one_a_worker (&site);
+		run_task_on_each_worker (&site);
 		for (int j = 1; j <= (cases[i].both ? 2 : 1); j++) {
 			int process = (holder + j) % SITE_PROCESSES;
 			if (cases[i].killed)
@@ -79,8 +79,8 @@
 				site_silence_relay (&site, process);
 		}
 		site_submit (&site, holder, site_plan ("2", 3, true, SITE_ACCELERATORS));
-		assert_int_not_equal (site_until (&site, "1", "completed", 9000), -1);
-		assert_int_not_equal (site_until (&site, "2", "completed", 9000), -1);
+		assert_int_not_equal (site_wait_for_state (&site, "1", "completed", 9000), -1);
+		assert_int_not_equal (site_wait_for_state (&site, "2", "completed", 9000), -1);
 		assert_int_equal (dff_memory_runner_n_starts (site.runner, "1"), SITE_WORKERS);
 		assert_int_equal (dff_memory_runner_n_starts (site.runner, "2"), 3);
 		assert_int_equal (site_holder (&site), holder);
@@ -109,13 +109,13 @@
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct site site;
 		site_open (&site);
-		run_one_a_worker (&site);
+		run_task_on_each_worker (&site);
 		site.workers[SITE_WORKERS - 1]->drops_calls = !cases[i].mute;
 		site.workers[SITE_WORKERS - 1]->drops_answers = cases[i].mute;
 		site_run (&site, cases[i].cut_ms);
 		site.workers[SITE_WORKERS - 1]->drops_calls = false;
 		site.workers[SITE_WORKERS - 1]->drops_answers = false;
-		assert_int_not_equal (site_until (&site, "1", "completed", 20000), -1);
+		assert_int_not_equal (site_wait_for_state (&site, "1", "completed", 20000), -1);
 		assert_int_equal (dff_memory_runner_n_starts (site.runner, "1"), cases[i].n_starts);
 		site_close (&site);
 	}
@@ -125,7 +125,7 @@
  * of two ends; the worker of one member says so, and the other's list from just before arrives
  * after that. Cause: the list was taken for newer than it was. */
 static void
-test_late_lists (void **state)
+test_late_worker_reports (void **state)
 {
 	(void)state;
 	struct site site;
@@ -167,7 +167,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct site site;
 		site_open (&site);
-		run_one_a_worker (&site);
+		run_task_on_each_worker (&site);
 		site.workers[SITE_WORKERS - 1]->drops_calls = true;
 		int64_t begun_ms = dff_virtual_loop_now_ms (site.loop);
 		for (int j = 0; j < cases[i].n_kills; j++) {
@@ -177,7 +177,7 @@
 			site_start_process (&site, holder);
 			site_run (&site, 3000);
 		}
-		assert_int_not_equal (site_until (&site, "1", "completed", 40000), -1);
+		assert_int_not_equal (site_wait_for_state (&site, "1", "completed", 40000), -1);
 		assert_in_range (dff_virtual_loop_now_ms (site.loop) - begun_ms, 0,
 				 cases[i].limit_ms);
 		site_close (&site);
@@ -187,16 +187,16 @@
 /* Symptom: work on a worker that crashed waits until its lease would have lapsed. Sequence: another
  * life answers at its address. Cause: that answer was not taken as proof of the end. */
 static void
-test_reborn_worker (void **state)
+test_restarted_worker (void **state)
 {
 	(void)state;
 	struct site site;
 	site_open (&site);
-	run_one_a_worker (&site);
-	site_reborn_worker (&site, 2);
+	run_task_on_each_worker (&site);
+	site_restart_worker (&site, 2);
 	site_run (&site, 2500);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "1"), SITE_WORKERS + 1);
-	assert_in_range (site_until (&site, "1", "completed", 20000), 0, 7000);
+	assert_in_range (site_wait_for_state (&site, "1", "completed", 20000), 0, 7000);
 	site_close (&site);
 }
 
@@ -204,7 +204,7 @@
  * worker of one is lost before its end is heard, the other's is heard then. Cause: see
  * complete_unit(). */
 static void
-test_gang_that_lost_a_worker_after_its_end (void **state)
+test_gang_loses_worker_after_completion (void **state)
 {
 	(void)state;
 	struct site site;
@@ -217,12 +217,12 @@
 		site.workers[i]->drops_answers = true;
 	site_run (&site, 1000);
 	assert_null (dff_memory_runner_worker_of (site.runner, "5.0.0.0"));
-	site_reborn_worker (&site, lost);
+	site_restart_worker (&site, lost);
 	/* By now the other life has answered, and the other member is to be stopped. */
 	site_run (&site, 1500);
 	for (int i = 0; i < SITE_WORKERS; i++)
 		site.workers[i]->drops_answers = false;
-	assert_in_range (site_until (&site, "5", "completed", 5000), 0, 2000);
+	assert_in_range (site_wait_for_state (&site, "5", "completed", 5000), 0, 2000);
 	site_run (&site, 3000);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "5"), 2);
 	site_close (&site);
@@ -247,8 +247,8 @@
 		site_submit (&site, 1, site_plan ("1c", 6, false, 1));
 		site_run (&site, 1000);
 		assert_int_equal (site_cancel (&site, 2, "1c"), DFF_FRONT_OK);
-		assert_int_not_equal (site_until (&site, "a", "completed", 20000), -1);
-		assert_int_not_equal (site_until (&site, "5", "completed", 20000), -1);
+		assert_int_not_equal (site_wait_for_state (&site, "a", "completed", 20000), -1);
+		assert_int_not_equal (site_wait_for_state (&site, "5", "completed", 20000), -1);
 		assert_string_equal (site_state (&site, 0, "1c"), "cancelled");
 		site_run (&site, 8000);
 		assert_int_equal (dff_memory_runner_n_active (site.runner), 0);
@@ -271,7 +271,7 @@
 	site_run (&site, 2000);
 	site.workers[1]->hung = true;
 	/* The stalled task goes on elsewhere from what it saved, once the others have ended. */
-	assert_in_range (site_until (&site, "4", "completed", 20000), 8000, 10500);
+	assert_in_range (site_wait_for_state (&site, "4", "completed", 20000), 8000, 10500);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "4"), SITE_WORKERS + 1);
 	site_close (&site);
 }
@@ -287,8 +287,8 @@
 	site_run (&site, 1000);
 	site_submit (&site, 0, site_plan ("a", 8, false, 1));
 	site_submit (&site, 0, site_plan ("b", 1, false, 1));
-	assert_int_not_equal (site_until (&site, "a", "completed", 5000), -1);
-	assert_in_range (site_until (&site, "b", "completed", 5000), 500, 1500);
+	assert_int_not_equal (site_wait_for_state (&site, "a", "completed", 5000), -1);
+	assert_in_range (site_wait_for_state (&site, "b", "completed", 5000), 500, 1500);
 	site_close (&site);
 }
 
@@ -321,15 +321,15 @@
 		dff_plan_step (plan, 0)->estimate_ms = 6000;
 		site_submit (&site, 0, plan);
 		site_run (&site, 600);
-		const char *where = NULL;
+		const char *worker_id = NULL;
 		g_autofree char *task = g_strdup_printf ("%s.0.0.0", cases[i].id);
-		where = dff_memory_runner_worker_of (site.runner, task);
-		assert_non_null (where);
-		int worker = where[1] - '0';
+		worker_id = dff_memory_runner_worker_of (site.runner, task);
+		assert_non_null (worker_id);
+		int worker = worker_id[1] - '0';
 		site_announce_leaving (&site, worker, cases[i].remaining_ms);
 		site_run (&site, cases[i].remaining_ms);
 		site_end_worker (&site, worker);
-		int64_t took_ms = site_until (&site, cases[i].id, "completed", 20000);
+		int64_t took_ms = site_wait_for_state (&site, cases[i].id, "completed", 20000);
 		assert_in_range (took_ms + cases[i].remaining_ms, 0,
 				 MAX (cases[i].limit_ms, cases[i].remaining_ms + 200));
 		assert_int_equal (dff_memory_runner_n_starts (site.runner, cases[i].id),
@@ -342,13 +342,13 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_relay_gone),
+		cmocka_unit_test (test_lost_relay),
 		cmocka_unit_test (test_leaving_in_large_fleet),
 		cmocka_unit_test (test_cut_off_worker),
-		cmocka_unit_test (test_late_lists),
+		cmocka_unit_test (test_late_worker_reports),
 		cmocka_unit_test (test_lost_worker_after_take_overs),
-		cmocka_unit_test (test_reborn_worker),
-		cmocka_unit_test (test_gang_that_lost_a_worker_after_its_end),
+		cmocka_unit_test (test_restarted_worker),
+		cmocka_unit_test (test_gang_loses_worker_after_completion),
 		cmocka_unit_test (test_late_orders),
 		cmocka_unit_test (test_stalled_worker),
 		cmocka_unit_test (test_leaving_worker),
--- a/tests/holder/test-holder.c
+++ b/tests/holder/test-holder.c
@@ -26,7 +26,7 @@
 		struct dff_plan *plan = site_plan (cases[i].id, cases[i].count, cases[i].gang,
 						   cases[i].accelerators);
 		assert_int_equal (site_submit (&site, 0, plan), DFF_FRONT_OK);
-		int64_t took_ms = site_until (&site, cases[i].id, "completed", 10000);
+		int64_t took_ms = site_wait_for_state (&site, cases[i].id, "completed", 10000);
 		assert_in_range (took_ms, 1000, cases[i].limit_ms);
 		assert_int_equal (dff_memory_runner_n_starts (site.runner, cases[i].id),
 				  cases[i].count);
@@ -58,7 +58,7 @@
 	site_run (&site, 1000);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "a.0.1"), 1);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "a.1"), 0);
-	int64_t took_ms = site_until (&site, "a", "completed", 10000);
+	int64_t took_ms = site_wait_for_state (&site, "a", "completed", 10000);
 	assert_in_range (took_ms, 5000, 6500);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "a"), 6);
 	site_close (&site);
@@ -68,7 +68,7 @@
  * again through other processes, also after it was accepted. Cause: each was taken for a new job.
  */
 static void
-test_one_job_however_often_sent (void **state)
+test_repeated_submission_runs_once (void **state)
 {
 	(void)state;
 	struct site site;
@@ -76,7 +76,7 @@
 	dff_memory_rows_client_faults (site.processes[0].rows)->lost_permille = 1000;
 	site_submit (&site, 0, site_plan ("a", 1, false, 1));
 	assert_int_equal (site_submit (&site, 1, site_plan ("a", 1, false, 1)), DFF_FRONT_OK);
-	site_until (&site, "a", "completed", 10000);
+	site_wait_for_state (&site, "a", "completed", 10000);
 	assert_int_equal (site_submit (&site, 2, site_plan ("a", 1, false, 1)), DFF_FRONT_OK);
 	site_run (&site, 3000);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "a"), 1);
@@ -84,13 +84,13 @@
 }
 
 static void
-test_failing_job (void **state)
+test_job_fails_after_max_attempts (void **state)
 {
 	(void)state;
 	struct site site;
 	site_open (&site);
 	site_submit (&site, 0, site_plan ("3", 1, false, 1));
-	assert_int_not_equal (site_until (&site, "3", "failed", 8000), -1);
+	assert_int_not_equal (site_wait_for_state (&site, "3", "failed", 8000), -1);
 	site_run (&site, 3000);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "3"), 2);
 	site_close (&site);
@@ -110,13 +110,13 @@
 	}
 	site_run (&site, 1200);
 	/* Some workers are kept for urgent work until the pool is calm. */
-	assert_in_range (site_waiting (&site, 0), 2, 3);
+	assert_in_range (site_count_waiting (&site, 0), 2, 3);
 	for (int i = 0; i < SITE_WORKERS + 2; i++) {
 		g_autofree char *id = g_strdup_printf ("6%d", i);
-		assert_int_not_equal (site_until (&site, id, "completed", 30000), -1);
+		assert_int_not_equal (site_wait_for_state (&site, id, "completed", 30000), -1);
 	}
 	site_run (&site, 1000);
-	assert_int_equal (site_waiting (&site, 1), 0);
+	assert_int_equal (site_count_waiting (&site, 1), 0);
 	assert_string_equal (site_state (&site, 1, "60"), "completed");
 	site_run (&site, 200000);
 	assert_string_equal (site_state (&site, 1, "60"), "gone");
@@ -127,7 +127,7 @@
 /* Symptom: a job that needs a worker whole waits behind a later class of many single tasks.
  * Sequence: both wait when all workers come free. Cause: each task weighed as much as a job. */
 static void
-test_many_tasks_weigh_as_one_job (void **state)
+test_many_tasks_count_as_one_job (void **state)
 {
 	(void)state;
 	struct site site;
@@ -140,7 +140,7 @@
 	site_submit (&site, 0, many);
 	site_submit (&site, 0, site_plan ("6", 1, false, SITE_ACCELERATORS));
 	/* 5.5 s until the workers come free, and 2 s for itself. */
-	assert_in_range (site_until (&site, "6", "completed", 20000), 7000, 8100);
+	assert_in_range (site_wait_for_state (&site, "6", "completed", 20000), 7000, 8100);
 	site_close (&site);
 }
 
@@ -150,10 +150,10 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test (test_jobs_complete),
 		cmocka_unit_test (test_steps_and_occurrences),
-		cmocka_unit_test (test_one_job_however_often_sent),
-		cmocka_unit_test (test_failing_job),
+		cmocka_unit_test (test_repeated_submission_runs_once),
+		cmocka_unit_test (test_job_fails_after_max_attempts),
 		cmocka_unit_test (test_waiting_and_retention),
-		cmocka_unit_test (test_many_tasks_weigh_as_one_job),
+		cmocka_unit_test (test_many_tasks_count_as_one_job),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
