--- a/tests/holder/site.c
+++ b/tests/holder/site.c
@@ -11,15 +11,16 @@
 
 #include "common/log.h"
 
-/* A process that is killed never gets its answers: the contexts of the calls that it had in
- * progress are lost with it, here as in reality. Everything else has to be freed. */
-/* The name is the sanitizer's. */
+/* A killed process never receives the answers to its calls in progress: as in reality, the contexts
+ * of these calls are lost with it. Everything else has to be freed. */
+/* The name is defined by the sanitizer. */
 const char *__lsan_default_suppressions (void); // NOLINT(readability-identifier-naming)
 
 const char *
 __lsan_default_suppressions (void) // NOLINT(readability-identifier-naming)
 {
-	/* Where the contexts are made: in the holder, in readings and followers, in fronts. */
+	/* Functions that allocate such contexts: in the holder, in scans and subscriptions, in
+	 * fronts. */
 	return "leak:lease_work\nleak:^take\nleak:intake\nleak:dff_core_take\nleak:handle_taken\n"
 	       "leak:jobs_take_in\nleak:lives_take\nleak:take_over\n"
 	       "leak:judge_row\nleak:send_commit\nleak:read_page\n"
@@ -30,12 +31,12 @@
 	       "leak:dff_front_\n";
 }
 
-/** Time of day at the start, ms since 1970, and on the machines' clock. */
+/** Start of the virtual clock, ms: as the time since 1970 and as the monotonic clock. */
 #define START_MS 1000000
-/** When crashed workers are back in another life, ms. */
+/** Default time after which a crashed worker is restarted, ms. */
 #define RESTART_DELAY_MS 3200
 
-/* What a task of a job does, by the first character of the job's id. */
+/* Describes a task by the first character of its job's id. */
 static struct dff_memory_task
 describe (void *ctx, const struct dff_name *task)
 {
@@ -53,7 +54,7 @@
 		description.duration_ms = 0;
 		description.failing_runs = DFF_MEMORY_TASK_ALWAYS_FAILS;
 		break;
-	case '4': /* long and saves */
+	case '4': /* long, saves checkpoints */
 		description.duration_ms = 6000;
 		description.checkpoints = true;
 		break;
@@ -70,7 +71,7 @@
 		description.accelerators = SITE_ACCELERATORS;
 		description.failing_runs = g_str_has_suffix (task->data, ".1") ? 1 : 0;
 		break;
-	case '9': /* the same, and it fails each time */
+	case '9': /* gang of 2 whole workers, the last member always fails */
 		description.gang = 2;
 		description.accelerators = SITE_ACCELERATORS;
 		description.failing_runs =
@@ -92,7 +93,7 @@
 		description.crashes = true;
 		description.crashes_after_ms = 2500;
 		break;
-	case 'u': /* for minutes */
+	case 'u': /* 100 s */
 		description.duration_ms = 100000;
 		break;
 	case '6': /* a whole worker */
@@ -278,7 +279,7 @@
 	options.probe_address = dff_name_printf ("p%d", index);
 	options.send_probe = ask_presence;
 	options.takeover_ms = site->takeover_ms[index];
-	/* Changes are read wherever there are some. */
+	/* Feeds are used with any number of workers. */
 	options.feed_min_workers = 1;
 	options.probe_ctx = process;
 	options.store_served_ms = store_served_ms;
@@ -390,7 +391,7 @@
 		if (strcmp (tests[i].name, name) == 0)
 			return;
 	}
-	/* A filter that lets no test through would pass. */
+	/* With a filter that matches no test the program would pass. */
 	fprintf (stderr, "No test is called %s.\n", name);
 	exit (EXIT_FAILURE);
 }
@@ -449,7 +450,7 @@
 	site->closing = true;
 	for (int i = 0; i < SITE_PROCESSES; i++)
 		site_kill_process (site, i);
-	/* Calls in progress end by themselves. */
+	/* Lets all calls in progress end. */
 	site_run (site, 30000);
 	const char *violation = dff_memory_runner_violation (site->runner);
 	if (violation != NULL)
--- a/tests/holder/site.h
+++ b/tests/holder/site.h
@@ -19,35 +19,36 @@
 #include "standin/memory_rows.h"
 #include "standin/memory_runner.h"
 
-/* A few processes with one store and some workers, under a virtual clock. Tasks are described by
- * the first character of their job's id: see describe() in site.c. */
+/* A simulated site: a few processes with one store and some workers, under a virtual clock. The
+ * first character of a job's id determines what its tasks do: see describe() in site.c. */
 
 #define SITE_PROCESSES 3
 #define SITE_WORKERS 6
 #define SITE_PER_RACK 3
 #define SITE_ACCELERATORS 8
-/** Failed runs of each job's task after which the job has failed. */
+/** Number of failed runs of a task at which its job fails. */
 #define SITE_MAX_ATTEMPTS 2
-/** Each rack is a data centre of its own. */
+/** Number of data centres: each rack is one. */
 #define SITE_DATA_CENTRES (SITE_WORKERS / SITE_PER_RACK)
-/** Time after the request at which nothing is started in an evacuated data centre, ms. */
+/** Time after an evacuation request from which no task may be started in the data centre, ms. */
 #define SITE_EVACUATION_MS 5000
-/** Time between two entries of a worker, ms. */
+/** Interval at which a worker writes its entry, ms. */
 #define SITE_ENTRY_EVERY_MS 1500
-/** When a crashed worker is taken from the list, ms: its entry lapses. */
+/** Time after a crash at which the worker's entry expires, ms. */
 #define SITE_ENTRY_LAPSE_MS 4000
 
 struct site_process {
 	struct site *site;
 	bool alive;
-	/** Whether other processes do not hear it. */
+	/** Whether probes of other processes do not reach this process. */
 	bool isolated;
 	int32_t incarnation;
 	struct dff_name instance;
 	struct dff_metrics *metrics;
 	struct dff_memory_rows_client *rows;
 	struct dff_memory_runner_client *runner;
-	/** With relays: both ends of this process, and its connection to the one that decides. */
+	/** With relays: this process's holder end and relay end, and its connection to the holder.
+	 */
 	struct dff_dispatch *dispatch;
 	struct dff_relay *relay;
 	struct dff_memory_link *link;
@@ -55,94 +56,93 @@
 	struct dff_rows_health *health;
 	struct dff_holder *holder;
 	struct dff_front *front;
-	/** With evacuations: what operators put in force, as this process knows it. */
+	/** With evacuations: this process's subscription to the operators' requests, and the
+	 * evacuations in force. */
 	struct dff_subscription *requests;
 	struct dff_evacuations *evacuations;
-	/** With links: what goes through the process that decides, and which that is. */
+	/** With links: the intake, which forwards rows to the holder, and the holder's address. */
 	struct dff_intake *intake;
 	struct dff_name holder_address;
 };
 
-/** What a worker has written of itself last. */
+/** The last entry that a worker has written about itself. */
 struct site_entry {
 	bool listed;
 	bool leaving;
 	int32_t remaining_ms;
-	/** Whether what it writes does not reach the store. */
+	/** Whether its entries do not reach the store. */
 	bool held_back;
 };
 
 struct site {
-	/** Whether calls to workers go through the processes that do not decide. */
+	/** Whether calls to workers go through the other processes as relays. */
 	bool relays;
-	/** Whether processes follow requests to empty data centres. */
+	/** Whether processes subscribe to evacuation requests. */
 	bool with_evacuations;
-	/** Whether rows and questions about states go through the process that decides. */
+	/** Whether rows of jobs and state queries go through the holder. */
 	bool links;
-	/** Elements: struct hop *, see site_links.c. */
+	/** Messages between processes. Elements: struct hop *, see site_links.c. */
 	GPtrArray *hops;
-	/** When each data centre was asked to be emptied; 0: it is not. */
+	/** Time at which the evacuation of each data centre was requested, ms; 0: not requested. */
 	int64_t evacuated_ms[SITE_DATA_CENTRES];
 	struct dff_virtual_loop *loop;
 	struct dff_memory_rows *rows;
 	struct dff_memory_runner *runner;
 	struct site_process processes[SITE_PROCESSES];
-	/** What a take-over takes each process, ms; from its next start on. */
+	/** Duration of a takeover by each process, ms; applies from its next start on. */
 	int64_t takeover_ms[SITE_PROCESSES];
 	struct dff_memory_worker_faults *workers[SITE_WORKERS];
 	int32_t worker_incarnations[SITE_WORKERS];
-	/** Whether workers start again under their ids, and tell when they started. */
+	/** Whether restarted workers keep their ids and report their start times. */
 	bool same_ids;
-	/** What each worker's next life has room for; 0: as usual. */
+	/** Accelerators of each worker's next incarnation; 0: the default. */
 	int32_t next_accelerators[SITE_WORKERS];
-	/** What each worker has room for. */
+	/** Accelerators of each worker. */
 	int32_t accelerators[SITE_WORKERS];
-	/** Whether workers start what they have no room for, and write their entries again and
-	 * again. */
+	/** Whether workers do not enforce their capacity, and write their entries periodically. */
 	bool unenforced;
 	struct site_entry entries[SITE_WORKERS];
 	bool closing;
-	/** When a worker that a task has crashed is back in another life, ms; 0: it is gone. */
+	/** Time after which a worker that a task has crashed is restarted, ms; 0: never. */
 	int64_t restart_delay_ms;
-	/** Elements: char *: jobs whose acceptance was confirmed. */
+	/** Ids of the jobs whose acceptance was confirmed. Elements: char *. */
 	GPtrArray *accepted;
 };
 
-/** For tests that are played by hand, or apart from each other: DFF_SEED_LOG shows what is decided,
- * DFF_SEED_TEST names the one of @tests to be played. */
+/** Applies the environment variables for manual or separate runs: DFF_SEED_LOG logs the holder's
+ * decisions, DFF_SEED_TEST selects the one of @tests to run. */
 void site_tests_begin (const struct CMUnitTest *tests, size_t n_tests);
 
-/** Every process is started, and one of them holds the cell. */
+/** Opens a site: all processes are started, and one of them holds the cell. */
 void site_open (struct site *site);
 
-/** The same, with calls to workers through relays. */
+/** As site_open(), with calls to workers through relays. */
 void site_open_with_relays (struct site *site);
 
-/** The same, without relays, with workers that start whatever they are told to. */
+/** As site_open(), with workers that do not enforce their capacity. */
 void site_open_unenforced (struct site *site);
 
-/** The same, with workers that start again under their ids. */
+/** As site_open(), with restarted workers that keep their ids, with or without relays. */
 void site_open_with_same_ids (struct site *site, bool relays);
 
-/** The same, without relays, with operators that empty data centres. */
+/** As site_open(), with evacuations of data centres. */
 void site_open_with_evacuations (struct site *site);
 
-/** The same, with rows of jobs and questions about states that go through the process that
- * decides. */
+/** As site_open(), with rows of jobs and state queries that go through the holder. */
 void site_open_with_links (struct site *site);
 
 void site_hop_free (gpointer hop);
 
-/** Asks for a data centre to be emptied, or takes it back. */
+/** Requests the evacuation of a data centre, or withdraws the request. */
 void site_evacuate (struct site *site, int data_centre, bool requested);
 
-/** Has a process hear no more of operators' requests, or follow them anew. */
+/** Ends a process's subscription to the operators' requests, or starts it again. */
 void site_block_requests (struct site *site, int process, bool blocked);
 
-/** Has messages of a process's connection as a relay be lost, until it has another. */
+/** Drops all messages of a process's connection as a relay, until it connects again. */
 void site_silence_relay (struct site *site, int process);
 
-/** Fails the test on anything that must never happen. */
+/** Closes the site. Fails the test if a worker has detected a violation. */
 void site_close (struct site *site);
 
 void site_run (struct site *site, int64_t ms);
@@ -153,42 +153,45 @@
 /** Returns: the index of the process that holds the cell; -1: none. */
 int site_holder (const struct site *site);
 
-/** Takes a worker from the list, or puts it there again. */
+/** Removes a worker's entry from the list, or writes it. */
 void site_list_worker (struct site *site, int index, bool listed, bool leaving);
 
-/** Has a worker's room shrink or grow, and its entry tell so. */
+/** Changes a worker's capacity and writes it to its entry. */
 void site_resize_worker (struct site *site, int index, int32_t accelerators);
 
-/** Has what a worker writes of itself not reach the store. */
+/** Sets whether a worker's entries do not reach the store. */
 void site_hold_entries_back (struct site *site, int index, bool held_back);
 
-/** Has a worker tell that it leaves, and how long it will be there at least. */
+/** Writes an entry in which a worker announces that it leaves, and the time for which it still runs
+ * at least, ms. */
 void site_announce_leaving (struct site *site, int index, int32_t remaining_ms);
 
-/** Has one process not reach a worker, until it is killed. */
+/** Sets whether a process cannot reach a worker; the setting ends when the process is killed. */
 void site_cut_worker_from (struct site *site, int index, int process, bool cut);
 
-/** Ends a worker's life; its entry stays on the list. */
+/** Ends a worker; its entry stays on the list. */
 void site_end_worker (struct site *site, int index);
 
-/** Ends a worker's life; another one begins at its address. */
+/** Ends a worker and starts its next incarnation at the same address. */
 void site_restart_worker (struct site *site, int index);
 
-/** A plan of one step. */
+/** Returns: (transfer full): a plan with one step. */
 struct dff_plan *site_plan (const char *id, int32_t count, bool gang, int32_t accelerators);
 
-/** Submits through a process and runs until it is answered. Frees @plan. */
+/** Submits a job through a process and runs until it is answered. Frees @plan. */
 enum dff_front_outcome site_submit (struct site *site, int process, struct dff_plan *plan);
 
 enum dff_front_outcome site_cancel (struct site *site, int process, const char *id);
 
-/** Returns: the state's name, "gone" for a job that is not known, "unavailable". */
+/** Returns: the name of the job's state; "gone": the job does not exist; "unavailable": no answer.
+ */
 const char *site_state (struct site *site, int process, const char *id);
 
-/** Returns: the count of jobs not begun; -1: unavailable. */
+/** Returns: the number of jobs that have not started; -1: unavailable. */
 int32_t site_count_waiting (struct site *site, int process);
 
-/** Runs until a job has @state, for @limit_ms at most. Returns: the time that took; -1: never. */
+/** Runs until a job has @state, for at most @limit_ms. Returns: the time that this took, ms; -1:
+ * the limit was reached. */
 int64_t
 site_wait_for_state (struct site *site, const char *id, const char *state, int64_t limit_ms);
 
--- a/tests/holder/site_links.c
+++ b/tests/holder/site_links.c
@@ -1,14 +1,14 @@
 #include "tests/holder/site_links.h"
 
-/** Time until a message arrives, ms. */
+/** Delay of a message, ms. */
 #define MESSAGE_DELAY_MS 1
-/** Time after which a question has no answer any more, ms. */
+/** Timeout of a state query, ms. */
 #define QUERY_TIMEOUT_MS 200
-/** The same for a row, beyond its own time. */
+/** Timeout of a row beyond the timeout that it carries, ms. */
 #define ROW_MARGIN_MS 200
 
-/** A row or a question on its way to the process that decides, and its answer back. Kept until the
- * site is closed: either end may be killed meanwhile. */
+/** A row or a state query on its way to the holder, and its answer. Freed when the site is closed:
+ * either process may be killed meanwhile. */
 struct hop {
 	struct site_process *sender;
 	int32_t sender_incarnation;
@@ -167,7 +167,7 @@
 	return dff_intake_writes_forwarded (process->intake);
 }
 
-/* Everything goes through the process that decides, as in a store that is always slow. */
+/* Reports a slow store, so that all rows go through the holder. */
 static int64_t
 store_latency_ms (void *ctx)
 {
--- a/tests/holder/site_links.h
+++ b/tests/holder/site_links.h
@@ -3,18 +3,18 @@
 
 #include "tests/holder/site.h"
 
-/* What processes hand to the one that decides, and ask of it: rows of jobs, and states. */
+/* Links between the processes of a site and the holder, for rows of jobs and state queries. */
 
-/** Sets what a holder tells its process of who decides. */
+/** Sets the options of a holder by which its process learns the address of the holder. */
 void site_links_options (struct site_process *process, struct dff_holder_options *options);
 
-/** Opens a process's way to the one that decides, in front of its store. */
+/** Opens a process's intake, which forwards rows to the holder, in front of its store. */
 void site_links_start (struct site_process *process);
 
-/** Has a front go by it. */
+/** Sets the options of a front to use the intake and to query states at the holder. */
 void site_links_front_options (struct site_process *process, struct dff_front_options *options);
 
-/** The process is killed; before its front and its store are freed. */
+/** Frees the intake of a process that is killed, before its front and its store are freed. */
 void site_links_kill (struct site_process *process);
 
 #endif
--- a/tests/holder/site_relays.h
+++ b/tests/holder/site_relays.h
@@ -5,14 +5,16 @@
 
 /* Relays between the processes of a site, over connections in memory. */
 
-/** Opens both ends of a process. Returns: its way to the workers. */
+/** Opens the holder end and the relay end of a process. Returns: the runner for its calls to the
+ * workers. */
 const struct dff_runner *site_relays_start (struct site_process *process);
 
-/** What a holder asks for: struct site_process as the context. */
+/** Implement the options relay_connect and relay_set_limit of a holder; @ctx: struct site_process.
+ */
 void site_relays_follow (void *ctx, const struct dff_name *address, int32_t n_relays);
 void site_relays_set_limit (void *ctx, int32_t n_relays);
 
-/** Ends every connection of a process that is gone, its holder included. */
+/** Ends all relay connections of a process that is killed, those to its holder included. */
 void site_relays_kill (struct site_process *process);
 
 #endif
--- a/tests/holder/site_workers.c
+++ b/tests/holder/site_workers.c
@@ -2,7 +2,7 @@
 
 #include <stdio.h>
 
-/* The workers of a site: their lives, and what they write of themselves. */
+/* The workers of a site: their incarnations and their entries in the store. */
 
 static struct dff_name
 worker_id (const struct site *site, int index)
@@ -12,7 +12,7 @@
 	return dff_name_printf ("w%d-%d", index, site->worker_incarnations[index]);
 }
 
-/* Value of a worker's row: "ADDRESS RACK LEAVING REMAINING ACCELERATORS BORN". */
+/* Value of a worker's row: "ADDRESS RACK LEAVING REMAINING_MS ACCELERATORS STARTED_MS". */
 bool
 site_workers_read_upstream (const struct dff_row *row, struct dff_upstream *upstream)
 {
@@ -54,7 +54,7 @@
 	dff_memory_rows_put (site->rows, DFF_TABLE_UPSTREAMS, id.data, dff_str_from (value));
 }
 
-/* Each worker that is there writes its entry anew. */
+/* Writes the entries of all listed workers, and schedules the next time. */
 void
 site_workers_write_entries (void *user)
 {
@@ -117,7 +117,8 @@
 	dff_memory_runner_kill (site->runner, id.data);
 }
 
-/* Has a worker notice starts that come too late after its data centre was to be emptied. */
+/* Sets the time from which a worker reports a start as a violation: its data centre is evacuated.
+ */
 static void
 set_start_deadline (struct site *site, int index)
 {
@@ -133,7 +134,7 @@
 	struct dff_name address = dff_name_printf ("10.0.0.%d:1", index);
 	int32_t accelerators = site->next_accelerators[index] > 0 ? site->next_accelerators[index]
 								  : SITE_ACCELERATORS;
-	/* Clocks up to 2% slow. */
+	/* The clocks of the workers are up to 2% slow. */
 	int32_t clock_permille = 1000 - index * 4;
 	site->accelerators[index] = accelerators;
 	site->workers[index] =
@@ -164,7 +165,7 @@
 {
 	struct dff_name id = worker_id (site, index);
 	dff_memory_runner_kill (site->runner, id.data);
-	/* One that starts again under its id writes over its entry. */
+	/* A worker that restarts under the same id overwrites its entry. */
 	if (!site->same_ids)
 		site_list_worker (site, index, false, false);
 	site->worker_incarnations[index]++;
@@ -182,7 +183,7 @@
 expire_entry (void *user)
 {
 	g_autofree struct crash *crash = user;
-	/* Another life has written its own by then. */
+	/* The next incarnation has written its own entry in the meantime. */
 	if (crash->site->same_ids &&
 	    crash->site->worker_incarnations[crash->index] != crash->incarnation)
 		return;
--- a/tests/holder/site_workers.h
+++ b/tests/holder/site_workers.h
@@ -3,20 +3,19 @@
 
 #include "tests/holder/site.h"
 
-/* Between a site (site.c) and its workers (site_workers.c). */
+/* Interface between a site (site.c) and its workers (site_workers.c). */
 
-/** Begins a life of a worker, and puts it on the list. */
+/** Starts an incarnation of a worker and writes its entry. */
 void site_workers_add (struct site *site, int index);
 
-/** Reads a worker's row of the list. Returns: false when it is none. */
+/** Parses a worker's entry. Returns: false if it is invalid. */
 bool site_workers_read_upstream (const struct dff_row *row, struct dff_upstream *upstream);
 
-/** Has each worker that is there write its entry anew, from now on again and again. @user: the
- * site.
- */
+/** Writes the entries of all listed workers, now and every SITE_ENTRY_EVERY_MS. @user: the site. */
 void site_workers_write_entries (void *user);
 
-/** A task has crashed its worker, which comes back in another life later. @ctx: the site. */
+/** Handles the crash of a worker by a task: its entry expires later, and it is restarted after
+ * site->restart_delay_ms. @ctx: the site. */
 void site_workers_handle_crash (void *ctx, const char *id);
 
 #endif
--- a/tests/holder/test-holder-crashes.c
+++ b/tests/holder/test-holder-crashes.c
@@ -2,34 +2,34 @@
 
 #include <string.h>
 
-/* Tasks that crash the workers that start them, and those that only look like it. The workers
- * notice a start too many. */
+/* Tasks that crash the workers that start them, and tasks that only look like it. The workers
+ * detect an excess start. */
 
-/** Time by which such a job is over, ms: five crashes with the workers' leases to wait for, and
- * take-overs between. */
+/** Longest time until such a job has ended, ms: five crashes, the expiry of the workers' leases,
+ * and takeovers in between. */
 #define END_LIMIT_MS 120000
-/** Starts at the most: of a task under which three workers have crashed, two more. */
+/** Maximum number of starts of a task: three crashes of workers, and two more starts. */
 #define MAX_STARTS 5
 
-/** Jobs that crash their workers, and as many beside them. */
+/** Number of jobs that crash their workers, and of other jobs beside them. */
 #define N_OTHER_JOBS 4
-/** Times that a worker is lost under a task which is not to blame. */
+/** Number of workers lost under a task that is not to blame. */
 #define BLAMELESS_LOSSES 6
-/** Time until the lease of a worker that is cut off has surely lapsed, ms. */
+/** Time after which the lease of a worker that is cut off has certainly expired, ms. */
 #define LEASE_EXPIRED_MS 11000
 
-/** Time by which a task is started again, ms. */
+/** Longest time until a task is started again, ms. */
 #define WAIT_MS 8000
-/** Time that a task is at work before its worker tells that it leaves, ms. */
+/** Time for which a task runs before its worker announces that it leaves, ms. */
 #define RUN_MS 1500
-/** Notice of a worker that leaves, ms. */
+/** Notice period of a worker that leaves, ms. */
 #define NOTICE_MS 1800
 
 enum worker_loss {
 	DFF_LOSS_CUT_OFF,
 	DFF_LOSS_LEAVES,
 	DFF_LOSS_CRASHES,
-	/** And the next one leaves, which the task is stopped for in time. */
+	/** The worker crashes, and the next worker leaves; the task is stopped there in time. */
 	DFF_LOSS_CRASHES_NEXT_LEAVES,
 };
 
@@ -37,7 +37,7 @@
 	const char *name;
 	const char *id;
 	enum worker_loss loss;
-	/** How long the task is at work between two of them, ms. */
+	/** Time for which the task runs between two losses, ms. */
 	int64_t between_ms;
 };
 
@@ -46,13 +46,13 @@
 	const char *id;
 	int32_t count;
 	int32_t accelerators;
-	/** When a crashed worker is back; 0: never. */
+	/** Time after which a crashed worker is restarted, ms; 0: never. */
 	int64_t restart_delay_ms;
 	bool gang;
 	bool endless;
-	/** Whether the process that decides is killed after each crash. */
+	/** Whether the holder is killed after each crash. */
 	bool taken_over;
-	/** Whether the first orders to each worker are not answered, and carried out late. */
+	/** Whether the first orders to each worker are not answered and are executed late. */
 	bool unanswered;
 };
 
@@ -65,7 +65,7 @@
 	return incarnations;
 }
 
-/* Has the holder be killed each time a crashed worker is back, until the job is over. */
+/* Kills the holder each time a crashed worker has restarted, until the job has failed. */
 static void
 run_with_take_overs (struct site *site, const char *id)
 {
@@ -84,13 +84,13 @@
 	}
 }
 
-/* Symptom: one task takes a worker away each three seconds until the day ends, and with it whatever
- * else runs there; its job is never over. Sequence: a worker crashes as it starts the task; another
- * life answers at its address, or its lease lapses; the task is started on the next one, and so on.
- * Cause: only ends that a worker lists as failed cost a task one of its attempts, and a run that
- * goes with its worker has no such end. Shown by: the number of its runs rose without a limit in
- * one process's epoch, at once after each word of its worker's end, and what is counted there now
- * ends it in every one of these cases. */
+/* Guards against a task that crashes one worker after another, every three seconds and without end,
+ * together with everything else that runs there: a worker crashes as it starts the task; its next
+ * incarnation answers at the same address, or its lease expires; the task is started on another
+ * worker, and its job never ends. Only runs that a worker lists as failed used to cost an attempt,
+ * and a run that is lost with its worker is not listed. In one epoch of a holder the number of runs
+ * rose without limit, one after each report of a worker's end; what is counted now ends the job in
+ * every one of these cases. */
 static void
 test_task_that_crashes_its_workers (void **state)
 {
@@ -115,7 +115,7 @@
 	assert_int_not_equal (took_ms, -1);
 	site_run (&site, 10000);
 	g_autofree char *task = g_strdup_printf ("%s.0.0.%d", test_case->id, test_case->count - 1);
-	/* To be given up, a job needs a task under which two workers have crashed. */
+	/* A job is given up only if two workers have crashed under one of its tasks. */
 	assert_in_range (dff_memory_runner_n_incarnations_ended (site.runner, task), 2, MAX_STARTS);
 	assert_in_range (dff_memory_runner_n_starts (site.runner, task), 2, MAX_STARTS);
 	site_close (&site);
@@ -123,12 +123,12 @@
 
 static struct crash_case crash_cases[] = {
 	{.name = "single", .id = "x", .count = 1, .accelerators = 1, .restart_delay_ms = 3200},
-	{.name = "lease lapses",
+	{.name = "lease expires",
 	 .id = "x",
 	 .count = 1,
 	 .accelerators = 1,
 	 .restart_delay_ms = 14000},
-	{.name = "workers are gone",
+	{.name = "workers do not restart",
 	 .id = "x",
 	 .count = 1,
 	 .accelerators = 1,
@@ -145,29 +145,29 @@
 	 .accelerators = 1,
 	 .restart_delay_ms = 3200,
 	 .unanswered = true},
-	{.name = "take-overs",
+	{.name = "takeovers",
 	 .id = "x",
 	 .count = 1,
 	 .accelerators = 1,
 	 .restart_delay_ms = 3200,
 	 .taken_over = true},
-	/* The other member has not begun, or is broken. */
+	/* The other member has not started, or its gang is broken. */
 	{.name = "gang",
 	 .id = "y",
 	 .count = 2,
 	 .gang = true,
 	 .accelerators = 8,
 	 .restart_delay_ms = 3200},
-	{.name = "gang, take-overs",
+	{.name = "gang, takeovers",
 	 .id = "y",
 	 .count = 2,
 	 .gang = true,
 	 .accelerators = 8,
 	 .restart_delay_ms = 3200,
 	 .taken_over = true},
-	/* It has been seen at work before. */
+	/* The task has been reported as running before the crash. */
 	{.name = "late crash", .id = "z", .count = 1, .accelerators = 1, .restart_delay_ms = 3200},
-	{.name = "late crash, take-overs",
+	{.name = "late crash, takeovers",
 	 .id = "z",
 	 .count = 1,
 	 .accelerators = 1,
@@ -175,7 +175,7 @@
 	 .taken_over = true},
 };
 
-/* Runs until a task is at work on another worker than @other. Returns: that worker. */
+/* Runs until a task runs on another worker than @other. Returns: that worker. */
 static int
 wait_for_run (struct site *site, const char *task, int other)
 {
@@ -189,7 +189,7 @@
 	return -1;
 }
 
-/* Has the worker that runs @task be away for good, or for longer than its lease. */
+/* Makes the worker that runs @task unavailable for good, or for longer than its lease. */
 static void
 lose_worker (struct site *site, const char *task, enum worker_loss loss)
 {
@@ -219,9 +219,9 @@
 	}
 }
 
-/* Symptom: a job is shown as failed though nothing is wrong with it. Sequence: six times its worker
- * is cut off until its lease has lapsed, or leaves, or crashes after the task was at work there for
- * long. Cause: each was counted as if the task had crashed the worker. */
+/* Guards against failing a job without a fault of its own: six times its worker is cut off until
+ * the lease has expired, or leaves, or crashes after the task has run for long. None of these may
+ * count as a crash caused by the task. */
 static void
 test_task_that_is_not_to_blame (void **state)
 {
@@ -242,10 +242,10 @@
 	site_close (&site);
 }
 
-/* Symptom: jobs that were started beside one that crashes its workers are given up with it.
- * Sequence: a few jobs are handed in together, some of which crash their workers; whatever was lost
- * with one worker is placed again at the same moment. Cause: it was placed together, so that the
- * same tasks were there whenever a worker ended. */
+/* Guards against giving up jobs together with one that crashes its workers: several jobs are
+ * submitted together, some of which crash their workers, and the tasks lost with one worker are
+ * placed again at the same moment. If they were placed together again, the same tasks would be
+ * present at every crash. */
 static void
 test_jobs_beside_crashing_jobs (void **state)
 {
@@ -274,11 +274,14 @@
 static struct blameless_case blameless_cases[] = {
 	{.name = "cut off", .id = "7", .loss = DFF_LOSS_CUT_OFF, .between_ms = 2000},
 	{.name = "workers leave", .id = "7", .loss = DFF_LOSS_LEAVES, .between_ms = 2000},
-	{.name = "crashes, and sound ends between",
+	{.name = "crashes, next worker leaves",
 	 .id = "7",
 	 .loss = DFF_LOSS_CRASHES_NEXT_LEAVES,
 	 .between_ms = 0},
-	{.name = "crashes after long", .id = "u", .loss = DFF_LOSS_CRASHES, .between_ms = 70000},
+	{.name = "crashes after a long run",
+	 .id = "u",
+	 .loss = DFF_LOSS_CRASHES,
+	 .between_ms = 70000},
 };
 
 int
--- a/tests/holder/test-holder-ends.c
+++ b/tests/holder/test-holder-ends.c
@@ -1,12 +1,12 @@
 #include "tests/holder/site.h"
 
-/* Failed runs of gangs over a take-over: each is counted once, however its record, its
- * acknowledgement and the end of the holder follow each other. The gangs have two members, of which
- * the last fails; the other's worker is the one that is heard late. */
+/* Failed runs of gangs across a takeover: each run is counted once, whatever the order of its
+ * record, its acknowledgement and the end of the holder. Each gang has two members. The last one
+ * fails; the report on the other, healthy one arrives late. */
 
 #define HEALTHY_TASK ".0.0.0"
 #define FAILING_TASK ".0.0.1"
-/** From a member's failure to its record and acknowledgement, ms. */
+/** Time from a member's failure until it is recorded and acknowledged, ms. */
 #define RECORD_MS 150
 
 static struct dff_memory_worker_faults *
@@ -39,10 +39,10 @@
 	site_start_process (site, holder);
 }
 
-/* Symptom: a gang is started once more than its attempts allow. Sequence: its last attempt fails,
- * which is recorded and acknowledged; before the other member's end is heard the holder is killed.
- * Cause: the row told how many runs had failed, but not that the open one was among them, so that
- * the next holder heard of a broken member alone. */
+/* Guards against starting a gang more often than its attempts allow: the last attempt fails, the
+ * failure is recorded and acknowledged, and the holder is killed before the completion of the other
+ * member is reported. If the row holds only the number of failed runs, and not that the run in
+ * progress is counted, the next holder sees only a broken member. */
 static void
 test_recorded_failure_counts_for_next_holder (void **state)
 {
@@ -64,9 +64,9 @@
 	site_close (&site);
 }
 
-/* Symptom: a job is over as failed after one failed run of two allowed. Sequence: the failure is
- * recorded, but not acknowledged, as the answer of the store is lost; the holder is killed, and the
- * next one hears the same end. Cause: it was counted again. */
+/* Guards against counting a failure twice, so that a job fails after one failed run of two allowed:
+ * the failure is recorded but not acknowledged, as the store's answer is lost; the holder is
+ * killed, and the next holder receives the same failure again. */
 static void
 test_repeated_failure_counts_once (void **state)
 {
--- a/tests/holder/test-holder-evacuation.c
+++ b/tests/holder/test-holder-evacuation.c
@@ -1,15 +1,15 @@
 #include "tests/holder/site.h"
 
-/* Data centres that operators empty: nothing is started there from the moment the holder knows it,
- * and what runs there ends. Each rack of the site is a data centre; its workers notice starts that
- * come more than five seconds after the request, which the site fails the test on when it is
- * closed. */
+/* Evacuations of data centres: nothing is started in a data centre once the holder has received the
+ * request, and running tasks run to their end. Each rack of the site is a data centre. Its workers
+ * detect starts that come more than five seconds after the request; site_close() then fails the
+ * test. */
 
-/** Where the tasks of a job of two go that has a whole worker for each. */
+/** The two data centres. */
 #define FIRST 0
 #define SECOND 1
 
-/* Starts a job with one task a worker on so many workers. Returns: starts that were carried out
+/* Submits a job with @count tasks and at most one task per worker. Returns: the number of starts
  * within a second. */
 static int32_t
 count_starts (struct site *site, const char *id, int32_t count)
@@ -21,8 +21,8 @@
 	return dff_memory_runner_n_starts (site->runner, id);
 }
 
-/* Symptom: tasks are started in a data centre that an operator empties. Sequence: the requests of
- * each case, in order; then a job with one task a worker. Cause: nobody read them. */
+/* Guards against ignored requests: tasks are started in a data centre that is being evacuated. Each
+ * case applies its requests in order, then submits a job with one task per worker. */
 static void
 test_request_sequences (void **state)
 {
@@ -96,9 +96,9 @@
 	}
 }
 
-/* Symptom: an evacuation that has ended while nobody could hear of it keeps a data centre empty for
- * ever. Sequence: the store is silent for all; the request is removed, and the store drops its
- * history. Cause: only changes were looked at. */
+/* Guards against an evacuation that never ends: while the store is silent for all processes, the
+ * request is removed and the store drops its history. A process that looks only at changes misses
+ * the removal. */
 static void
 test_end_missed_during_silence (void **state)
 {
@@ -119,9 +119,9 @@
 	site_close (&site);
 }
 
-/* Symptom: a task is started in an evacuated data centre, seconds after the request. Sequence: its
- * start was recorded and sent, and had no answer; or a holder ended before it sent it. It is
- * repeated after the request. Cause: only decisions were checked, not what had been decided. */
+/* Guards against repeating a recorded start in an evacuated data centre, seconds after the request:
+ * the start was recorded and sent without an answer, or the holder ended before it sent the start.
+ * New decisions are not the only ones to be checked. */
 static void
 test_recorded_starts (void **state)
 {
@@ -155,10 +155,9 @@
 	}
 }
 
-/* Symptom: a process that has not heard of the operator's requests for long starts tasks by what
- * it knows. Sequence: none of its questions about them is answered any more, while its transactions
- * are carried out; a data centre is to be emptied. Cause: nobody asked how old the knowledge was.
- */
+/* Guards against starts that rely on stale operator state: the holder's calls for the requests are
+ * no longer answered, but its transactions are, and a data centre is to be evacuated. The age of
+ * the operator state has to be checked. */
 static void
 test_no_starts_with_stale_requests (void **state)
 {
@@ -179,8 +178,8 @@
 	site_close (&site);
 }
 
-/* What runs in a data centre that is emptied goes on to its end, and its end is heard: nothing is
- * started twice. */
+/* Tasks that run in an evacuated data centre run to their end, and their completion is received:
+ * nothing is started twice. */
 static void
 test_running_tasks_end (void **state)
 {
@@ -192,7 +191,8 @@
 	site_evacuate (&site, SECOND, true);
 	assert_int_not_equal (site_wait_for_state (&site, "1", "completed", 8000), -1);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "1"), SITE_WORKERS);
-	/* The last data centre: what is handed in waits, and begins when one is taken back. */
+	/* All data centres are evacuated: a new job waits and starts when a request is withdrawn.
+	 */
 	assert_int_equal (count_starts (&site, "a", 2), 0);
 	assert_string_equal (site_state (&site, 0, "a"), "queued");
 	site_evacuate (&site, SECOND, false);
--- a/tests/holder/test-holder-lives.c
+++ b/tests/holder/test-holder-lives.c
@@ -1,36 +1,38 @@
 #include "tests/holder/site.h"
 
-/* Workers that start again under the ids that they had: what runs there ends with each life, and
- * clocks and numbers of ends begin anew. The workers notice what must never happen. */
+/* Workers that restart under the same id: their runs end with each incarnation, and their clocks
+ * and completion numbers start again. The workers detect violations. */
 
-/** The worker that starts again. */
+/** The worker that restarts. */
 #define RESTARTED_WORKER 2
-/** Time from its last start until everything is over, ms: the lost task's wait and its run. */
+/** Longest time from the last restart until the job has ended, ms: the delay of the lost task's
+ * restart and its run time. */
 #define END_LIMIT_MS 9500
-/** The same where only the lapse of its lease tells, or nothing tells at all. */
+/** As END_LIMIT_MS, if the restart is shown only by the expiry of the lease or not at all, ms. */
 #define END_LIMIT_UNREPORTED_MS 30000
 
 struct restart_case {
 	const char *name;
-	/** How long the next life's entries do not reach the store, ms. */
+	/** Time for which the next incarnation's entries do not reach the store, ms. */
 	int32_t held_back_ms;
-	/** How long nothing reaches the worker before and after it starts again, ms. */
+	/** Time for which no call reaches the worker before and after the restart, ms. */
 	int32_t cut_before_ms;
 	int32_t cut_after_ms;
-	/** Lives that follow the first, and the time between two, ms. */
+	/** Number of restarts, and the time between two of them, ms. */
 	int n_restarts;
 	int32_t between_ms;
-	/** What the next life has room for; 0: the same. */
+	/** Accelerators of the next incarnation; 0: unchanged. */
 	int32_t accelerators;
-	/** The next orders are not answered, and are carried out so late, ms; 0: they are not. */
+	/** Delay with which the next orders, which are not answered, are executed, ms; 0: no delay.
+	 */
 	int32_t late_ms;
-	/** It had told that it leaves. */
+	/** Whether the worker has announced that it leaves. */
 	bool leaves;
-	/** The process that decides is killed before the worker starts again, or after. */
+	/** Whether the holder is killed before, or after, the worker restarts. */
 	bool taken_over_before;
 	bool taken_over_after;
 	bool relays;
-	/** The next life's lists do not tell when it started. */
+	/** Whether the lists of the next incarnation do not report its start time. */
 	bool hides_start;
 };
 
@@ -75,7 +77,7 @@
 	site_list_worker (site, RESTARTED_WORKER, true, false);
 }
 
-/* Has a task that takes six seconds run on each worker, and short ones end there before. */
+/* Starts a task of six seconds on each worker, after short tasks have run to their end there. */
 static void
 start_tasks (struct site *site)
 {
@@ -88,7 +90,8 @@
 	site_run (site, 600);
 }
 
-/* A worker's next life is used like any other: tasks that need each accelerator of the site. */
+/* Checks that the worker's next incarnation is used: a job with one task on every worker completes
+ * in time. */
 static void
 check_worker_is_used (struct site *site)
 {
@@ -98,9 +101,10 @@
 	assert_in_range (site_wait_for_state (site, "b", "completed", 4000), 0, 2500);
 }
 
-/* Guards against runs of a life that is over being taken for running, being waited for until its
- * lease would have lapsed, or being started beside a late order of theirs; against ends, clocks and
- * farewells of one life being taken for the next one's. */
+/* Guards against three faults with runs of an ended incarnation: assuming that they still run,
+ * waiting until their lease would have expired, and restarting them while a late order for them is
+ * on its way. Also guards against attributing completions, clocks or the announced leaving of one
+ * incarnation to the next one. */
 static void
 test_restarted_worker (void **state)
 {
@@ -127,7 +131,7 @@
 static const struct restart_case cases[] = {
 	{.name = "at once", .n_restarts = 1},
 	{.name = "at once, through relays", .n_restarts = 1, .relays = true},
-	{.name = "its entry comes late", .n_restarts = 1, .held_back_ms = 3000},
+	{.name = "entry late", .n_restarts = 1, .held_back_ms = 3000},
 	{.name = "within a lease, cut off",
 	 .n_restarts = 1,
 	 .cut_before_ms = 800,
@@ -137,26 +141,29 @@
 	 .cut_before_ms = 300,
 	 .held_back_ms = 4000},
 	{.name = "twice in a row", .n_restarts = 2, .between_ms = 5},
-	{.name = "twice in a row, known between", .n_restarts = 2, .between_ms = 400},
+	{.name = "twice in a row, reported between", .n_restarts = 2, .between_ms = 400},
 	{.name = "four times, through relays", .n_restarts = 4, .between_ms = 150, .relays = true},
-	{.name = "with less room", .n_restarts = 1, .accelerators = 2},
-	{.name = "before a take-over", .n_restarts = 1, .taken_over_after = true},
-	{.name = "during a take-over", .n_restarts = 1, .taken_over_before = true},
-	{.name = "cut off during a take-over",
+	{.name = "with less capacity", .n_restarts = 1, .accelerators = 2},
+	{.name = "before a takeover", .n_restarts = 1, .taken_over_after = true},
+	{.name = "during a takeover", .n_restarts = 1, .taken_over_before = true},
+	{.name = "cut off during a takeover",
 	 .n_restarts = 1,
 	 .cut_before_ms = 400,
 	 .cut_after_ms = 1200,
 	 .taken_over_before = true},
-	{.name = "after it had told that it leaves", .n_restarts = 1, .leaves = true},
+	{.name = "after it announced that it leaves", .n_restarts = 1, .leaves = true},
 	{.name = "leaves, entry late", .n_restarts = 1, .leaves = true, .held_back_ms = 2000},
-	{.name = "orders before it arrive after", .n_restarts = 1, .late_ms = 1500},
-	{.name = "orders arrive much later", .n_restarts = 1, .late_ms = 6000},
-	{.name = "orders arrive later, twice", .n_restarts = 2, .between_ms = 300, .late_ms = 1500},
-	{.name = "its lists do not tell", .n_restarts = 1, .hides_start = true},
+	{.name = "earlier orders arrive after the restart", .n_restarts = 1, .late_ms = 1500},
+	{.name = "earlier orders arrive much later", .n_restarts = 1, .late_ms = 6000},
+	{.name = "earlier orders arrive later, twice",
+	 .n_restarts = 2,
+	 .between_ms = 300,
+	 .late_ms = 1500},
+	{.name = "lists without the start time", .n_restarts = 1, .hides_start = true},
 };
 
-/* Guards against tasks that crash their workers being started for ever: points are given though
- * the worker is back under its id. */
+/* Guards against starting a task that crashes its workers for ever: blame points count even if the
+ * worker is back under the same id. */
 static void
 test_crashes_are_blamed (void **state)
 {
@@ -169,8 +176,8 @@
 	site_close (&site);
 }
 
-/* Guards against a worker that was set aside, as it failed all that it started, staying so when it
- * has started again. */
+/* Guards against keeping a worker in quarantine after a restart: it failed all tasks that it
+ * started and has restarted since. */
 static void
 test_restart_ends_quarantine (void **state)
 {
@@ -192,15 +199,15 @@
 	site_close (&site);
 }
 
-/* Guards against what another writer says of a worker's life ending its runs, or keeping it from
- * getting work for good. */
+/* Guards against an entry by another writer that names a different start time of a worker: it must
+ * neither end the worker's runs nor keep the worker from getting tasks for good. */
 static void
 test_entry_of_another_writer (void **state)
 {
 	(void)state;
 	static const struct {
 		const char *started;
-		/** Of the worker, of another one, of nobody. */
+		/** Address of the worker itself, of another worker, or of no worker. */
 		const char *address;
 	} entries[] = {
 		{"1", "10.0.0.2:1"}, {"999999999999", "10.0.0.2:1"}, {"-1", "10.0.0.2:1"},
@@ -216,7 +223,7 @@
 							  SITE_ACCELERATORS, entries[i].started);
 		dff_memory_rows_put (site.rows, DFF_TABLE_UPSTREAMS, "w2", dff_str_from (value));
 		site_run (&site, 2000);
-		/* The worker writes its own again. */
+		/* The worker writes its own entry again. */
 		site_list_worker (&site, RESTARTED_WORKER, true, false);
 		site_run (&site, 600);
 		check_worker_is_used (&site);
@@ -226,23 +233,25 @@
 	}
 }
 
-/** How long after a late start a cancelled job's task may run: a process is in touch again, and the
- * worker stops it. */
+/** Longest time for which a task of a cancelled job may run after a late start, ms: a holder has to
+ * reach the worker again, and the worker has to stop the task. */
 #define LATE_START_MAX_MS 3400
 
 struct late_case {
 	const char *name;
 	int32_t late_ms;
 	int32_t late_orders;
-	/** The process that has sent the start is removed for good, so long after it. */
+	/** Time after the start at which the process that sent it is removed for good, ms; 0: it
+	 * stays. */
 	int32_t removed_after_ms;
-	/** The job is cancelled before that, or by the one that follows. */
+	/** Whether the job is cancelled before the removal, or only by the next holder. */
 	bool cancelled_before;
 	bool restarts;
 };
 
-/* Guards against a task that a worker starts late running on though its job was cancelled: the one
- * that has sent the start may be gone for good, and nobody else have sent anything. */
+/* Guards against a task of a cancelled job that a worker starts late and then keeps running: the
+ * process that sent the start may be gone for good, and no other process has sent the worker
+ * anything. */
 static void
 test_late_start_of_a_cancelled_job (void **state)
 {
--- a/tests/holder/test-holder-rooms.c
+++ b/tests/holder/test-holder-rooms.c
@@ -1,11 +1,11 @@
 #include "tests/holder/site.h"
 
-/* Workers that start whatever they are told to, and whose room shrinks and grows. They notice a
- * start that they have no room for, once whoever sent it had the time to learn of that. */
+/* Workers that do not enforce their capacity, which shrinks and grows. They report a start beyond
+ * their capacity as a violation if the sender had the time to learn of the change. */
 
-/** By then a change of a worker's room is known, ms. */
+/** Time within which a change of a worker's capacity is reported, ms. */
 #define CAPACITY_REPORTED_MS 2500
-/** By then it counts though it is not known, ms. */
+/** Time after which a worker's last reported capacity is no longer relied on, ms. */
 #define CAPACITY_STALE_MS 5000
 
 static void
@@ -15,8 +15,8 @@
 		site_resize_worker (site, i, accelerators);
 }
 
-/* What runs goes on, nothing is started beyond the smaller room, and all of it is used once it has
- * grown again. */
+/* When capacity shrinks, running tasks continue and nothing is started beyond the new capacity.
+ * When it grows again, all of it is used. */
 static void
 test_capacity_shrinks_and_grows (void **state)
 {
@@ -42,10 +42,9 @@
 	site_close (&site);
 }
 
-/* Symptom: a worker that starts whatever it is told to gets more than it has room for. Sequence:
- * its room shrinks while what it writes does not reach the store, or does not reach the process
- * that decides; that process goes on by what it heard last. Cause: what a worker had said of itself
- * was taken to be so for as long as the worker answered. */
+/* Guards against exceeding the capacity of a worker that does not enforce it: its capacity shrinks
+ * while its entries reach neither the store nor the holder, and the holder relies on the last
+ * reported capacity for as long as the worker answers. */
 static void
 test_unreported_capacity (void **state)
 {
@@ -60,7 +59,7 @@
 	site_submit (&site, 0, site_plan ("a", SITE_ACCELERATORS, false, 1));
 	assert_in_range (site_wait_for_state (&site, "a", "completed", 10000), 1000, 3500);
 	assert_null (dff_memory_runner_violation (site.runner));
-	/* Once they are heard, they are used, as far as they have room. */
+	/* When the entries arrive again, the workers are used within their capacity. */
 	for (int i = 0; i < SITE_WORKERS - 1; i++)
 		site_hold_entries_back (&site, i, false);
 	site_run (&site, CAPACITY_REPORTED_MS);
--- a/tests/holder/test-holder-seeds.c
+++ b/tests/holder/test-holder-seeds.c
@@ -3,78 +3,78 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Random jobs, cancellations and faults by seed, in no order: processes killed and started, stores
- * that are silent, refuse, lose or delay writes for some processes, workers cut off, reborn, hung,
- * late; in the plays with paths, also processes that others do not hear, and workers that one
- * process alone reaches or does not; in the plays with
- * relays, calls to workers through other processes; in the plays with links, rows of jobs and
- * questions about states through the process that decides; in the plays with evacuations, operators
- * that empty data centres and take them back, with no start there from five seconds on; in the
- * plays with failures, gangs that fail and holders that are killed around each record and
- * acknowledgement of it; in the plays with crashes, tasks that crash the workers that start them;
- * in the plays with lives, workers that start again under the ids that they had;
- * in the plays with rooms, workers whose room shrinks and grows, and that start what they have no
- * room for. The workers notice what must never happen; after the faults every accepted job has to
- * end as it should. DFF_SEED_FIRST and DFF_SEED_COUNT play others by hand, DFF_SEED_LOG shows what
- * is decided, DFF_SEED_TEST names one of the tests. */
-
-/** Seeds that have failed: 1295, a gang that had completed was started again when the worker of one
- * member was lost before its end was heard. 2109, a task that had ended on a worker cut off was
- * started elsewhere after the worker's lease had lapsed, and its end acknowledged later: allowed,
- * as the lapse came between; the stand-in had counted lapses only while something ran. */
+/* Random jobs, cancellations and faults in random order, determined by a seed: processes are killed
+ * and started; stores are silent, refuse calls, or lose or delay writes for some processes; workers
+ * are cut off, restarted, hung or late. Each variant adds faults or features, see enum variant. The
+ * workers detect violations; after the faults every accepted job has to end as it should.
+ * DFF_SEED_FIRST and DFF_SEED_COUNT select other seeds for manual runs, DFF_SEED_LOG logs the
+ * holder's decisions, DFF_SEED_TEST selects one of the tests. */
+
+/** Seeds that have failed. 1295: a completed gang was started again, because the worker of one
+ * member was lost before the member's completion was received. 2109: a task that had ended on a
+ * worker that was cut off was started elsewhere after the worker's lease had expired, and its
+ * completion was acknowledged later. That is allowed, as the lease expired in between; the stand-in
+ * counted expired leases only while a task ran. */
 static const guint failed_seeds[] = {1295, 2109};
 
-/** The same with paths: 5, a job was given up as one that crashes its workers: all workers had come
- * back at once, and the starts that were on their way to their former lives counted against it. */
+/** Failed seeds with broken paths. 5: a job was given up as one that crashes its workers. All
+ * workers had restarted at once, and the starts on their way to the former incarnations counted
+ * against the job. */
 static const guint failed_seeds_with_paths[] = {5};
 
-/** The same with relays: 1189, a failed run's end was heard after its worker, cut off for ten
- * seconds, had been given up and its lease had lapsed, and did not count: allowed, as for an end
- * of work that is done; the stand-in had counted it. */
+/** Failed seeds with relays. 1189: a failed run did not count, because its end was received after
+ * its worker, cut off for ten seconds, had been given up and its lease had expired. That is
+ * allowed, as it is for completed work; the stand-in counted the run. */
 static const guint failed_seeds_with_relays[] = {1189};
 
-/** The same with failures: 8, a gang was started after its last attempt, as the row did not tell
- * that the open run had failed; 130, its first failure counted twice; 148 and 187, a failure did
- * not count, as another member's start had no answer yet. */
+/** Failed seeds with failures. 8: a gang was started after its last attempt, because the row did
+ * not record that the run in progress had failed. 130: the first failure of a gang was counted
+ * twice. 148 and 187: a failure was not counted, because the start of another member had not been
+ * answered yet. */
 static const guint failed_seeds_with_failures[] = {8, 130, 148, 187};
 
-/** The same with rooms: all five, a worker got more than it had room for, as the process that
- * decides had not heard for long that its room had shrunk. */
+/** Failed seeds with changes of capacity. All five: a worker got more tasks than its capacity
+ * allows, because the holder had not received for long that the capacity had shrunk. */
 static const guint failed_seeds_with_rooms[] = {122, 129, 251, 297, 299};
 
-/** The same with lives: 40, a failed run did not count, as the worker's next life was asked to
- * forget ends by a number of the one before. */
+/** Failed seeds with restarts under the same id. 40: a failed run was not counted, because the
+ * worker's next incarnation was asked to discard completions by a number of the previous one. */
 static const guint failed_seeds_with_lives[] = {40};
 
 #define SEED_FIRST 1
 #define SEED_COUNT 6
-/** Steps of a play, and the time between two, ms. */
+/** Number of steps of a run, and the longest time between two steps, ms. */
 #define STEPS 60
 #define STEP_MS 300
-/** Time in which everything ends after the faults, ms: less than what has ended is kept for. */
+/** Time within which all jobs end after the faults, ms. It is shorter than the retention of ended
+ * jobs. */
 #define SETTLE_MS 90000
-/** Jobs at most: each id is used once. */
+/** Maximum number of jobs of a run; each id is used once. */
 #define JOBS_MAX 40
-/** Tasks of a job at most. */
+/** Maximum number of tasks of a job. */
 #define TASKS_MAX 4
 
 enum variant {
 	DFF_VARIANT_PLAIN,
-	/** Paths between machines break too. */
+	/** Paths between machines break as well: some processes receive no probes, and some workers
+	 * are reached by one process only, or by all but one. */
 	DFF_VARIANT_PATHS,
-	/** The same, with calls to workers through relays, which fall silent too. */
+	/** As DFF_VARIANT_PATHS, with calls to workers through relays, which may become silent as
+	 * well. */
 	DFF_VARIANT_RELAYS,
-	/** Rows of jobs and questions about states go through the process that decides. */
+	/** Rows of jobs and state queries go through the holder. */
 	DFF_VARIANT_LINKS,
-	/** Operators empty data centres and take them back. */
+	/** Operators request evacuations of data centres and withdraw them; no task may start there
+	 * from five seconds after a request. */
 	DFF_VARIANT_EVACUATIONS,
-	/** Gangs fail, and little goes wrong but with the holder, its store and its lists. */
+	/** Gangs fail. The only other faults are those of the holder, its store and its worker
+	 * reports: the holder is killed around each record of a failure and its acknowledgement. */
 	DFF_VARIANT_FAILURES,
 	/** Some tasks crash the workers that start them. */
 	DFF_VARIANT_CRASHES,
-	/** Workers' room shrinks and grows, and they start what they have no room for. */
+	/** The capacity of workers shrinks and grows, and the workers do not enforce it. */
 	DFF_VARIANT_CAPACITY,
-	/** Workers start again under their ids, and paths between machines break. */
+	/** Workers restart under the same id, and paths between machines break. */
 	DFF_VARIANT_RESTARTS,
 };
 
@@ -82,10 +82,11 @@
 	struct site site;
 	GRand *rand;
 	int n_jobs;
-	/** Jobs that were given up though it was others that crashed their workers. */
+	/** Number of jobs that were given up because of crashes that other jobs caused. */
 	int n_blameless;
 	enum variant variant;
-	/** Elements: char *: jobs whose cancellation was confirmed, or may have taken effect. */
+	/** Ids of the jobs whose cancellation was confirmed or may have taken effect. Elements:
+	 * char *. */
 	GPtrArray *cancelled;
 };
 
@@ -259,7 +260,7 @@
 	for (int i = 0; i < SITE_WORKERS; i++) {
 		site_hold_entries_back (&run->site, i, false);
 		memset (run->site.workers[i], 0, sizeof (struct dff_memory_worker_faults));
-		/* A worker that was said to leave has left; another comes. */
+		/* A worker that was listed as leaving has left, and another one replaces it. */
 		site_restart_worker (&run->site, i);
 	}
 }
@@ -283,14 +284,14 @@
 		site_cut_worker_from (&run->site, worker, process, true);
 		return;
 	case 2:
-		/* This process alone reaches it. */
+		/* Only this process reaches the worker. */
 		for (int i = 0; i < SITE_PROCESSES; i++) {
 			if (run->site.processes[i].alive)
 				site_cut_worker_from (&run->site, worker, i, i != process);
 		}
 		return;
 	default:
-		/* It reaches this worker alone, and no store. */
+		/* The process reaches only this worker, and not the store. */
 		for (int i = 0; i < SITE_WORKERS; i++)
 			site_cut_worker_from (&run->site, i, process, i != worker);
 		run->site.processes[process].isolated = true;
@@ -319,8 +320,8 @@
 		heal_paths (run);
 }
 
-/* The holder's answers from the store are lost, its writes late, or lists of workers do not reach
- * it; then it is killed. */
+/* Kills the holder while the store's answers to it are lost, its writes are late, or worker reports
+ * do not reach it. */
 static void
 break_holder (struct run *run)
 {
@@ -398,7 +399,8 @@
 		site_hold_entries_back (&run->site, worker, pick (run, 2) == 0);
 	else if (roll < 30)
 		site_restart_worker (&run->site, worker);
-	/* Behind a cut, and with what is on its way to it. */
+	/* Keeps the worker's faults: the restart happens while it is cut off, or with orders on
+	 * their way to it. */
 	if (roll >= 10 && roll < 20)
 		*run->site.workers[worker] = faults;
 }
@@ -443,7 +445,8 @@
 	return false;
 }
 
-/* Whether two workers or more have crashed under a task of a job, which may be given up then. */
+/* Returns: whether two or more workers have crashed under a task of a job, so that the job may be
+ * given up. */
 static bool
 has_crashed_workers (const struct run *run, const char *id)
 {
@@ -516,8 +519,8 @@
 	if (violation != NULL)
 		fail_msg ("seed %u: %s", seed, violation);
 	if (run.n_blameless > 0)
-		print_message ("seed %u: %d of %u jobs given up for what others did\n", seed,
-			       run.n_blameless, run.site.accepted->len);
+		print_message ("seed %u: %d of %u jobs failed by crashes that other jobs caused\n",
+			       seed, run.n_blameless, run.site.accepted->len);
 	site_close (&run.site);
 	g_rand_free (run.rand);
 	g_ptr_array_unref (run.cancelled);
--- a/tests/holder/test-holder-store.c
+++ b/tests/holder/test-holder-store.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* The holder and its successors, over a store with faults. */
+/* The holder and its successors, with a faulty store. */
 
 static void
 set_silent (struct site *site, bool silent)
@@ -11,8 +11,8 @@
 		dff_memory_rows_client_faults (site->processes[i].rows)->silent = silent;
 }
 
-/* A process holds on to the cell for eight seconds, whatever it takes, and the job of four tasks
- * that it has begun completes once its calls are quick again. */
+/* Asserts that a process keeps the lease of the cell for eight seconds of slow calls, and that the
+ * job of four tasks that it has started completes once its calls are fast again. */
 static void
 assert_keeps_lease (struct site *site, int holder)
 {
@@ -30,9 +30,9 @@
 	assert_int_equal (dff_memory_runner_n_starts (site->runner, "1"), 4);
 }
 
-/* Symptom: jobs stand for seconds after the holder is gone. Sequence: its process is killed, or
- * loses its path to the store. Cause: the others waited for the standstill of its row in every
- * case. */
+/* Guards against jobs that wait for seconds after the loss of the holder: its process is killed or
+ * loses its path to the store. The other processes must not wait in every case until its row has
+ * stood still. */
 static void
 test_take_over (void **state)
 {
@@ -62,7 +62,7 @@
 		}
 		int64_t waited_ms = 0;
 		while (site_holder (&site) == holder || site_holder (&site) < 0) {
-			/* The former holder goes on until it learns of the other. */
+			/* The former holder continues until the takeover is reported to it. */
 			if (!cases[i].killed && site_holder (&site) == holder &&
 			    dff_holder_is_holding (
 				    site.processes[(holder + 1) % SITE_PROCESSES].holder))
@@ -85,8 +85,8 @@
 	}
 }
 
-/* A site without processes, of which the second is quick and the others take longer to take over.
- */
+/* Opens a site in which the second process takes over fast and the others slowly, and kills all
+ * processes. */
 static void
 open_with_fast_process (struct site *site, int64_t slow_ms)
 {
@@ -97,9 +97,10 @@
 	}
 }
 
-/* Symptom: a fleet whose machines differ stands for seconds at each take-over, and the cell goes
- * round. Sequence: a small machine is the first to take the cell, is in place late and falls
- * behind, and the next one takes its turn. Cause: it was left to chance who takes the cell. */
+/* Guards against seconds of downtime at each takeover, and a lease that passes from one process to
+ * the next, in a fleet of unequal machines: a small machine acquires the lease first, takes over
+ * late and falls behind, and the next one follows. It must not be left to chance which process
+ * acquires the lease. */
 static void
 test_fast_process_becomes_holder (void **state)
 {
@@ -108,14 +109,15 @@
 	open_with_fast_process (&site, 1200);
 	for (int i = 0; i < SITE_PROCESSES; i++)
 		site_start_process (&site, i);
-	/* All begin with a row that knows nothing of them: whoever is first, the quick one follows.
-	 */
+	/* All processes start with a row that does not list them: the fast one becomes the holder,
+	 * whichever acquires the lease first. */
 	site_run (&site, 5000);
 	assert_int_equal (site_holder (&site), 1);
 	assert_int_equal (site_submit (&site, 0, site_plan ("7", 4, false, 1)), DFF_FRONT_OK);
 	site_run (&site, 300);
 	site_kill_process (&site, 1);
-	/* The others leave it the time that they are slower by, and no more than that. */
+	/* The other processes wait for as long as they are slower than the fast one, and not
+	 * longer. */
 	int64_t waited_ms = 0;
 	for (; site_holder (&site) < 0 && waited_ms < 5000; waited_ms += 10)
 		site_run (&site, 10);
@@ -137,9 +139,9 @@
 	return *dff_metrics_counter (site->processes[process].metrics, "dff_rows_gets_total", "");
 }
 
-/* The load: a fleet of small machines beside a few large ones, in which nothing happens. Guards
- * against readings of the store that grow with the fleet by three a second and machine: what a
- * process reads that is not among the next to decide is counted. */
+/* The load: an idle fleet of small machines and a few large ones. Guards against reads of the store
+ * that grow with the fleet, by three a second and machine: the reads of a process that is not among
+ * the next candidates for the lease are counted. */
 static void
 test_reads_of_slow_processes (void **state)
 {
@@ -149,7 +151,7 @@
 		int64_t least;
 		int64_t most;
 	} cases[] = {
-		/* As quick as the one that decides: three a second. */
+		/* As fast as the holder: three reads a second. */
 		{200, 60, 70},
 		{700, 20, 28},
 		{1400, 11, 15},
@@ -170,9 +172,9 @@
 	}
 }
 
-/* Guards against callers' rows being sent to a process that is gone for as long as a slow process
- * does not look who decides: one that does not reach it looks at once, and no more often than
- * others. */
+/* Guards against sending callers' rows to a lost holder until a slow process next looks up the
+ * holder: a process that cannot reach the holder looks it up at once, but not more often than the
+ * others do. */
 static void
 test_lost_holder_is_looked_up (void **state)
 {
@@ -195,8 +197,9 @@
 	site_close (&site);
 }
 
-/* Guards against a holder that nobody replaces because the others look rarely: whenever it ends,
- * slow processes follow within their wait, one look more, and the spread. */
+/* Guards against a holder that is not replaced because the other processes read its row rarely:
+ * whenever it ends, a slow process takes over within its wait, one more read interval and the
+ * random spread. */
 static void
 test_slow_processes_follow (void **state)
 {
@@ -219,8 +222,8 @@
 	}
 }
 
-/* Symptom: a job is lost, or runs twice. Sequence: the store carries out writes of which the answer
- * is lost, some of them seconds later, while the holder changes. */
+/* Guards against jobs that are lost or run twice: the store executes writes whose answers are lost,
+ * some of them seconds later, while the holder changes. */
 static void
 test_lost_and_late_answers (void **state)
 {
@@ -261,7 +264,7 @@
 	site_close (&site);
 }
 
-/* Symptom: callers wait until their time is up though nothing can be done for them. Cause: each
+/* Guards against callers that wait until their timeout although their jobs cannot be accepted: each
  * submission was written to a store that does not answer. */
 static void
 test_silent_store (void **state)
@@ -283,21 +286,21 @@
 	assert_string_equal (site_state (&site, 0, "b"), "gone");
 	assert_int_equal (site_submit (&site, 1, site_plan ("c", 1, false, 1)), DFF_FRONT_OK);
 	assert_int_not_equal (site_wait_for_state (&site, "1", "completed", 5000), -1);
-	/* Leases were renewed all the while. */
+	/* The leases of the workers were renewed during the whole outage. */
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "1"), 6);
 	assert_int_not_equal (site_wait_for_state (&site, "c", "completed", 5000), -1);
 	site_close (&site);
 }
 
-/* The load: a store that falls silent for some seconds, which clients notice, and answers again
- * just after each question in progress was sent. */
+/* The load: a store that is silent for some seconds, which its clients detect, and that answers
+ * again just after each call in progress was sent. */
 #define OUTAGE_MS 4200
-/** A probe of a silent store, and two transactions. */
+/** Time for a probe of a silent store and two transactions, ms. */
 #define RECOVERY_MS 300
 
-/* Symptom: jobs are accepted and begin only a second after the store's return. Sequence: the store
- * is silent for seconds; the holder's transaction, and questions about jobs, were sent just before
- * its return and are lost. Cause: they were waited for until their time was up. */
+/* Guards against jobs that are accepted after an outage of the store and start a second late: the
+ * holder's transaction and its reads of jobs were sent just before the store's recovery and are
+ * lost. They must not be awaited until their timeouts. */
 static void
 test_recovery_after_silence (void **state)
 {
@@ -321,15 +324,15 @@
 	}
 }
 
-/* Symptom: for as long as the store is slow, one process after another takes the cell, and nothing
- * is decided. Sequence: transactions take longer than the holder waits for them; it says that it
- * cannot record anything, and the others believe it. Cause: they took a store that is slow for
- * everybody for one that the holder alone has lost. */
+/* Guards against a lease that passes from one process to another, so that no decisions are made,
+ * for as long as the store is slow: transactions take longer than the holder's timeout, and the
+ * holder reports to the other processes that it cannot record anything. They must not take a store
+ * that is slow for all processes for one that only the holder has lost. */
 static void
 test_slow_store (void **state)
 {
 	(void)state;
-	/* Readings are quicker than the holder's transactions of many rows. */
+	/* Reads are faster than the holder's transactions of many rows. */
 	static const struct {
 		int32_t write_ms;
 		int32_t read_ms;
@@ -348,11 +351,11 @@
 	}
 }
 
-/* Symptom: a new holder is relieved again before it has decided anything, and what runs on lost
- * workers waits anew. Sequence: it is short of processor time after a take-over, so that a large
- * transaction outlasts its timeout, while the others' readings are quick. Cause: the timeout alone
- * counted as the loss of the store, though the store went on answering the same process; and the
- * standstill of its row counted, though it said that it was there. */
+/* Guards against replacing a new holder before it has made any decision, so that the runs on lost
+ * workers wait once more: it is short of CPU time after a takeover, and a large transaction exceeds
+ * its timeout, while the other processes' reads are fast. The timeout alone must not count as the
+ * loss of the store when the store still answers the same process, and the unchanged row must not
+ * count when the holder reports that it is running. */
 static void
 test_slow_holder (void **state)
 {
@@ -373,9 +376,9 @@
 	}
 }
 
-/* Symptom: after a take-over nothing is decided any more, for good. Sequence: the table of jobs has
- * grown; a full page of it takes longer than the new holder waits for one. Cause: each further
- * attempt asked for as much and waited as long. */
+/* Guards against a new holder that never makes decisions: the table of jobs has grown, and a full
+ * page takes longer than the timeout. Each further attempt must not request as many rows with the
+ * same timeout. */
 static void
 test_slow_pages (void **state)
 {
@@ -401,8 +404,8 @@
 	site_close (&site);
 }
 
-/* Symptom: jobs accepted in one second begin together, late. Cause: the store held its feeds back.
- */
+/* Guards against jobs that are accepted within one second and start together, late: the store holds
+ * its feeds back. */
 static void
 test_held_feeds (void **state)
 {
@@ -425,8 +428,8 @@
 	site_close (&site);
 }
 
-/* Symptom: a worker that leaves gets new tasks for as long as the store holds changes back. Cause:
- * what the feed did not tell was taken for what is so. */
+/* Guards against assigning tasks to a leaving worker for as long as the store holds changes back: a
+ * change that the feed has not reported may still have happened. */
 static void
 test_leaving_while_feeds_are_held (void **state)
 {
@@ -438,15 +441,15 @@
 	for (int i = 1; i < SITE_WORKERS; i++)
 		site_list_worker (&site, i, true, true);
 	site_run (&site, 1100);
-	/* Each takes a worker whole, for two seconds: one at a time. */
+	/* Each task takes a whole worker for two seconds: they run one at a time. */
 	site_submit (&site, 0, site_plan ("6", 3, false, SITE_ACCELERATORS));
 	site_run (&site, 1500);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "6"), 1);
 	site_close (&site);
 }
 
-/* Symptom: a job that has ended runs again. Sequence: the store drops its history, so that the
- * holder reads every job anew. Cause: a job that was over and forgotten looked like a new one. */
+/* Guards against running an ended job again: the store drops its history, and the holder reads all
+ * jobs again. A job that has ended and whose state was discarded must not look like a new one. */
 static void
 test_dropped_history (void **state)
 {
@@ -463,7 +466,7 @@
 	site_close (&site);
 }
 
-/* Symptom: a stopping process leaves the cell without a holder for a second. */
+/* Guards against a cell without a holder for a second after its holder has stopped. */
 static void
 test_step_down (void **state)
 {
@@ -483,9 +486,10 @@
 	site_close (&site);
 }
 
-/* Symptom: a task runs twice at a time. Sequence: a holder loses the store and the other processes,
- * and goes on renewing a worker that only it reaches; its successor is killed, and the next one
- * knows that this successor has ended. Cause: only the last holder was thought of. */
+/* Guards against two concurrent runs of a task: a holder loses the store and the other processes
+ * and continues to renew the lease of a worker that only it reaches; its successor is killed, and
+ * the next holder detects that this successor has ended. All earlier holders have to be considered,
+ * not only the last one. */
 static void
 test_renewals_of_an_earlier_holder (void **state)
 {
@@ -502,7 +506,7 @@
 	dff_memory_rows_client_faults (site.processes[first].rows)->silent = true;
 	for (int i = 0; i < SITE_PROCESSES; i++)
 		site_cut_worker_from (&site, reached, i, i != first);
-	/* The others would tell it of the higher epoch. */
+	/* The other workers would report the higher epoch to it. */
 	for (int i = 0; i < SITE_WORKERS; i++)
 		site_cut_worker_from (&site, i, first, i != reached);
 	site_run (&site, 3000);
--- a/tests/holder/test-holder-submissions.c
+++ b/tests/holder/test-holder-submissions.c
@@ -4,16 +4,16 @@
 
 #include "tests/holder/site_links.h"
 
-/* Rows of jobs that go with the holder's own transactions, and states that the process that decides
- * tells, over a store with faults. */
+/* Rows of jobs that are written with the holder's own transactions, and state queries answered by
+ * the holder, with a faulty store. */
 
-/* The load: a store that takes 170 ms for each transaction, one after another, as one that is 34
- * times slower than usual does; an urgent job of two and a half seconds of work has an objective of
- * four, so that half a second before its start is what it can lose. */
+/* The load: a store that takes 170 ms for each transaction, one after another, 34 times as long as
+ * usual. An urgent job with 2.5 s of work has an objective of 4 s, so that it can lose 0.5 s before
+ * its start. SLOW_MS: duration of a transaction. */
 #define SLOW_MS 170
-/** A transaction in progress, and the one with the job in it. */
+/** Transactions before a start: the one in progress, and the one with the job in it. */
 #define TRANSACTIONS 2
-/** Ways of the messages, and the looks of the loop, ms. */
+/** Delays of the messages and intervals of the loop, ms. */
 #define MARGIN_MS 60
 
 static struct dff_memory_rows_faults *
@@ -22,9 +22,9 @@
 	return dff_memory_rows_client_faults (site->processes[process].rows);
 }
 
-/* Symptom: in a slow store urgent jobs begin two and a half seconds after they were handed in.
- * Sequence: a job's row waits for the transaction before it and its own; then it is taken in, and
- * its start's record waits for two more. Cause: one process wrote both, one after the other. */
+/* Guards against urgent jobs that start 2.5 s after their submission in a slow store: the job's row
+ * waits for the transaction in progress and its own, the job is then accepted, and the record of
+ * its start waits for two more. The holder has to write both together. */
 static void
 test_start_delay_in_slow_store (void **state)
 {
@@ -47,14 +47,14 @@
 				 TRANSACTIONS * SLOW_MS + MARGIN_MS);
 	}
 	assert_int_equal (site_holder (&site), holder);
-	/* Nothing is left to be taken in: the rows were written by the one that knows them. */
+	/* The inbox is empty: the holder itself wrote the rows and has already handled them. */
 	assert_int_equal (dff_memory_rows_count (site.rows, DFF_TABLE_INBOX), 0);
 	site_close (&site);
 }
 
-/* Symptom: a caller learns a quarter of a second late that its job is over. Sequence: it asks just
- * as the last task has ended, is told that the job runs, and asks again after its pause. Cause: the
- * end was not heard of yet, or not on record. */
+/* Guards against reporting a completion 250 ms late: the caller queries the job's state just when
+ * the last task has ended, is told that the job is running, and queries again after its pause. The
+ * completion had not been received yet, or not been recorded. */
 static void
 test_state_query_at_completion (void **state)
 {
@@ -70,14 +70,14 @@
 	int64_t begun_ms = dff_virtual_loop_now_ms (site.loop);
 	assert_string_equal (site_state (&site, other, "a"), "completed");
 	assert_in_range (dff_virtual_loop_now_ms (site.loop) - begun_ms, 0, 100);
-	/* Of what is not known there the rows tell. */
+	/* The state of a job that the holder has not loaded is read from the rows. */
 	assert_string_equal (site_state (&site, other, "b"), "gone");
 	site_close (&site);
 }
 
-/* Symptom: a caller is told that its job is over, and after a take-over it runs. Sequence: the end
- * was heard, its record is on the way to a store that does not answer; the holder is lost. Cause:
- * what was not on record was told. */
+/* Guards against reporting a completion before it is durable: the completion was received, and its
+ * record is on the way to a store that does not answer, when the holder is lost. The next holder
+ * runs the job again although its caller saw it finish. */
 static void
 test_unrecorded_completion_is_not_reported (void **state)
 {
@@ -91,7 +91,7 @@
 	faults_of (&site, holder)->silent = true;
 	while (dff_memory_runner_n_active (site.runner) > 0)
 		site_run (&site, 1);
-	/* Heard by now, and not on record. */
+	/* The completion has been received by now, and is not recorded. */
 	site_run (&site, 20);
 	assert_string_equal (site_state (&site, other, "a"), "running");
 	site_kill_process (&site, holder);
@@ -99,9 +99,9 @@
 	site_close (&site);
 }
 
-/* Symptom: a caller is told that its job was not done, and it runs; or a job that was accepted is
- * lost. Sequence: the transaction with the job is refused, has no answer, is carried out late or
- * finds the row there; the holder may be killed just then. Cause: what was open was told as done
+/* Guards against reporting a job as not accepted that runs, and against losing an accepted job: the
+ * transaction with the job is refused, is not answered, is executed late or finds the row written
+ * already, and the holder may be killed just then. An unknown outcome must not be reported as done
  * or not done. */
 static void
 test_submission_outcomes (void **state)
@@ -167,7 +167,8 @@
 	(void)result;
 }
 
-/* A worker sees the next epoch, as after a take-over: the holder lets go at its next call. */
+/* Sends a worker the next epoch, as after a takeover: the holder steps down at its next call to
+ * this worker. */
 static void
 raise_epoch (void *ctx)
 {
@@ -182,10 +183,10 @@
 	runner->watch (runner->ctx, &watch, ignore_result, NULL);
 }
 
-/* Symptom: a caller is told that its job was not done, and it runs. Sequence: the transaction with
- * the job is on its way to a slow store when the holder lets go of the cell; the caller's process
- * is refused by the store, so that nothing else settles it; the transaction is carried out. Cause:
- * what the holder had in flight was told as not done. */
+/* Guards against reporting a job as not accepted that runs: the transaction with the job is on its
+ * way to a slow store when the holder steps down, and the store refuses the caller's process, so
+ * that no other write settles the outcome; the transaction is executed. Transactions in progress
+ * must not be reported as not done. */
 static void
 submit_around_step_down (int64_t lead_ms)
 {
@@ -207,8 +208,8 @@
 	site_close (&site);
 }
 
-/* How long before the job the holder's epoch is overtaken, in small steps over more than the time
- * in which it notices: some meet each moment of the transaction. */
+/* The time between the higher epoch and the submission grows in small steps to more than the holder
+ * takes to detect the epoch, so that some steps hit each moment of the transaction. */
 static void
 test_submission_during_step_down (void **state)
 {
@@ -217,9 +218,10 @@
 		submit_around_step_down (lead_ms);
 }
 
-/* Symptom: what a withdrawn job was given stays taken, or the same job is never accepted again.
- * Sequence: jobs for all there is are placed, and their rows cannot be written; the store is back
- * and they are handed in again. Cause: nobody gave back what was decided for them. */
+/* Guards against resources that stay assigned to a withdrawn job, and against refusing the same job
+ * for ever: a job that takes all workers is placed, and its row cannot be written; the store
+ * recovers, and the job is submitted again. The decisions for a withdrawn job have to be reverted.
+ */
 static void
 test_withdrawn_jobs (void **state)
 {
@@ -245,10 +247,10 @@
 	site_close (&site);
 }
 
-/* Symptom: callers of a process that the store does not hear are sent away, though others are
- * served. Sequence: its path to the store is cut for seconds; a job is handed in, looked at, and
- * another one cancelled there. Cause: nobody asked whether another process could do it. When
- * nobody's store answers, they are told at once. */
+/* Guards against refusing the callers of a process without a path to the store although other
+ * processes are served: the path is cut for seconds; a job is submitted, its state is queried, and
+ * another job is cancelled through this process. The process has to use another one. If no process
+ * reaches the store, callers are answered at once. */
 static void
 test_process_without_store (void **state)
 {
@@ -282,9 +284,9 @@
 	site_close (&site);
 }
 
-/* Guards against processes that the store turns away being of no use to their callers for as long
- * as that lasts, once another process decides: the former holder, turned away as well, was told who
- * follows it, and tells them. */
+/* Guards against processes that cannot serve their callers for as long as the store does not serve
+ * them, after another process has become the holder: the former holder, which the store does not
+ * serve either, has received the address of its successor and passes it on. */
 static void
 test_holder_and_peer_without_store (void **state)
 {
--- a/tests/holder/test-holder-workers.c
+++ b/tests/holder/test-holder-workers.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-/* The holder over workers with faults. */
+/* The holder with faulty workers. */
 
-/* Has a long task run on each worker. */
+/* Runs a long task on each worker. */
 static void
 run_task_on_each_worker (struct site *site)
 {
@@ -14,7 +14,8 @@
 	site_run (site, 400);
 }
 
-/** Workers of a large fleet that only write their entries, and how often, ms. */
+/** Number of workers of a large fleet that do nothing but write their entries, and the interval of
+ * the entries, ms. */
 #define LARGE_FLEET 900
 #define ENTRY_EVERY_MS 300
 
@@ -28,9 +29,9 @@
 	}
 }
 
-/* Symptom: a worker that leaves is given new work for seconds after it has said so. Sequence: nine
- * hundred workers write their entries three times a second; one answer of the store holds 500.
- * Cause: after a full answer the holder waited for its next look, so that it fell behind. */
+/* Guards against assigning tasks to a leaving worker for seconds after its announcement: 900
+ * workers write their entries three times a second, and one answer of the store holds at most 500
+ * rows. After a full answer the holder must not wait for its next interval, or it falls behind. */
 static void
 test_leaving_in_large_fleet (void **state)
 {
@@ -54,9 +55,9 @@
 	site_close (&site);
 }
 
-/* Symptom: tasks run twice, are lost or wait for seconds. Sequence: calls to workers go through
- * other processes; one of these is killed or falls silent, and another is there or not. Cause: the
- * calls that it carried never ended, or were taken for not sent. */
+/* Guards against tasks that run twice, are lost or wait for seconds: calls to workers go through
+ * relays; one or both of the relays are killed or become silent. Calls through a lost relay have to
+ * end, and must not be taken for unsent. */
 static void
 test_lost_relay (void **state)
 {
@@ -88,16 +89,16 @@
 	}
 }
 
-/* Symptom: a task runs twice at a time. Sequence: its worker is cut off from the system and runs
- * on; the task is started elsewhere before the worker's lease has lapsed on its own, slower clock.
- */
+/* Guards against two concurrent runs of a task: its worker is cut off and continues to run it; the
+ * task must not be started elsewhere before the worker's lease has expired on the worker's own,
+ * slower clock. */
 static void
 test_cut_off_worker (void **state)
 {
 	(void)state;
 	static const struct {
 		int64_t cut_ms;
-		/** Starts of the six tasks, one on each worker. */
+		/** Number of starts of the six tasks, one on each worker. */
 		int32_t n_starts;
 		bool mute;
 	} cases[] = {
@@ -121,9 +122,9 @@
 	}
 }
 
-/* Symptom: the log tells of a run that nobody recorded, and a stop is sent for it. Sequence: a gang
- * of two ends; the worker of one member says so, and the other's list from just before arrives
- * after that. Cause: the list was taken for newer than it was. */
+/* Guards against logging a run as orphaned and stopping it although it has ended: a gang of two
+ * ends; the worker of one member reports the end, and then an older list of the other worker
+ * arrives. The list must not be taken for newer than it is. */
 static void
 test_late_worker_reports (void **state)
 {
@@ -132,7 +133,7 @@
 	site_open (&site);
 	for (int i = 0; i < SITE_WORKERS; i++)
 		site.workers[i]->answer_ms = i % 2 == 0 ? 0 : 300;
-	/* Single tasks on each worker, of which some end just before the gang. */
+	/* Single tasks on each worker; some of them end just before the gang. */
 	for (int i = 0; i < 12; i++) {
 		g_autofree char *id = g_strdup_printf ("a%d", i);
 		struct dff_plan *plan = site_plan (id, SITE_WORKERS, false, 1);
@@ -152,10 +153,10 @@
 	site_close (&site);
 }
 
-/* Symptom: after a take-over, what runs on workers that cannot be reached begins elsewhere 19 s
- * later, and at each further take-over that time begins anew. Sequence: holders are killed and
- * start again while a worker is cut off. Cause: each holder took it that the former one goes on
- * renewing for as long as it may, though another life of its process answered. */
+/* Guards against restarting the runs of unreachable workers 19 s late after a takeover, and against
+ * beginning this wait again at each further takeover: holders are killed and restarted while a
+ * worker is cut off. A holder must not assume that its predecessor continues to renew leases for as
+ * long as it may, when another incarnation of the predecessor's process has answered. */
 static void
 test_lost_worker_after_take_overs (void **state)
 {
@@ -184,8 +185,8 @@
 	}
 }
 
-/* Symptom: work on a worker that crashed waits until its lease would have lapsed. Sequence: another
- * life answers at its address. Cause: that answer was not taken as proof of the end. */
+/* Guards against waiting for the lease of a crashed worker to expire: its next incarnation answers
+ * at the same address, which proves that its runs have ended. */
 static void
 test_restarted_worker (void **state)
 {
@@ -200,16 +201,16 @@
 	site_close (&site);
 }
 
-/* Symptom: a gang that has completed is started again. Sequence: its members end together; the
- * worker of one is lost before its end is heard, the other's is heard then. Cause: see
- * complete_unit(). */
+/* Guards against starting a completed gang again: its members end together; the worker of one is
+ * lost before its completion is received, and the other member's completion is received after that.
+ * See complete_unit(). */
 static void
 test_gang_loses_worker_after_completion (void **state)
 {
 	(void)state;
 	struct site site;
 	site_open (&site);
-	/* Seven of eight accelerators each, so that the members are on two workers. */
+	/* Each member takes seven of eight accelerators, so that the members are on two workers. */
 	site_submit (&site, 0, site_plan ("5", 2, true, 7));
 	site_run (&site, 2500);
 	int lost = dff_memory_runner_worker_of (site.runner, "5.0.0.0")[1] - '0';
@@ -218,7 +219,7 @@
 	site_run (&site, 1000);
 	assert_null (dff_memory_runner_worker_of (site.runner, "5.0.0.0"));
 	site_restart_worker (&site, lost);
-	/* By now the other life has answered, and the other member is to be stopped. */
+	/* The next incarnation has answered by now, and the other member is to be stopped. */
 	site_run (&site, 1500);
 	for (int i = 0; i < SITE_WORKERS; i++)
 		site.workers[i]->drops_answers = false;
@@ -228,8 +229,8 @@
 	site_close (&site);
 }
 
-/* Symptom: a task runs that nobody wants any more, or twice. Sequence: orders are unanswered and
- * carried out seconds later, after newer ones. */
+/* Guards against running cancelled tasks, and against running tasks twice: orders are not answered
+ * and are executed seconds later, after newer orders. */
 static void
 test_late_orders (void **state)
 {
@@ -256,9 +257,8 @@
 	}
 }
 
-/* Symptom: work on a worker that stands still takes as long as the worker likes. Sequence: the
- * worker goes on answering, and lists its tasks as running. Cause: nobody looked at their progress.
- */
+/* Guards against a stalled worker that delays its tasks without limit: it continues to answer and
+ * lists its tasks as running. Their progress has to be checked. */
 static void
 test_stalled_worker (void **state)
 {
@@ -270,7 +270,8 @@
 	site_submit (&site, 0, plan);
 	site_run (&site, 2000);
 	site.workers[1]->hung = true;
-	/* The stalled task goes on elsewhere from what it saved, once the others have ended. */
+	/* The stalled task resumes on another worker from its checkpoint, once the other tasks have
+	 * ended. */
 	assert_in_range (site_wait_for_state (&site, "4", "completed", 20000), 8000, 10500);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "4"), SITE_WORKERS + 1);
 	site_close (&site);
@@ -292,10 +293,10 @@
 	site_close (&site);
 }
 
-/* Symptom: what runs on workers that are taken away begins again ten seconds later, from its
- * beginning. Sequence: a worker tells that it leaves in 1.8 s, and is gone then with the tasks that
- * take longer. Cause: nothing new was placed there, but nothing was done about what ran there, and
- * a worker that is gone looks like one that is cut off. */
+/* Guards against restarting the tasks of a removed worker ten seconds late and from their
+ * beginning: a worker announces that it leaves in 1.8 s, and is then gone together with its longer
+ * tasks. Nothing new was placed there, but the running tasks were not handled, and a removed worker
+ * looks like one that is cut off. */
 static void
 test_worker_that_leaves_soon (void **state)
 {
@@ -307,11 +308,11 @@
 		int64_t limit_ms;
 		int32_t n_starts;
 	} cases[] = {
-		/* Six seconds of work, 0.6 s of it done: begun anew. */
+		/* Six seconds of work, 0.6 s of it done: restarted from the beginning. */
 		{"1", 8, 1800, 8000, 2},
-		/* The same, saved. */
+		/* The same with a checkpoint: resumed from it. */
 		{"4", 8, 1800, 6500, 2},
-		/* It ends before the worker does. */
+		/* The task ends before the worker leaves. */
 		{"1", 8, 9000, 6000, 1},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
--- a/tests/holder/test-holder.c
+++ b/tests/holder/test-holder.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* One holder and the fronts: what becomes of jobs. */
+/* One holder and the fronts: jobs from their submission to their end. */
 
 static void
 test_jobs_complete (void **state)
@@ -64,9 +64,9 @@
 	site_close (&site);
 }
 
-/* Symptom: a letter is drafted twice. Sequence: a submission's answer is lost; the caller sends it
- * again through other processes, also after it was accepted. Cause: each was taken for a new job.
- */
+/* Guards against running a job twice: the answer to a submission is lost, and the caller sends the
+ * job again through other processes, also after it was accepted. Each submission was taken for a
+ * new job. */
 static void
 test_repeated_submission_runs_once (void **state)
 {
@@ -102,14 +102,14 @@
 	(void)state;
 	struct site site;
 	site_open (&site);
-	/* Six whole workers: the seventh waits. */
+	/* Each job needs a whole worker; of eight jobs, six fit. */
 	for (int i = 0; i < SITE_WORKERS + 2; i++) {
 		g_autofree char *id = g_strdup_printf ("6%d", i);
 		site_submit (&site, i % SITE_PROCESSES,
 			     site_plan (id, 1, false, SITE_ACCELERATORS));
 	}
 	site_run (&site, 1200);
-	/* Some workers are kept for urgent work until the pool is calm. */
+	/* Some workers are reserved as headroom for urgent jobs until the load is low. */
 	assert_in_range (site_count_waiting (&site, 0), 2, 3);
 	for (int i = 0; i < SITE_WORKERS + 2; i++) {
 		g_autofree char *id = g_strdup_printf ("6%d", i);
@@ -124,8 +124,9 @@
 	site_close (&site);
 }
 
-/* Symptom: a job that needs a worker whole waits behind a later class of many single tasks.
- * Sequence: both wait when all workers come free. Cause: each task weighed as much as a job. */
+/* Guards against a job that needs a whole worker waiting behind a later service class with many
+ * single tasks: when both wait and all workers become free, each task must not count as much as a
+ * job. */
 static void
 test_many_tasks_count_as_one_job (void **state)
 {
@@ -139,7 +140,7 @@
 	many->priority = 2;
 	site_submit (&site, 0, many);
 	site_submit (&site, 0, site_plan ("6", 1, false, SITE_ACCELERATORS));
-	/* 5.5 s until the workers come free, and 2 s for itself. */
+	/* 5.5 s until the workers become free, and 2 s of run time. */
 	assert_in_range (site_wait_for_state (&site, "6", "completed", 20000), 7000, 8100);
 	site_close (&site);
 }
