--- a/include/relay/relay.h
+++ b/include/relay/relay.h
@@ -9,9 +9,9 @@
 
 /*
  * The relay's end of a connection to the holder: executes the holder's calls to workers and sends
- * the answers back. It makes no decisions and stores nothing. A call that is executed late can do
- * no harm: the epoch, the run number and the deadline on the worker's clock, which the call
- * carries, bound its effect.
+ * the answers back. It makes no decisions and stores nothing. The effect of a call that is executed
+ * late is bounded by what the call carries: the epoch, the run number and the deadline on the
+ * worker's clock.
  */
 
 struct dff_relay;
@@ -22,7 +22,8 @@
 	const struct dff_runner *runner;
 	/** Name of this process, by which the holder assigns workers to relays. */
 	struct dff_name name;
-	/** (nullable): called repeatedly while no message arrives from the holder. */
+	/** (nullable): no message has arrived from the holder for some time; called repeatedly
+	 * until one arrives. */
 	void (*holder_silent) (void *ctx);
 	void *ctx;
 };
@@ -35,7 +36,7 @@
 
 DFF_DEFINE_CLEANUP (dff_relay, dff_relay_free);
 
-/** Handles a new connection to the holder. Answers to calls from an earlier connection are dropped.
+/** Handles a new connection to the holder. Answers to calls from earlier connections are dropped.
  */
 void dff_relay_connected (struct dff_relay *relay, const struct dff_relay_link *link);
 
--- a/include/relay/stream.h
+++ b/include/relay/stream.h
@@ -7,9 +7,7 @@
 #include "common/str.h"
 #include "relay/link.h"
 
-/* Framed messages over TCP: the length in four bytes, big-endian, then as many bytes of the
- * message.
- */
+/* Framed messages over TCP: the message's length in four bytes, big-endian, then its bytes. */
 
 struct dff_stream;
 
--- a/include/rows/health.h
+++ b/include/rows/health.h
@@ -31,9 +31,7 @@
 /** Returns: (transfer full): a monitor in front of the store; @options is copied. */
 struct dff_rows_health *dff_rows_health_new (const struct dff_rows_health_options *options);
 
-/** May only be called when no call is in progress, or when the calls in progress will not call
- * back.
- */
+/** To be called only when no call is in progress, or when calls in progress will not call back. */
 void dff_rows_health_free (struct dff_rows_health *health);
 
 DFF_DEFINE_CLEANUP (dff_rows_health, dff_rows_health_free);
--- a/relay/relay.c
+++ b/relay/relay.c
@@ -18,8 +18,7 @@
 	struct dff_relay_options options;
 	struct dff_relay_link link;
 	bool connected;
-	/** Time of the last message from the holder, or of the connection before the first one, ms.
-	 */
+	/** Time of the holder's last message, or of the connection before the first message, ms. */
 	int64_t last_received_ms;
 	/** Number of the current connection, to detect calls from an earlier one. */
 	int64_t connection;
--- a/relay/stream.c
+++ b/relay/stream.c
@@ -8,8 +8,7 @@
 #include "common/address.h"
 #include "common/http_connection.h"
 
-/** Maximum length of a message, bytes: a hundred times a batch of calls to some dozens of workers.
- */
+/** Maximum length of a message, bytes: 100 times a batch of calls to some dozens of workers. */
 #define MESSAGE_BYTES_MAX (4 << 20)
 /** Unsent bytes beyond which the connection ends: the amount that the link of a small machine
  * carries in two seconds. */
--- a/rows/health.c
+++ b/rows/health.c
@@ -19,8 +19,7 @@
 	struct dff_timer *probe;
 	/** Calls in progress, oldest first. Elements: struct call. */
 	GQueue calls;
-	/** Start time of the most recently started call that has been served, ms; INT64_MIN: none.
-	 */
+	/** Start time of the latest call that has been served, ms; INT64_MIN: none. */
 	int64_t served_begun_ms;
 	bool silent;
 	int64_t *silences;
--- a/rows/scan.c
+++ b/rows/scan.c
@@ -26,8 +26,7 @@
 struct dff_scan {
 	struct dff_scan_options options;
 	struct dff_timer *retry;
-	/** (nullable): the call in progress. Its pointer to the scan is cleared when the scan is
-	 * freed. */
+	/** (nullable): the call in progress; detached from the scan when the scan is freed. */
 	struct call *call;
 	bool running;
 	int32_t page_limit;
--- a/tests/graph/test-graph.c
+++ b/tests/graph/test-graph.c
@@ -335,8 +335,7 @@
 			     dff_progress_task (progress, 3, 0, 7)->worker.data);
 }
 
-/* A checkpoint of any member applies to its whole gang: all members must resume from the same one.
- */
+/* A checkpoint of any member applies to its whole gang: all members resume from the same one. */
 static void
 test_gang_members_share_a_checkpoint (void **state)
 {
--- a/tests/holder/site.h
+++ b/tests/holder/site.h
@@ -47,7 +47,7 @@
 	struct dff_metrics *metrics;
 	struct dff_memory_rows_client *rows;
 	struct dff_memory_runner_client *runner;
-	/** With relays: this process's holder end and relay end, and its connection to the holder.
+	/** With relays: this process's holder end, its relay end and its connection to the holder.
 	 */
 	struct dff_dispatch *dispatch;
 	struct dff_relay *relay;
@@ -183,8 +183,7 @@
 
 enum dff_front_outcome site_cancel (struct site *site, int process, const char *id);
 
-/** Returns: the name of the job's state; "gone": the job does not exist; "unavailable": no answer.
- */
+/** Returns: the job's state by name; "gone": the job does not exist; "unavailable": no answer. */
 const char *site_state (struct site *site, int process, const char *id);
 
 /** Returns: the number of jobs that have not started; -1: unavailable. */
--- a/tests/holder/site_relays.h
+++ b/tests/holder/site_relays.h
@@ -9,8 +9,7 @@
  * workers. */
 const struct dff_runner *site_relays_start (struct site_process *process);
 
-/** Implement the options relay_connect and relay_set_limit of a holder; @ctx: struct site_process.
- */
+/** Implement relay_connect and relay_set_limit of a holder's options; @ctx: struct site_process. */
 void site_relays_follow (void *ctx, const struct dff_name *address, int32_t n_relays);
 void site_relays_set_limit (void *ctx, int32_t n_relays);
 
--- a/tests/holder/site_workers.c
+++ b/tests/holder/site_workers.c
@@ -117,8 +117,7 @@
 	dff_memory_runner_kill (site->runner, id.data);
 }
 
-/* Sets the time from which a worker reports a start as a violation: its data centre is evacuated.
- */
+/* Sets the time from which a worker of an evacuated data centre reports starts as violations. */
 static void
 set_start_deadline (struct site *site, int index)
 {
--- a/tests/holder/test-holder-evacuation.c
+++ b/tests/holder/test-holder-evacuation.c
@@ -191,8 +191,7 @@
 	site_evacuate (&site, SECOND, true);
 	assert_int_not_equal (site_wait_for_state (&site, "1", "completed", 8000), -1);
 	assert_int_equal (dff_memory_runner_n_starts (site.runner, "1"), SITE_WORKERS);
-	/* All data centres are evacuated: a new job waits and starts when a request is withdrawn.
-	 */
+	/* All data centres are evacuated: a new job waits until a request is withdrawn. */
 	assert_int_equal (count_starts (&site, "a", 2), 0);
 	assert_string_equal (site_state (&site, 0, "a"), "queued");
 	site_evacuate (&site, SECOND, false);
--- a/tests/holder/test-holder-lives.c
+++ b/tests/holder/test-holder-lives.c
@@ -23,8 +23,7 @@
 	int32_t between_ms;
 	/** Accelerators of the next incarnation; 0: unchanged. */
 	int32_t accelerators;
-	/** Delay with which the next orders, which are not answered, are executed, ms; 0: no delay.
-	 */
+	/** Delay of the next orders, which are not answered and executed late, ms; 0: no delay. */
 	int32_t late_ms;
 	/** Whether the worker has announced that it leaves. */
 	bool leaves;
--- a/tests/relay/test-relay.c
+++ b/tests/relay/test-relay.c
@@ -555,8 +555,7 @@
 	test->server = dff_stream_accept (test->base, fd, &handlers);
 }
 
-/* Messages of any length arrive whole and in order, and closing one end is reported to the other.
- */
+/* Messages of any length arrive whole and in order; closing one end is reported to the other. */
 static void
 test_stream_keeps_messages_whole (void **state)
 {
