--- a/tests/holder/test-holder-seeds.c
+++ b/tests/holder/test-holder-seeds.c
@@ -34,7 +34,7 @@
 static const guint failed_seeds_with_failures[] = {8, 130, 148, 187};
 
 /** Failed seeds with changes of capacity. All five: a worker got more tasks than its capacity
- * allows, because the holder had not received for long that the capacity had shrunk. */
+ * allows, because for a long time no report of its reduced capacity had reached the holder. */
 static const guint failed_seeds_with_rooms[] = {122, 129, 251, 297, 299};
 
 /** Failed seeds with restarts under the same id. 40: a failed run was not counted, because the
@@ -56,8 +56,9 @@
 
 enum variant {
 	DFF_VARIANT_PLAIN,
-	/** Paths between machines break as well: some processes receive no probes, and some workers
-	 * are reached by one process only, or by all but one. */
+	/** Paths between machines break as well: some processes receive no probes, some workers are
+	 * reached by one process only or by all but one, and some processes reach only one worker
+	 * and no store. */
 	DFF_VARIANT_PATHS,
 	/** As DFF_VARIANT_PATHS, with calls to workers through relays, which may become silent as
 	 * well. */
@@ -67,7 +68,7 @@
 	/** Operators request evacuations of data centres and withdraw them; no task may start there
 	 * from five seconds after a request. */
 	DFF_VARIANT_EVACUATIONS,
-	/** Gangs fail. The only other faults are those of the holder, its store and its worker
+	/** Gangs fail, and few faults occur except those of the holder, its store and its worker
 	 * reports: the holder is killed around each record of a failure and its acknowledgement. */
 	DFF_VARIANT_FAILURES,
 	/** Some tasks crash the workers that start them. */
