--- a/core/check.c
+++ b/core/check.c
@@ -55,8 +55,8 @@
 	/* A pool that shrank may leave running work over the new capacity until it ends. */
 	if (worker->rack == DFF_CORE_NONE || worker->overloaded)
 		return NULL;
-	struct dff_resources room = dff_resources_less (&worker->capacity, &worker->used);
-	if (!dff_resources_covered (&room))
+	struct dff_resources available = dff_resources_less (&worker->capacity, &worker->used);
+	if (!dff_resources_covered (&available))
 		return g_strdup_printf ("capacity exceeded: worker=%s", worker->name.data);
 	return NULL;
 }
@@ -92,7 +92,7 @@
 			continue;
 		struct dff_resources bound = job->per_task;
 		if (job->hold == DFF_CORE_HOLD_CLAIM)
-			bound = dff_core_beyond_units (dff_core_worker_at (core, member->worker),
+			bound = dff_core_beyond_share (dff_core_worker_at (core, member->worker),
 						       job);
 		dff_resources_add (&tally->bound, &bound, 1);
 	}
@@ -147,9 +147,9 @@
 		return g_strdup_printf ("bound resources miscounted: worker=%s", worker->name.data);
 	if (!dff_resources_equal (&worker->reserved, &tally->reserved))
 		return g_strdup_printf ("reservations miscounted: worker=%s", worker->name.data);
-	struct dff_resources room = dff_resources_less (&worker->capacity, &worker->bound);
+	struct dff_resources available = dff_resources_less (&worker->capacity, &worker->bound);
 	if (!core->witness_dirty && dff_core_worker_usable (worker) && !worker->overloaded &&
-	    !dff_resources_covered (&room))
+	    !dff_resources_covered (&available))
 		return g_strdup_printf ("bound beyond capacity: worker=%s", worker->name.data);
 	return NULL;
 }
--- a/core/claim.c
+++ b/core/claim.c
@@ -14,7 +14,7 @@
 }
 
 struct dff_resources
-dff_core_beyond_units (const struct dff_core_worker *worker, const struct dff_core_job *job)
+dff_core_beyond_share (const struct dff_core_worker *worker, const struct dff_core_job *job)
 {
 	struct dff_resources share = dff_core_worker_share (worker, job->per_task.accelerators);
 	struct dff_resources rest = dff_resources_less (&job->per_task, &share);
@@ -41,7 +41,7 @@
 	g_assert (part != NULL && part->claimed + job->per_task.accelerators <= part->count);
 	part->claimed += job->per_task.accelerators;
 	shape->claimed += job->per_task.accelerators;
-	struct dff_resources rest = dff_core_beyond_units (worker, job);
+	struct dff_resources rest = dff_core_beyond_share (worker, job);
 	dff_resources_add (&worker->bound, &rest, 1);
 }
 
@@ -63,7 +63,7 @@
 	struct dff_core_part *part = find_part (shape, dff_core_find_worker (core, &worker->name));
 	part->claimed -= job->per_task.accelerators;
 	shape->claimed -= job->per_task.accelerators;
-	struct dff_resources rest = dff_core_beyond_units (worker, job);
+	struct dff_resources rest = dff_core_beyond_share (worker, job);
 	dff_resources_add (&worker->bound, &rest, -1);
 	if (!dff_core_worker_usable (worker) || shape->packed < shape->size)
 		core->witness_dirty = true;
@@ -86,13 +86,14 @@
 		core->witness_dirty = true;
 }
 
-/* Members that a home can hold, cheapest first. Returns: work lost, or -1 when it can't hold them.
+/* Members that a former can hold, cheapest first. Returns: work lost, or -1 when it can't hold
+ * them.
  */
 static int64_t
-home_cost (const struct dff_core *core,
-	   const struct dff_core_job *job,
-	   const GArray *parts,
-	   int32_t *workers)
+placement_cost (const struct dff_core *core,
+		const struct dff_core_job *job,
+		const GArray *parts,
+		int32_t *workers)
 {
 	g_autoptr (GArray) candidates =
 		g_array_new (FALSE, FALSE, sizeof (struct dff_core_candidate));
@@ -101,16 +102,19 @@
 		const struct dff_core_worker *worker = dff_core_worker_at (core, part->worker);
 		if (!dff_core_worker_usable (worker))
 			continue;
-		struct dff_resources rest = dff_core_beyond_units (worker, job);
-		struct dff_resources room = dff_resources_less (&worker->capacity, &worker->bound);
+		struct dff_resources rest = dff_core_beyond_share (worker, job);
+		struct dff_resources available =
+			dff_resources_less (&worker->capacity, &worker->bound);
 		int32_t fits = (part->count - part->claimed) / job->per_task.accelerators;
-		fits = dff_resources_fits (&room, &rest, MIN (fits, job->gang));
-		struct dff_core_candidate candidate = {
-			.worker = part->worker, .fits = fits, .room = part->count - part->claimed};
+		fits = dff_resources_fits (&available, &rest, MIN (fits, job->gang));
+		struct dff_core_candidate candidate = {.worker = part->worker,
+						       .fits = fits,
+						       .accelerators_left =
+							       part->count - part->claimed};
 		if (fits > 0)
 			g_array_append_val (candidates, candidate);
 	}
-	return dff_core_choose (core, job, candidates, workers);
+	return dff_core_choose_workers (core, job, candidates, workers);
 }
 
 struct claim_search {
@@ -121,14 +125,14 @@
 	int32_t slack;
 	/** Shape that swaps homes with @shape; DFF_CORE_NONE: none. */
 	int32_t swap;
-	/** Whether @parts is a new home. */
+	/** Whether @parts is a new former. */
 	bool moves;
 	GArray *parts;
 	int32_t *workers;
 };
 
 static bool
-home_in_region (const struct claim_search *search, const GArray *parts)
+parts_in_region (const struct claim_search *search, const GArray *parts)
 {
 	if (search->job->region == DFF_CORE_NONE)
 		return true;
@@ -142,7 +146,7 @@
 	return true;
 }
 
-/* Takes a home as the best so far when it leaves less of the shape unclaimed, or the same at less
+/* Takes a former as the best so far when it leaves less of the shape unclaimed, or the same at less
  * cost: small claims spread over several shapes would leave none whole for the team's gangs. */
 static bool
 consider (struct claim_search *search, int32_t shape_index, const GArray *parts)
@@ -150,9 +154,9 @@
 	int32_t workers[DFF_GANG_MAX];
 	const struct dff_core_shape *shape = dff_core_shape_at (search->core, shape_index);
 	int32_t slack = shape->size - shape->claimed - dff_core_job_accelerators (search->job);
-	if (!home_in_region (search, parts))
+	if (!parts_in_region (search, parts))
 		return false;
-	int64_t cost = home_cost (search->core, search->job, parts, workers);
+	int64_t cost = placement_cost (search->core, search->job, parts, workers);
 	if (cost < 0 || slack > search->slack || (slack == search->slack && cost >= search->cost))
 		return false;
 	search->cost = cost;
@@ -167,7 +171,7 @@
 
 /* Whether the best so far is in this shape and costs nothing: there is none better. */
 static bool
-is_settled (const struct claim_search *search, int32_t shape_index)
+is_optimal (const struct claim_search *search, int32_t shape_index)
 {
 	return search->shape == shape_index && search->cost == 0;
 }
@@ -181,16 +185,16 @@
 				    MIN (times, search->job->gang));
 }
 
-/* Other racks as the home of a shape that nobody claims. */
+/* Other racks as the former of a shape that nobody claims. */
 static void
 consider_racks (struct claim_search *search, int32_t shape_index)
 {
 	struct dff_core_shape *shape = dff_core_shape_at (search->core, shape_index);
-	g_autoptr (GArray) home = g_array_new (FALSE, TRUE, sizeof (struct dff_core_part));
+	g_autoptr (GArray) former = g_array_new (FALSE, TRUE, sizeof (struct dff_core_part));
 	g_autoptr (GArray) trial = g_array_new (FALSE, TRUE, sizeof (struct dff_core_part));
-	g_array_append_vals (home, shape->parts->data, shape->parts->len);
+	g_array_append_vals (former, shape->parts->data, shape->parts->len);
 	dff_core_shape_unpack (search->core, shape);
-	for (guint i = 0; i < search->core->racks->len && !is_settled (search, shape_index); i++) {
+	for (guint i = 0; i < search->core->racks->len && !is_optimal (search, shape_index); i++) {
 		const struct dff_core_rack *rack = dff_core_rack_at (search->core, (int32_t)i);
 		if (shape->region != DFF_CORE_NONE && shape->region != rack->region)
 			continue;
@@ -203,7 +207,7 @@
 		g_array_set_size (search->parts, 0);
 		g_array_append_vals (search->parts, trial->data, trial->len);
 	}
-	dff_core_shape_settle (search->core, shape, home);
+	dff_core_shape_set_parts (search->core, shape, former);
 }
 
 /* Homes of other shapes of the same size that nobody claims: both keep a witness after a swap. */
@@ -212,7 +216,7 @@
 {
 	const struct dff_core_shape *shape = dff_core_shape_at (search->core, shape_index);
 	for (int32_t i = 0;
-	     i < (int32_t)search->core->shapes->len && !is_settled (search, shape_index); i++) {
+	     i < (int32_t)search->core->shapes->len && !is_optimal (search, shape_index); i++) {
 		const struct dff_core_shape *other = dff_core_shape_at (search->core, i);
 		if (i == shape_index || other->size != shape->size || other->claimed > 0 ||
 		    other->region != shape->region || other->packed < other->size)
@@ -241,11 +245,11 @@
 }
 
 static void
-move_homes (struct claim_search *search)
+move_witness (struct claim_search *search)
 {
 	struct dff_core_shape *shape = dff_core_shape_at (search->core, search->shape);
 	if (search->moves) {
-		dff_core_shape_settle (search->core, shape, search->parts);
+		dff_core_shape_set_parts (search->core, shape, search->parts);
 		return;
 	}
 	if (search->swap == DFF_CORE_NONE)
@@ -284,7 +288,7 @@
 	}
 	if (search.shape == DFF_CORE_NONE)
 		return false;
-	move_homes (&search);
+	move_witness (&search);
 	*shape = search.shape;
 	return true;
 }
@@ -327,7 +331,7 @@
 		return false;
 	g_autoptr (GArray) parts = g_array_new (FALSE, TRUE, sizeof (struct dff_core_part));
 	parts_of_job (job, parts);
-	dff_core_shape_settle (core, dff_core_shape_at (core, best), parts);
+	dff_core_shape_set_parts (core, dff_core_shape_at (core, best), parts);
 	job->shape = best;
 	core->witness_dirty = true;
 	return true;
@@ -349,7 +353,7 @@
 {
 	for (guint i = 0; i < core->workers->len; i++) {
 		dff_core_worker_at (core, (int32_t)i)->bound = (struct dff_resources){0};
-		dff_core_worker_at (core, (int32_t)i)->homes = (struct dff_resources){0};
+		dff_core_worker_at (core, (int32_t)i)->witnesses = (struct dff_resources){0};
 	}
 	GHashTableIter iter;
 	gpointer value;
@@ -360,5 +364,5 @@
 			rebind (core, job);
 	}
 	for (guint i = 0; i < core->workers->len; i++)
-		dff_core_worker_note_overload (dff_core_worker_at (core, (int32_t)i));
+		dff_core_worker_update_overload (dff_core_worker_at (core, (int32_t)i));
 }
--- a/core/core.c
+++ b/core/core.c
@@ -5,15 +5,15 @@
 #define DEFAULT_START_TIMEOUT_MS 15000
 /* 4.3 s for urgent work, less deciding, recording, stopping and starting. */
 #define DEFAULT_CHECKPOINT_GRACE_MS 2500
-#define DEFAULT_MAX_GUARDS 1
-#define DEFAULT_STALL_LOSS_MS 60000
+#define DEFAULT_MAX_RACK_RESERVATIONS 1
+#define DEFAULT_STALL_RESTART_MAX_MS 60000
 /** It is taken again from its checkpoint, after grace and restart. */
 #define DEFAULT_CHECKPOINT_LOSS_MS 5000
 /** A backstop: keeping racks earlier cost more than it gave where jobs run for hours. */
-#define DEFAULT_GUARD_AFTER_MS 28800000
-#define DEFAULT_GUARD_GRACE_MS 600000
+#define DEFAULT_RACK_RESERVATION_DELAY_MS 28800000
+#define DEFAULT_RACK_RESERVATION_GRACE_MS 600000
 /** Accelerators that count as a whole piece where no team has a guarantee. */
-#define DEFAULT_ADJACENT_UNIT 8
+#define DEFAULT_LARGEST_RACK_SHAPE 8
 
 void
 dff_core_options_init (struct dff_core_options *options)
@@ -31,11 +31,11 @@
 	options->rack_wait_ms = 0;
 	options->urgent_rack_wait_ms = 0;
 	options->low_load_wait_ms = 0;
-	options->rack_reservation_delay_ms = DEFAULT_GUARD_AFTER_MS;
-	options->rack_reservation_grace_ms = DEFAULT_GUARD_GRACE_MS;
-	options->max_rack_reservations = DEFAULT_MAX_GUARDS;
+	options->rack_reservation_delay_ms = DEFAULT_RACK_RESERVATION_DELAY_MS;
+	options->rack_reservation_grace_ms = DEFAULT_RACK_RESERVATION_GRACE_MS;
+	options->max_rack_reservations = DEFAULT_MAX_RACK_RESERVATIONS;
 	options->checkpoint_loss_ms = DEFAULT_CHECKPOINT_LOSS_MS;
-	options->stall_restart_max_ms = DEFAULT_STALL_LOSS_MS;
+	options->stall_restart_max_ms = DEFAULT_STALL_RESTART_MAX_MS;
 	options->headroom_decay_ms = 0;
 	options->headroom_wait_ratio = 0.0;
 	options->evict_work_ratio = 0.0;
@@ -68,10 +68,10 @@
 	core->jobs = g_hash_table_new (dff_name_hash, dff_name_equal_func);
 	core->classes = dff_core_classes_new ();
 	core->estimators = dff_core_estimators_new ();
-	dff_core_pace_init (core);
+	dff_core_durations_init (core);
 	core->pending = array_new (sizeof (struct dff_command), NULL);
-	core->adjacent_unit = DEFAULT_ADJACENT_UNIT;
-	core->max_guards = options->max_rack_reservations;
+	core->largest_rack_shape = DEFAULT_LARGEST_RACK_SHAPE;
+	core->max_rack_reservations = options->max_rack_reservations;
 	return core;
 }
 
@@ -90,7 +90,7 @@
 	g_hash_table_unref (core->jobs);
 	g_hash_table_unref (core->classes);
 	g_hash_table_unref (core->estimators);
-	g_hash_table_unref (core->cohorts);
+	g_hash_table_unref (core->peer_groups);
 	g_hash_table_unref (core->worker_index);
 	g_hash_table_unref (core->team_index);
 	g_array_unref (core->workers);
@@ -122,7 +122,7 @@
 }
 
 static void
-add_rack (struct dff_core *core, const struct dff_rack *declared, int32_t set_aside)
+add_rack (struct dff_core *core, const struct dff_rack *declared, int32_t dedicated_slots)
 {
 	int32_t index = (int32_t)core->racks->len;
 	g_array_set_size (core->racks, core->racks->len + 1);
@@ -137,8 +137,8 @@
 		struct dff_core_worker *worker = dff_core_worker_at (core, worker_index);
 		worker->rack = index;
 		set_traits (core, worker, declared, i);
-		worker->capacity.slots -= set_aside;
-		dff_core_worker_note_overload (worker);
+		worker->capacity.slots -= dedicated_slots;
+		dff_core_worker_update_overload (worker);
 		dff_resources_add (&core->total, &worker->capacity, 1);
 		g_array_append_val (rack->workers, worker_index);
 	}
@@ -150,13 +150,14 @@
 {
 	/* Racks that are kept go with the racks: their gangs ask again. */
 	for (guint i = 0; i < core->racks->len; i++) {
-		if (dff_core_rack_at (core, (int32_t)i)->guard != NULL)
-			dff_core_unguard (core, dff_core_rack_at (core, (int32_t)i)->guard);
+		if (dff_core_rack_at (core, (int32_t)i)->reserved_for != NULL)
+			dff_core_release_racks (core,
+						dff_core_rack_at (core, (int32_t)i)->reserved_for);
 	}
 	for (guint i = 0; i < core->workers->len; i++)
 		dff_core_worker_at (core, (int32_t)i)->rack = DFF_CORE_NONE;
 	g_array_set_size (core->racks, 0);
-	core->n_guards = 0;
+	core->n_rack_reservations = 0;
 	core->total = (struct dff_resources){0};
 	for (guint i = 0; i < pool->racks->len; i++) {
 		const struct dff_rack *rack = &g_array_index (pool->racks, struct dff_rack, i);
@@ -185,7 +186,7 @@
 }
 
 static const char *
-refusal (const struct dff_core *core, const struct dff_core_job *job)
+rejection_reason (const struct dff_core *core, const struct dff_core_job *job)
 {
 	if (core->options.retry_without_limit)
 		return NULL;
@@ -202,9 +203,9 @@
 }
 
 static void
-refuse_class (struct dff_core *core, struct dff_core_class *queue_class)
+end_class_if_rejected (struct dff_core *core, struct dff_core_class *queue_class)
 {
-	const char *reason = refusal (core, queue_class->jobs.head->data);
+	const char *reason = rejection_reason (core, queue_class->jobs.head->data);
 	if (reason == NULL)
 		return;
 	/* The class goes with its last job. */
@@ -218,15 +219,15 @@
 /* A new pool may make queued jobs impossible: they end now instead of waiting for ever. Judged once
  * for all that are alike, because a hundred thousand may wait when a pool file is applied. */
 static void
-refuse_queued (struct dff_core *core)
+end_rejected_jobs (struct dff_core *core)
 {
 	g_autoptr (GList) classes = g_hash_table_get_values (core->classes);
 	for (GList *link = classes; link != NULL; link = link->next)
-		refuse_class (core, link->data);
+		end_class_if_rejected (core, link->data);
 	GList *next = NULL;
 	for (GList *link = core->delayed.head; link != NULL; link = next) {
 		next = link->next;
-		const char *reason = refusal (core, link->data);
+		const char *reason = rejection_reason (core, link->data);
 		if (reason != NULL)
 			dff_core_job_give_up (core, link->data, reason);
 	}
@@ -241,7 +242,7 @@
 		dff_core_team_at (core, (int32_t)i)->declared = false;
 	for (guint i = 0; i < pool->teams->len; i++)
 		set_team (core, &g_array_index (pool->teams, struct dff_team, i));
-	core->adjacent_unit = dff_pool_largest_rack_shape (pool);
+	core->largest_rack_shape = dff_pool_largest_rack_shape (pool);
 	core->policy = dff_core_policy_from (&pool->weights);
 	if (core->options.ageing_ms > 0.0) {
 		core->policy.ageing_ms = core->options.ageing_ms;
@@ -251,7 +252,7 @@
 	dff_core_rebind_all (core);
 	dff_core_cover_all (core);
 	core->dirty = true;
-	refuse_queued (core);
+	end_rejected_jobs (core);
 }
 
 struct dff_admission
@@ -272,7 +273,7 @@
 		return (struct dff_admission){.reason = "never_runnable"};
 	if (!dff_name_is_empty (&spec->region) && job.region == DFF_CORE_NONE)
 		return (struct dff_admission){.reason = "unknown_region"};
-	const char *reason = refusal (core, &job);
+	const char *reason = rejection_reason (core, &job);
 	if (reason != NULL)
 		return (struct dff_admission){.reason = reason};
 	const struct dff_core_team *team = dff_core_team_at (core, job.team);
@@ -282,15 +283,15 @@
 }
 
 void
-dff_core_job_queue_or_refuse (struct dff_core *core,
+dff_core_job_queue_or_reject (struct dff_core *core,
 			      struct dff_core_job *job,
 			      const struct dff_job_spec *spec)
 {
-	const char *reason = refusal (core, job);
+	const char *reason = rejection_reason (core, job);
 	if (!dff_name_is_empty (&spec->region) && job->region == DFF_CORE_NONE)
 		reason = "unknown_region";
-	if (dff_core_job_is_hopeless (core, job))
-		dff_core_job_end_hopeless (core, job);
+	if (dff_core_job_exceeds_blame_limit (core, job))
+		dff_core_job_end_blamed (core, job);
 	else if (reason != NULL)
 		dff_core_job_give_up (core, job, reason);
 	else
@@ -318,7 +319,7 @@
 		dff_core_job_recover (core, event->spec, event->recovered);
 		return;
 	}
-	dff_core_job_queue_or_refuse (core, dff_core_job_add (core, event->spec), event->spec);
+	dff_core_job_queue_or_reject (core, dff_core_job_add (core, event->spec), event->spec);
 }
 
 static void
@@ -339,15 +340,15 @@
 	int32_t index = dff_core_find_worker (core, &event->worker);
 	if (index == DFF_CORE_NONE)
 		return;
-	dff_core_worker_suspect (core, index);
-	g_autoptr (GPtrArray) tenants =
-		g_ptr_array_copy (dff_core_worker_at (core, index)->tenants, NULL, NULL);
-	for (guint i = 0; i < tenants->len; i++) {
-		struct dff_core_job *tenant = g_ptr_array_index (tenants, i);
-		if (tenant->hold == DFF_CORE_HOLD_SOFT && tenant->state == DFF_CORE_RUNNING &&
-		    (tenant->checkpoint ||
-		     core->now_ms - tenant->started_ms <= core->options.stall_restart_max_ms))
-			dff_core_job_preempt (core, tenant, DFF_CORE_PREEMPT_WORKER_STALLED);
+	dff_core_worker_try_quarantine (core, index);
+	g_autoptr (GPtrArray) occupants =
+		g_ptr_array_copy (dff_core_worker_at (core, index)->occupants, NULL, NULL);
+	for (guint i = 0; i < occupants->len; i++) {
+		struct dff_core_job *occupant = g_ptr_array_index (occupants, i);
+		if (occupant->hold == DFF_CORE_HOLD_SOFT && occupant->state == DFF_CORE_RUNNING &&
+		    (occupant->checkpoint ||
+		     core->now_ms - occupant->started_ms <= core->options.stall_restart_max_ms))
+			dff_core_job_preempt (core, occupant, DFF_CORE_PREEMPT_WORKER_STALLED);
 	}
 }
 
@@ -370,7 +371,7 @@
 		return;
 	default:
 		if (job->members != NULL && event->member >= 0 && event->member < job->gang)
-			dff_core_member_event (core, job, event);
+			dff_core_handle_member_event (core, job, event);
 		return;
 	}
 }
@@ -392,10 +393,10 @@
 		handle_worker_event (core, event);
 		return;
 	case DFF_EVENT_WORKER_RESTARTED:
-		dff_core_worker_renew (core, &event->worker);
+		dff_core_worker_handle_restart (core, &event->worker);
 		return;
 	case DFF_EVENT_TASK_DURATION:
-		dff_core_note_pace (core, event);
+		dff_core_handle_duration (core, event);
 		return;
 	case DFF_EVENT_WORKER_STALLED:
 		handle_worker_stalled (core, event);
@@ -412,11 +413,11 @@
 	core->now_ms = now_ms;
 	dff_core_run_deadlines (core);
 	dff_core_run_quarantine (core);
-	dff_core_run_pace (core);
+	dff_core_run_durations (core);
 	dff_core_run_delayed (core);
 	dff_core_run_witnesses (core);
 	dff_core_run_reserved (core);
-	dff_core_run_guards (core);
+	dff_core_run_rack_reservations (core);
 	dff_core_run_headroom (core);
 	dff_core_run_queue (core);
 	dff_core_run_defrag (core);
--- a/core/core_private.h
+++ b/core/core_private.h
@@ -17,13 +17,13 @@
 struct dff_resources dff_resources_min (const struct dff_resources *a,
 					const struct dff_resources *b);
 
-/** Returns: how many times @need goes into @room, at most @limit, 0 when not once. */
-int32_t dff_resources_fits (const struct dff_resources *room,
+/** Returns: how many times @need goes into @available, at most @limit, 0 when not once. */
+int32_t dff_resources_fits (const struct dff_resources *available,
 			    const struct dff_resources *need,
 			    int32_t limit);
 
-/** Whether no member of @room is negative. */
-bool dff_resources_covered (const struct dff_resources *room);
+/** Whether no member of @available is negative. */
+bool dff_resources_covered (const struct dff_resources *available);
 
 bool dff_resources_equal (const struct dff_resources *a, const struct dff_resources *b);
 
@@ -61,7 +61,7 @@
 void dff_core_job_clear_attempt (struct dff_core_job *job);
 
 /** Whether a worker takes starts: it is up, if only for a probe. */
-bool dff_core_worker_answers (const struct dff_core_worker *worker);
+bool dff_core_worker_accepts_starts (const struct dff_core_worker *worker);
 
 /** Whether a worker may be given new work. */
 bool dff_core_worker_usable (const struct dff_core_worker *worker);
@@ -77,7 +77,7 @@
 void dff_core_unlease (struct dff_core *core, struct dff_core_job *job, int32_t member);
 
 /** Notes whether a worker holds more than its capacity, where that can't be helped. */
-void dff_core_worker_note_overload (struct dff_core_worker *worker);
+void dff_core_worker_update_overload (struct dff_core_worker *worker);
 
 /** Recomputes the summary of a rack. */
 void dff_core_rack_summarise (struct dff_core *core, int32_t rack);
@@ -90,19 +90,19 @@
 void dff_core_job_set_blame (struct dff_core *core, struct dff_core_job *job, int32_t blame);
 
 /** Whether a job is to be placed where least else runs. */
-bool dff_core_job_is_apart (const struct dff_core *core, const struct dff_core_job *job);
+bool dff_core_job_is_isolated (const struct dff_core *core, const struct dff_core_job *job);
 
 /** Whether a job may be placed on a worker, for what else is on trial there. */
-bool dff_core_apart_allows (const struct dff_core *core,
-			    const struct dff_core_worker *worker,
-			    const struct dff_core_job *job);
+bool dff_core_isolation_allows (const struct dff_core *core,
+				const struct dff_core_worker *worker,
+				const struct dff_core_job *job);
 
 /** Returns: what a worker is chosen by for a job, least first, where @left is what it has left by
  * best fit. */
-int32_t dff_core_apart_order (const struct dff_core *core,
-			      const struct dff_core_worker *worker,
-			      const struct dff_core_job *job,
-			      int32_t left);
+int32_t dff_core_isolation_order (const struct dff_core *core,
+				  const struct dff_core_worker *worker,
+				  const struct dff_core_job *job,
+				  int32_t left);
 
 /* lifecycle.c */
 
@@ -130,9 +130,9 @@
 void dff_core_attempt_refused (struct dff_core *core, struct dff_core_job *job);
 
 /** Takes a task's event in. @member is in range. */
-void dff_core_member_event (struct dff_core *core,
-			    struct dff_core_job *job,
-			    const struct dff_event *event);
+void dff_core_handle_member_event (struct dff_core *core,
+				   struct dff_core_job *job,
+				   const struct dff_event *event);
 
 void dff_core_job_cancel (struct dff_core *core, struct dff_core_job *job);
 
@@ -161,7 +161,7 @@
 /* outcome.c */
 
 /** Decides what becomes of a job whose attempt has no open member. */
-void dff_core_attempt_over (struct dff_core *core, struct dff_core_job *job);
+void dff_core_attempt_finish (struct dff_core *core, struct dff_core_job *job);
 
 void dff_core_job_end (struct dff_core *core,
 		       struct dff_core_job *job,
@@ -169,10 +169,10 @@
 		       const char *reason);
 
 /** Returns: whether too many workers have ended under it. */
-bool dff_core_job_is_hopeless (const struct dff_core *core, const struct dff_core_job *job);
+bool dff_core_job_exceeds_blame_limit (const struct dff_core *core, const struct dff_core_job *job);
 
 /** Ends a job that is hopeless and holds no attempt. */
-void dff_core_job_end_hopeless (struct dff_core *core, struct dff_core_job *job);
+void dff_core_job_end_blamed (struct dff_core *core, struct dff_core_job *job);
 
 /** Ends a job that holds no attempt: not_run when nothing of it ever ran, else failed. */
 void dff_core_job_give_up (struct dff_core *core, struct dff_core_job *job, const char *reason);
@@ -180,7 +180,7 @@
 /* core.c */
 
 /** Queues a new job, or ends it at once when it can never run. */
-void dff_core_job_queue_or_refuse (struct dff_core *core,
+void dff_core_job_queue_or_reject (struct dff_core *core,
 				   struct dff_core_job *job,
 				   const struct dff_job_spec *spec);
 
@@ -231,18 +231,18 @@
 
 /** Keeps racks for a gang that waits: the ones that come free first.
  * Returns: whether they were not kept before. */
-bool dff_core_guard (struct dff_core *core, struct dff_core_job *job);
+bool dff_core_reserve_racks (struct dff_core *core, struct dff_core_job *job);
 
 /** Lets go of the racks kept for gangs that wait no longer. */
-void dff_core_run_guards (struct dff_core *core);
+void dff_core_run_rack_reservations (struct dff_core *core);
 
 /** Lets go of the racks kept for @job. */
-void dff_core_unguard (struct dff_core *core, struct dff_core_job *job);
+void dff_core_release_racks (struct dff_core *core, struct dff_core_job *job);
 
 /** Whether a rack is kept for another job that @job would hold up. */
-bool dff_core_rack_is_kept (const struct dff_core *core,
-			    const struct dff_core_rack *rack,
-			    const struct dff_core_job *job);
+bool dff_core_rack_is_reserved (const struct dff_core *core,
+				const struct dff_core_rack *rack,
+				const struct dff_core_job *job);
 
 /* headroom.c */
 
@@ -283,7 +283,7 @@
 						   const struct dff_job_spec *spec);
 
 /** Takes in how long a completed job ran. */
-void dff_core_estimate_learn (struct dff_core_job *job, int64_t run_ms);
+void dff_core_estimate_update (struct dff_core_job *job, int64_t run_ms);
 
 /** Predicts how long a job runs from what is known now. */
 void dff_core_estimate (struct dff_core_job *job);
@@ -304,10 +304,10 @@
 void dff_core_note_failure (struct dff_core *core, struct dff_core_job *job, int32_t worker);
 
 /** Puts a worker into quarantine whatever it did before, unless too many are. */
-void dff_core_worker_suspect (struct dff_core *core, int32_t worker);
+void dff_core_worker_try_quarantine (struct dff_core *core, int32_t worker);
 
 /** A worker is another one under the same name. */
-void dff_core_worker_renew (struct dff_core *core, const struct dff_name *id);
+void dff_core_worker_handle_restart (struct dff_core *core, const struct dff_name *id);
 
 /** A run that began at @started_ms has completed on a worker. */
 void dff_core_note_success (struct dff_core *core, int32_t worker, int64_t started_ms);
@@ -343,12 +343,12 @@
 	/** Every declared worker as if it were up and empty. */
 	DFF_CORE_VIEW_EMPTY,
 	/** The same, less the homes of shapes. */
-	DFF_CORE_VIEW_HOMELESS,
+	DFF_CORE_VIEW_EMPTY_LESS_WITNESSES,
 };
 
 /**
  * dff_core_place:
- * @workers: (out): room for job->gang indices
+ * @workers: (out): available for job->gang indices
  *
  * Returns: whether every member fits; @workers then tells where.
  */
@@ -358,10 +358,10 @@
 		     int32_t *workers);
 
 /** Returns: what @view leaves of a worker for @job. */
-struct dff_resources dff_core_worker_room (const struct dff_core *core,
-					   const struct dff_core_worker *worker,
-					   const struct dff_core_job *job,
-					   enum dff_core_view view);
+struct dff_resources dff_core_worker_available (const struct dff_core *core,
+						const struct dff_core_worker *worker,
+						const struct dff_core_job *job,
+						enum dff_core_view view);
 
 /** Returns: accelerators to lease on a worker for one member: the lowest free ones. */
 uint64_t dff_core_pick_accelerators (const struct dff_core_worker *worker, int32_t count);
@@ -382,20 +382,20 @@
 
 /** Moves unclaimed shapes off workers that are bound beyond their capacity.
  * Returns: false, with nothing moved, when some shape would not fit any more. */
-bool dff_core_witness_make_room (struct dff_core *core);
+bool dff_core_relocate_witnesses (struct dff_core *core);
 
 /** Gives a shape's parts back. */
 void dff_core_shape_unpack (struct dff_core *core, struct dff_core_shape *shape);
 
 /** Makes @parts the shape's home. */
 void
-dff_core_shape_settle (struct dff_core *core, struct dff_core_shape *shape, const GArray *parts);
+dff_core_shape_set_parts (struct dff_core *core, struct dff_core_shape *shape, const GArray *parts);
 
 /** Orders a rack's workers for packing: lower first. */
 typedef int64_t (*dff_core_worker_cost_func) (const struct dff_core_worker *worker,
 					      const void *user);
 
-/** Packs @size accelerators into one rack's unbound room. @parts: (out). */
+/** Packs @size accelerators into one rack's unbound available. @parts: (out). */
 bool dff_core_pack_rack (const struct dff_core *core,
 			 int32_t rack,
 			 int32_t size,
@@ -417,7 +417,7 @@
 /* claim.c */
 
 /** Returns: what a member needs beyond the units that its shape has bound for it already. */
-struct dff_resources dff_core_beyond_units (const struct dff_core_worker *worker,
+struct dff_resources dff_core_beyond_share (const struct dff_core_worker *worker,
 					    const struct dff_core_job *job);
 
 /** Binds the members of a job that is about to hold its workers, by job->hold. */
@@ -452,25 +452,25 @@
 	/** Members it may hold. */
 	int32_t fits;
 	/** Accelerators left for more: of equal workers, the one with fewest is filled first. */
-	int32_t room;
+	int32_t accelerators_left;
 	/** Work lost when it holds that many. */
 	int64_t cost;
 };
 
 /** Spreads a job's members over @candidates, cheapest first. Reorders them.
  * Returns: work lost, or -1 when they do not all fit. */
-int64_t dff_core_choose (const struct dff_core *core,
-			 const struct dff_core_job *job,
-			 GArray *candidates,
-			 int32_t *workers);
+int64_t dff_core_choose_workers (const struct dff_core *core,
+				 const struct dff_core_job *job,
+				 GArray *candidates,
+				 int32_t *workers);
 
-/** Whether @job may take the place of @tenant. */
+/** Whether @job may take the place of @occupant. */
 bool dff_core_may_evict (const struct dff_core *core,
 			 const struct dff_core_job *job,
-			 struct dff_core_job *tenant);
+			 struct dff_core_job *occupant);
 
 /** Returns: what a job occupies while it runs, cores. */
-int64_t dff_core_job_weight (const struct dff_core *core, const struct dff_core_job *job);
+int64_t dff_core_job_footprint (const struct dff_core *core, const struct dff_core_job *job);
 
 /** Returns: work lost by preempting a job, core-ms. */
 int64_t dff_core_lost_work (const struct dff_core *core, const struct dff_core_job *job);
@@ -501,23 +501,23 @@
 
 /* pace.c */
 
-void dff_core_pace_init (struct dff_core *core);
+void dff_core_durations_init (struct dff_core *core);
 
 /** Takes in what a task takes on a worker. */
-void dff_core_note_pace (struct dff_core *core, const struct dff_event *event);
+void dff_core_handle_duration (struct dff_core *core, const struct dff_event *event);
 
-void dff_core_forget_pace (struct dff_core *core, int32_t worker);
+void dff_core_reset_durations (struct dff_core *core, int32_t worker);
 
 /** Judges all workers anew, every so often. */
-void dff_core_run_pace (struct dff_core *core);
+void dff_core_run_durations (struct dff_core *core);
 
 /** Returns: whether a worker is slower than a job is placed on for now. */
-bool dff_core_is_slower (const struct dff_core *core,
-			 const struct dff_core_worker *worker,
-			 const struct dff_core_job *job);
+bool dff_core_exceeds_duration_limit (const struct dff_core *core,
+				      const struct dff_core_worker *worker,
+				      const struct dff_core_job *job);
 
 /** Has a job be placed on quick workers only, on less quick ones with each call. Returns: false
  * when any worker will do. */
-bool dff_core_limit_pace (const struct dff_core *core, struct dff_core_job *job);
+bool dff_core_next_duration_limit (const struct dff_core *core, struct dff_core_job *job);
 
 #endif
--- a/core/core_tables.h
+++ b/core/core_tables.h
@@ -23,7 +23,7 @@
 
 /** Workers that may be looked at for victims between two reviews, urgent work aside, and placement
  * decisions that may do so. */
-#define DFF_CORE_EVICTION_LOOKS 4000
+#define DFF_CORE_EVICTION_SCANS_MAX 4000
 #define DFF_CORE_EVICTIONS_MAX 8
 /** Interval at which the queue is looked at again though nothing came free, ms. */
 #define DFF_CORE_REVIEW_MS 1000
@@ -58,7 +58,7 @@
 	 * @capacity on a usable worker, so that a claim always finds its place. */
 	struct dff_resources bound;
 	/** Of @bound, the homes of shapes. */
-	struct dff_resources homes;
+	struct dff_resources witnesses;
 	/** Bit i: accelerator i is leased. */
 	uint64_t leased;
 	/** Share of its region's accelerators on workers before it, 0 to 1: the last workers are
@@ -66,7 +66,7 @@
 	float headroom_rank;
 	enum dff_core_health health;
 	/** Different jobs that failed here since the last success. */
-	int32_t streak;
+	int32_t failure_streak;
 	/** Hash of the last of them; 0: none. */
 	guint last_failed;
 	/** Times in quarantine since it last was healthy. */
@@ -77,13 +77,13 @@
 	bool overlapping;
 	/** How long tasks are believed to take here, against the mean of all workers: thousandths
 	 * of the logarithm. */
-	int16_t pace;
+	int16_t relative_duration;
 	/** When a run failed here last; 0: never. */
 	int64_t failed_ms;
 	/** When its quarantine, or the wait for a probe, is over. */
 	int64_t health_due_ms;
 	/** Elements: struct dff_core_job *, one for each member that holds a lease here. */
-	GPtrArray *tenants;
+	GPtrArray *occupants;
 };
 
 struct dff_core_region {
@@ -104,8 +104,8 @@
 	int32_t label;
 	int32_t region;
 	/** (nullable): the waiting gang that is to have this rack next, and when it may. */
-	struct dff_core_job *guard;
-	int64_t guard_ms;
+	struct dff_core_job *reserved_for;
+	int64_t expected_free_ms;
 	/** Elements: int32_t, indices of workers. */
 	GArray *workers;
 	/** Free accelerators on workers that take new work. */
@@ -200,15 +200,15 @@
 	DFF_CORE_STOP_NONE,
 	DFF_CORE_STOP_CANCELLED,
 	DFF_CORE_STOP_PREEMPTED,
-	DFF_CORE_STOP_MEMBER, /**< Another member ended badly. */
+	DFF_CORE_STOP_MEMBER_ENDED, /**< Another member ended badly. */
 	DFF_CORE_STOP_START_TIMEOUT,
 	DFF_CORE_STOP_RECOVERY,
 };
 
 /** Why a job has to leave where it is. */
 enum dff_core_preempt_cause {
-	/** Others need the room. */
-	DFF_CORE_PREEMPT_ROOM,
+	/** Others need the available. */
+	DFF_CORE_PREEMPT_CAPACITY,
 	/** A whole piece comes free when it moves. */
 	DFF_CORE_PREEMPT_DEFRAG,
 	DFF_CORE_PREEMPT_WORKER_STALLED,
@@ -250,7 +250,7 @@
 	int32_t per_worker;
 	float weight;
 	/** How long its attempt takes by the progress last told, ms; 0: not told. */
-	int32_t told_ms;
+	int32_t projected_ms;
 
 	enum dff_core_state state;
 	bool cancelled;
@@ -261,9 +261,9 @@
 	 */
 	bool entitled;
 	/** Whether it is being placed on what is otherwise kept for others. */
-	bool unkept;
+	bool ignores_reservations;
 	/** Whether racks are kept for it. */
-	bool guarded;
+	bool has_reserved_racks;
 	/** Whether any attempt may have run. */
 	bool ever_ran;
 	/** Whether members of the attempt were let go to run. */
@@ -276,13 +276,13 @@
 	int32_t cover;
 	GList cover_link;
 	/** Whether it is in the account of covers. */
-	bool wants_cover;
+	bool cover_tracked;
 	/** 0 to DFF_CORE_PRIORITIES - 1. */
 	int8_t priority;
 	/** Points against it for workers that ended under it. */
 	int8_t blame;
 	/** Which limit of pace its workers have to keep as it is placed, from 1; 0: none. */
-	int8_t pace_limit;
+	int8_t duration_limit;
 	int32_t attempt;
 	/** Times that it was preempted after it may have run. */
 	int32_t preemptions;
@@ -334,9 +334,9 @@
 	int32_t urgent;
 	int32_t guaranteed;
 	int32_t idempotent;
-	int32_t level;
+	int32_t estimate_level;
 	/** Hash of what it asks of single workers: label, data, spread group, least else there. */
-	guint32 wants;
+	guint32 worker_constraints;
 };
 
 /** Queued jobs of one key, oldest first: only the head needs to be looked at. */
@@ -362,7 +362,7 @@
 	/** Work that a job without checkpoint may lose to a gang that racks are kept for, ms. */
 	double displace_loss_ms;
 	/** Whether jobs are moved to make whole pieces. */
-	bool moves;
+	bool moves_jobs;
 };
 
 struct dff_core {
@@ -386,14 +386,14 @@
 	/** Learned run times by team and service. */
 	GHashTable *estimators;
 	/** What tasks of a step have taken where: gint64 * to struct cohort. */
-	GHashTable *cohorts;
+	GHashTable *peer_groups;
 	/** Tasks in them. */
-	guint n_paces;
+	guint n_durations;
 	/** Variance of the workers' paces, and of what tasks of one step take on one worker, as
 	 * logarithms. */
-	float pace_variance;
+	float worker_variance;
 	float task_variance;
-	int64_t pace_review_ms;
+	int64_t duration_review_ms;
 	/** Queues by state; deadlines rise along each but @delayed. */
 	GQueue reserved;
 	GQueue starting;
@@ -410,15 +410,15 @@
 	int64_t review_ms;
 	int32_t evictions_left;
 	/** Whether the queue is run because something came free, not only to look for victims. */
-	bool fresh;
+	bool capacity_freed;
 	/** Jobs that are placed where least else runs. */
-	int32_t n_apart;
-	int32_t n_guards;
-	int32_t max_guards;
+	int32_t n_isolated;
+	int32_t n_rack_reservations;
+	int32_t max_rack_reservations;
 	/** Capacity declared. */
 	struct dff_resources total;
 	/** Accelerators of the largest guaranteed shape that fits a rack. */
-	int32_t adjacent_unit;
+	int32_t largest_rack_shape;
 	struct dff_core_stats stats;
 };
 
--- a/core/cover.c
+++ b/core/cover.c
@@ -1,8 +1,8 @@
 #include "core/core_private.h"
 
 /* Which guaranteed jobs a team's shapes cover, wherever they run. A guaranteed job that finds its
- * team's shapes used up runs as a borrower if it can; when a shape has room again the oldest such
- * job is covered, also one that runs already. Without this account a later job would take the room,
+ * team's shapes used up runs as a borrower if it can; when a shape has left again the oldest such
+ * job is covered, also one that runs already. Without this account a later job would take the left,
  * and the older one, once preempted, would wait for what was its own. */
 
 static bool
@@ -12,7 +12,7 @@
 	       job->region == shape->region;
 }
 
-/* The tightest shape that has room. */
+/* The tightest shape that has left. */
 static bool
 cover (struct dff_core *core, struct dff_core_job *job)
 {
@@ -20,9 +20,9 @@
 	struct dff_core_shape *best = NULL;
 	for (int32_t i = 0; i < (int32_t)core->shapes->len; i++) {
 		struct dff_core_shape *shape = dff_core_shape_at (core, i);
-		int32_t room = shape->size - shape->covered;
-		if (shape->team != job->team || room < asked || !region_agrees (job, shape) ||
-		    (best != NULL && room >= best->size - best->covered))
+		int32_t left = shape->size - shape->covered;
+		if (shape->team != job->team || left < asked || !region_agrees (job, shape) ||
+		    (best != NULL && left >= best->size - best->covered))
 			continue;
 		best = shape;
 		job->cover = i;
@@ -40,7 +40,7 @@
 	if (!cover (core, job))
 		g_queue_push_tail_link (&dff_core_team_at (core, job->team)->uncovered,
 					&job->cover_link);
-	job->wants_cover = true;
+	job->cover_tracked = true;
 }
 
 static void
@@ -57,9 +57,9 @@
 void
 dff_core_uncover (struct dff_core *core, struct dff_core_job *job)
 {
-	if (!job->wants_cover)
+	if (!job->cover_tracked)
 		return;
-	job->wants_cover = false;
+	job->cover_tracked = false;
 	struct dff_core_team *team = dff_core_team_at (core, job->team);
 	if (job->cover == DFF_CORE_NONE) {
 		g_queue_unlink (&team->uncovered, &job->cover_link);
@@ -86,7 +86,7 @@
 	g_hash_table_iter_init (&iter, core->jobs);
 	while (g_hash_table_iter_next (&iter, NULL, &value)) {
 		struct dff_core_job *job = value;
-		if (!job->wants_cover)
+		if (!job->cover_tracked)
 			continue;
 		if (job->cover == DFF_CORE_NONE)
 			g_queue_unlink (&dff_core_team_at (core, job->team)->uncovered,
--- a/core/defrag.c
+++ b/core/defrag.c
@@ -1,8 +1,8 @@
 #include "core/core_private.h"
 
 /* Checkpoint and move: where a few narrow jobs keep a rack from having one more whole piece free
- * and the splinters of other racks have room for them, they are checkpointed and placed again
- * there. */
+ * and the fragments_elsewhere of other racks have available for them, they are checkpointed and
+ * placed again there. */
 
 /** Interval, ms. */
 #define DEFRAG_MS 10000
@@ -22,35 +22,36 @@
 
 /* Collects jobs of a rack that together hold at least @missing accelerators. */
 static bool
-collect (const struct dff_core *core,
-	 const struct dff_core_rack *rack,
-	 int32_t missing,
-	 GPtrArray *jobs)
+collect_jobs (const struct dff_core *core,
+	      const struct dff_core_rack *rack,
+	      int32_t missing,
+	      GPtrArray *jobs)
 {
 	int32_t freed = 0;
 	g_ptr_array_set_size (jobs, 0);
 	for (guint i = 0; i < rack->workers->len; i++) {
 		const struct dff_core_worker *worker =
 			dff_core_worker_at (core, g_array_index (rack->workers, int32_t, i));
-		for (guint j = 0; j < worker->tenants->len && freed < missing; j++) {
-			struct dff_core_job *tenant = g_ptr_array_index (worker->tenants, j);
-			if (tenant->gang > 1 || !is_movable (core, tenant, missing - freed))
+		for (guint j = 0; j < worker->occupants->len && freed < missing; j++) {
+			struct dff_core_job *occupant = g_ptr_array_index (worker->occupants, j);
+			if (occupant->gang > 1 || !is_movable (core, occupant, missing - freed))
 				continue;
-			freed += tenant->per_task.accelerators;
-			g_ptr_array_add (jobs, tenant);
+			freed += occupant->per_task.accelerators;
+			g_ptr_array_add (jobs, occupant);
 		}
 	}
 	return freed >= missing;
 }
 
-/* Accelerators in the splinters of other racks. */
+/* Accelerators in the fragments_elsewhere of other racks. */
 static int32_t
-splinters (const struct dff_core *core, int32_t except)
+fragments_elsewhere (const struct dff_core *core, int32_t except)
 {
 	int32_t sum = 0;
 	for (int32_t i = 0; i < (int32_t)core->racks->len; i++) {
 		if (i != except)
-			sum += dff_core_rack_at (core, i)->free_accelerators % core->adjacent_unit;
+			sum += dff_core_rack_at (core, i)->free_accelerators %
+			       core->largest_rack_shape;
 	}
 	return sum;
 }
@@ -58,7 +59,7 @@
 void
 dff_core_run_defrag (struct dff_core *core)
 {
-	if (core->now_ms < core->defrag_ms || !core->policy.moves)
+	if (core->now_ms < core->defrag_ms || !core->policy.moves_jobs)
 		return;
 	core->defrag_ms = core->now_ms + DEFRAG_MS;
 	g_autoptr (GPtrArray) jobs = g_ptr_array_new ();
@@ -66,11 +67,12 @@
 	int32_t best_missing = MOVE_MAX + 1;
 	for (int32_t i = 0; i < (int32_t)core->racks->len; i++) {
 		const struct dff_core_rack *rack = dff_core_rack_at (core, i);
-		int32_t unit = core->adjacent_unit;
+		int32_t unit = core->largest_rack_shape;
 		int32_t missing = unit - rack->free_accelerators % unit;
 		if (missing >= best_missing ||
 		    rack->free_accelerators + missing > rack->accelerators ||
-		    splinters (core, i) < missing || !collect (core, rack, missing, jobs))
+		    fragments_elsewhere (core, i) < missing ||
+		    !collect_jobs (core, rack, missing, jobs))
 			continue;
 		best_missing = missing;
 		g_ptr_array_set_size (best, 0);
@@ -84,5 +86,5 @@
 int64_t
 dff_core_defrag_wake_ms (const struct dff_core *core)
 {
-	return core->policy.moves && core->stats.running > 0 ? core->defrag_ms : INT64_MAX;
+	return core->policy.moves_jobs && core->stats.running > 0 ? core->defrag_ms : INT64_MAX;
 }
--- a/core/estimate.c
+++ b/core/estimate.c
@@ -15,7 +15,7 @@
 #define VARIANCE_MIN 0.01
 #define MIN_RUN_MS 1000
 /** Least time left of a run whose progress is told, ms. */
-#define TOLD_MIN_MS 50
+#define PROJECTED_MIN_MS 50
 /** Below this probability of having run so long, the mean residual life is not computed. */
 #define SURVIVAL_MIN 1e-4
 
@@ -82,7 +82,7 @@
 }
 
 void
-dff_core_estimate_learn (struct dff_core_job *job, int64_t run_ms)
+dff_core_estimate_update (struct dff_core_job *job, int64_t run_ms)
 {
 	struct dff_core_estimator *estimator = job->estimator;
 	estimator->observations++;
@@ -132,8 +132,8 @@
 	int64_t ran_ms = job->run_ms;
 	if (job->state == DFF_CORE_RUNNING || job->state == DFF_CORE_CHECKPOINTING)
 		ran_ms += core->now_ms - job->started_ms;
-	if (job->told_ms > 0 && job->state == DFF_CORE_RUNNING)
-		return MAX (job->told_ms - (core->now_ms - job->started_ms), TOLD_MIN_MS);
+	if (job->projected_ms > 0 && job->state == DFF_CORE_RUNNING)
+		return MAX (job->projected_ms - (core->now_ms - job->started_ms), PROJECTED_MIN_MS);
 	double deviation = job->log_deviation;
 	double whole = exp (job->log_mean + deviation * deviation / 2.0);
 	if (ran_ms <= 0)
--- a/core/headroom.c
+++ b/core/headroom.c
@@ -2,16 +2,16 @@
 
 #include <math.h>
 
-/* Headroom: room for what is about to come. Work of a priority leaves free what work before it has
- * needed lately. Symptom without this: urgent jobs find the pool full and wait until somebody's
+/* Headroom: available for what is about to come. Work of a priority leaves free what work before it
+ * has needed lately. Symptom without this: urgent jobs find the pool full and wait until somebody's
  * task has stopped, and what that task did is lost; the same tasks are started and stopped again
  * and again. Cause: whatever was idle was given to whoever waited, though what goes first arrives
  * in bursts and the rest can wait for many seconds.
  *
  * The most that was needed at a time counts, and is forgotten slowly, so that a burst leaves its
- * room free for the next. The room is whole workers, the last of each region, so that gangs find
- * racks in it. Work that has waited for long beside a pool that is mostly idle takes it all the
- * same, see is_calm() in place.c. */
+ * available free for the next. The available is whole workers, the last of each region, so that
+ * gangs find racks in it. Work that has waited for long beside a pool that is mostly idle takes it
+ * all the same, see is_calm() in place.c. */
 
 /** Share of what was needed that is left free: between 0.7 and 1.2 of it no difference was
  * measured in what is served in time, and less leaves more to bulk work. */
@@ -59,7 +59,7 @@
 }
 
 static void
-follow_region (const struct dff_core *core, struct dff_core_region *region)
+update_region (const struct dff_core *core, struct dff_core_region *region)
 {
 	double passed_ms = (double)(core->now_ms - region->headroom_ms);
 	double left = exp (-passed_ms / (double)core->options.headroom_decay_ms);
@@ -79,14 +79,14 @@
 	if (core->options.headroom_decay_ms == 0)
 		return;
 	for (guint i = 0; i < core->regions->len; i++)
-		follow_region (core, dff_core_region_at (core, (int32_t)i));
+		update_region (core, dff_core_region_at (core, (int32_t)i));
 }
 
 /* Symptom without this: on a loaded day work of the last priority is put off until its time is up,
  * a whole kind of request unserved. Cause: work of the middle priority that waits for racks, and
- * could not use the room at once, kept it from all work behind it. So work that has waited for as
- * long as it runs leaves free only what the first priority has needed: its slack is being used up,
- * and what it runs on can be cleared again. */
+ * could not use the available at once, kept it from all work behind it. So work that has waited for
+ * as long as it runs leaves free only what the first priority has needed: its slack is being used
+ * up, and what it runs on can be cleared again. */
 int32_t
 dff_core_headroom_level (const struct dff_core *core, const struct dff_core_job *job)
 {
--- a/core/apart.c
+++ b/core/isolation.c
@@ -16,13 +16,13 @@
 void
 dff_core_job_set_blame (struct dff_core *core, struct dff_core_job *job, int32_t blame)
 {
-	core->n_apart -= dff_core_job_is_apart (core, job);
+	core->n_isolated -= dff_core_job_is_isolated (core, job);
 	job->blame = (int8_t)CLAMP (blame, 0, INT8_MAX);
-	core->n_apart += dff_core_job_is_apart (core, job);
+	core->n_isolated += dff_core_job_is_isolated (core, job);
 }
 
 bool
-dff_core_job_is_apart (const struct dff_core *core, const struct dff_core_job *job)
+dff_core_job_is_isolated (const struct dff_core *core, const struct dff_core_job *job)
 {
 	return core->options.isolation_blame > 0 && job->blame >= core->options.isolation_blame;
 }
@@ -30,7 +30,7 @@
 static bool
 is_on_trial (const struct dff_core *core, const struct dff_core_job *job)
 {
-	if (!dff_core_job_is_apart (core, job))
+	if (!dff_core_job_is_isolated (core, job))
 		return false;
 	return job->state != DFF_CORE_RUNNING || core->now_ms - job->started_ms < TRIAL_MS;
 }
@@ -38,30 +38,30 @@
 static bool
 has_trial (const struct dff_core *core, const struct dff_core_worker *worker)
 {
-	for (guint i = 0; i < worker->tenants->len; i++) {
-		if (is_on_trial (core, g_ptr_array_index (worker->tenants, i)))
+	for (guint i = 0; i < worker->occupants->len; i++) {
+		if (is_on_trial (core, g_ptr_array_index (worker->occupants, i)))
 			return true;
 	}
 	return false;
 }
 
 bool
-dff_core_apart_allows (const struct dff_core *core,
-		       const struct dff_core_worker *worker,
-		       const struct dff_core_job *job)
+dff_core_isolation_allows (const struct dff_core *core,
+			   const struct dff_core_worker *worker,
+			   const struct dff_core_job *job)
 {
-	return !dff_core_job_is_apart (core, job) || !has_trial (core, worker);
+	return !dff_core_job_is_isolated (core, job) || !has_trial (core, worker);
 }
 
 int32_t
-dff_core_apart_order (const struct dff_core *core,
-		      const struct dff_core_worker *worker,
-		      const struct dff_core_job *job,
-		      int32_t left)
+dff_core_isolation_order (const struct dff_core *core,
+			  const struct dff_core_worker *worker,
+			  const struct dff_core_job *job,
+			  int32_t left)
 {
-	if (core->n_apart == 0)
+	if (core->n_isolated == 0)
 		return left;
-	if (dff_core_job_is_apart (core, job))
+	if (dff_core_job_is_isolated (core, job))
 		return -left;
 	return has_trial (core, worker) ? left + BESIDE_TRIAL : left;
 }
--- a/core/leaving.c
+++ b/core/leaving.c
@@ -7,12 +7,12 @@
 
 /** Time from a stop until it has been carried out and saved, ms: what ends later than that before
  * the worker leaves is not sure to end. */
-#define STOP_TAKES_MS 500
+#define STOP_DURATION_MS 500
 
 static bool
-will_end (const struct dff_core *core, const struct dff_core_job *job, int64_t leaves_ms)
+ends_before (const struct dff_core *core, const struct dff_core_job *job, int64_t leaves_ms)
 {
-	return core->now_ms + dff_core_remaining_ms (core, job) + STOP_TAKES_MS <= leaves_ms;
+	return core->now_ms + dff_core_remaining_ms (core, job) + STOP_DURATION_MS <= leaves_ms;
 }
 
 static void
@@ -23,7 +23,7 @@
 	const struct dff_core_worker *from = dff_core_worker_at (core, worker);
 	bool open = job->state == DFF_CORE_STARTING || job->state == DFF_CORE_RUNNING;
 	if (from->state != DFF_WORKER_LEAVING || from->leaves_ms == 0 || !open ||
-	    will_end (core, job, from->leaves_ms))
+	    ends_before (core, job, from->leaves_ms))
 		return;
 	dff_core_job_preempt (core, job, DFF_CORE_PREEMPT_WORKER_LEAVING);
 }
@@ -32,10 +32,10 @@
 dff_core_review_leaving_worker (struct dff_core *core, int32_t worker)
 {
 	/* What is stopped may leave the list. */
-	g_autoptr (GPtrArray) tenants =
-		g_ptr_array_copy (dff_core_worker_at (core, worker)->tenants, NULL, NULL);
-	for (guint i = 0; i < tenants->len; i++)
-		stop_unless_it_ends (core, g_ptr_array_index (tenants, i), worker);
+	g_autoptr (GPtrArray) occupants =
+		g_ptr_array_copy (dff_core_worker_at (core, worker)->occupants, NULL, NULL);
+	for (guint i = 0; i < occupants->len; i++)
+		stop_unless_it_ends (core, g_ptr_array_index (occupants, i), worker);
 }
 
 void
--- a/core/lifecycle.c
+++ b/core/lifecycle.c
@@ -39,12 +39,12 @@
 	static const char *const reasons[] = {
 		[DFF_CORE_STOP_NONE] = "none",
 		[DFF_CORE_STOP_CANCELLED] = "cancelled",
-		[DFF_CORE_STOP_MEMBER] = "member_ended",
+		[DFF_CORE_STOP_MEMBER_ENDED] = "member_ended",
 		[DFF_CORE_STOP_START_TIMEOUT] = "start_timeout",
 		[DFF_CORE_STOP_RECOVERY] = "recovered_in_part",
 	};
 	static const char *const preempt_reasons[] = {
-		[DFF_CORE_PREEMPT_ROOM] = "room",
+		[DFF_CORE_PREEMPT_CAPACITY] = "room",
 		[DFF_CORE_PREEMPT_DEFRAG] = "defragmentation",
 		[DFF_CORE_PREEMPT_WORKER_STALLED] = "worker_stalled",
 		[DFF_CORE_PREEMPT_WORKER_LEAVING] = "worker_leaving",
@@ -190,7 +190,8 @@
 every_worker_answers (const struct dff_core *core, const struct dff_core_job *job)
 {
 	for (int32_t i = 0; i < job->gang; i++) {
-		if (!dff_core_worker_answers (dff_core_worker_at (core, job->members[i].worker)))
+		if (!dff_core_worker_accepts_starts (
+			    dff_core_worker_at (core, job->members[i].worker)))
 			return false;
 	}
 	return true;
@@ -206,7 +207,7 @@
 	 * is sent at all and the attempt is proven not run. */
 	if (job->cancelled || job->preempted || !every_worker_answers (core, job)) {
 		close_unsent (core, job);
-		dff_core_attempt_over (core, job);
+		dff_core_attempt_finish (core, job);
 		return;
 	}
 	dff_core_set_state (core, job, DFF_CORE_STARTING,
@@ -331,28 +332,28 @@
 after_member_end (struct dff_core *core, struct dff_core_job *job, bool completed)
 {
 	if (job->n_open == 0) {
-		dff_core_attempt_over (core, job);
+		dff_core_attempt_finish (core, job);
 		return;
 	}
 	if (!completed && job->state != DFF_CORE_STOPPING)
-		dff_core_attempt_stop (core, job, DFF_CORE_STOP_MEMBER);
+		dff_core_attempt_stop (core, job, DFF_CORE_STOP_MEMBER_ENDED);
 }
 
 /* An end may be heard before the start is. */
 static int64_t
-begun_ms (const struct dff_core *core, const struct dff_core_job *job)
+start_ms (const struct dff_core *core, const struct dff_core_job *job)
 {
 	return job->state == DFF_CORE_STARTING ? core->now_ms : job->started_ms;
 }
 
 static void
-note_health (struct dff_core *core,
-	     struct dff_core_job *job,
-	     int32_t worker,
-	     enum dff_core_member_state state)
+update_health (struct dff_core *core,
+	       struct dff_core_job *job,
+	       int32_t worker,
+	       enum dff_core_member_state state)
 {
 	if (state == DFF_CORE_MEMBER_COMPLETED)
-		dff_core_note_success (core, worker, begun_ms (core, job));
+		dff_core_note_success (core, worker, start_ms (core, job));
 	if (state == DFF_CORE_MEMBER_FAILED || state == DFF_CORE_MEMBER_START_FAILED)
 		dff_core_note_failure (core, job, worker);
 }
@@ -366,18 +367,18 @@
 		struct dff_core_member *member = &job->members[i];
 		member->ran = true;
 		if (member_is_open (member)) {
-			dff_core_note_success (core, member->worker, begun_ms (core, job));
+			dff_core_note_success (core, member->worker, start_ms (core, job));
 			member_close (core, job, i, DFF_CORE_MEMBER_COMPLETED);
 		}
 		member->state = DFF_CORE_MEMBER_COMPLETED;
 	}
-	dff_core_attempt_over (core, job);
+	dff_core_attempt_finish (core, job);
 }
 
 void
-dff_core_member_event (struct dff_core *core,
-		       struct dff_core_job *job,
-		       const struct dff_event *event)
+dff_core_handle_member_event (struct dff_core *core,
+			      struct dff_core_job *job,
+			      const struct dff_event *event)
 {
 	struct dff_core_member *member = &job->members[event->member];
 	/* A late or repeated event about a member that is over must not change its end. */
@@ -389,7 +390,7 @@
 	}
 	if (event->type == DFF_EVENT_TASK_PROGRESS) {
 		if (job->state == DFF_CORE_RUNNING && event->percent >= PROGRESS_MIN)
-			job->told_ms = (int32_t)MIN (
+			job->projected_ms = (int32_t)MIN (
 				(core->now_ms - job->started_ms) * 100 / event->percent, INT32_MAX);
 		dff_core_review_leaving_job (core, job);
 		return;
@@ -417,7 +418,7 @@
 		job->n_started++;
 	member->ran = ran;
 	if (event->type != DFF_EVENT_TASK_REJECTED)
-		note_health (core, job, member->worker, state);
+		update_health (core, job, member->worker, state);
 	member_close (core, job, event->member, state);
 	after_member_end (core, job, state == DFF_CORE_MEMBER_COMPLETED);
 }
--- a/core/order.c
+++ b/core/order.c
@@ -132,14 +132,14 @@
 {
 	struct dff_core_class_key shape = *key;
 	shape.team = 0;
-	shape.level = 0;
+	shape.estimate_level = 0;
 	shape.guaranteed = 0;
 	return dff_core_class_key_hash (&shape);
 }
 
-/* Whether a job may get room that a younger one of its shape may not yet. */
+/* Whether a job may get available that a younger one of its shape may not yet. */
 static bool
-may_be_calm (const struct dff_core *core, const struct dff_core_job *job)
+has_waited_for_low_load (const struct dff_core *core, const struct dff_core_job *job)
 {
 	return core->options.low_load_wait_ms > 0 &&
 	       core->now_ms - job->submitted_ms >= core->options.low_load_wait_ms;
@@ -161,10 +161,10 @@
 
 /* Only gangs that need about a rack whole: smaller ones find a place sooner or later. */
 static bool
-wants_guard (const struct dff_core *core, const struct dff_core_job *job)
+needs_rack_reservation (const struct dff_core *core, const struct dff_core_job *job)
 {
 	return job->gang > 1 && job->adjacency != DFF_ADJACENCY_NONE &&
-	       dff_core_job_accelerators (job) >= core->adjacent_unit / 2 &&
+	       dff_core_job_accelerators (job) >= core->largest_rack_shape / 2 &&
 	       core->now_ms - job->submitted_ms > core->options.rack_reservation_delay_ms;
 }
 
@@ -175,10 +175,10 @@
 	if (!core->dirty && !review)
 		return;
 	/* What a job may use can depend on its wait alone: nothing need come free for that. */
-	core->fresh = core->dirty || core->options.retry_without_limit;
+	core->capacity_freed = core->dirty || core->options.retry_without_limit;
 	core->dirty = false;
 	if (review) {
-		int32_t budget = DFF_CORE_EVICTION_LOOKS / (int32_t)(core->workers->len + 1);
+		int32_t budget = DFF_CORE_EVICTION_SCANS_MAX / (int32_t)(core->workers->len + 1);
 		core->evictions_left = CLAMP (budget, 1, DFF_CORE_EVICTIONS_MAX);
 		core->review_ms = core->now_ms + DFF_CORE_REVIEW_MS;
 	}
@@ -190,7 +190,7 @@
 		struct dff_core_class_key key = queue_class->key;
 		gpointer shape = GUINT_TO_POINTER (shape_hash (&key));
 		if (g_hash_table_contains (full, shape) &&
-		    !may_be_calm (core, queue_class->jobs.head->data))
+		    !has_waited_for_low_load (core, queue_class->jobs.head->data))
 			continue;
 		if (!dff_core_within_quota (core, queue_class->jobs.head->data))
 			continue;
@@ -198,7 +198,7 @@
 			continue;
 		g_hash_table_add (full, shape);
 		struct dff_core_job *head = queue_class->jobs.head->data;
-		if (wants_guard (core, head) && dff_core_guard (core, head))
+		if (needs_rack_reservation (core, head) && dff_core_reserve_racks (core, head))
 			dff_core_try_borrow (core, head);
 	}
 }
--- a/core/outcome.c
+++ b/core/outcome.c
@@ -27,13 +27,13 @@
  * attempt. Who shared a worker with such a job must not be ended for it: what counts against a job
  * is weighed by whoever reports it, and survives a change of the process that decides. */
 bool
-dff_core_job_is_hopeless (const struct dff_core *core, const struct dff_core_job *job)
+dff_core_job_exceeds_blame_limit (const struct dff_core *core, const struct dff_core_job *job)
 {
 	return core->options.blame_limit > 0 && job->blame >= core->options.blame_limit;
 }
 
 void
-dff_core_job_end_hopeless (struct dff_core *core, struct dff_core_job *job)
+dff_core_job_end_blamed (struct dff_core *core, struct dff_core_job *job)
 {
 	dff_core_job_end (core, job, DFF_OUTCOME_FAILED, "workers_crashed");
 }
@@ -75,7 +75,7 @@
 
 /* An attempt of which nothing ran may be followed by another, whatever the job is. */
 static void
-over_unrun (struct dff_core *core, struct dff_core_job *job, const struct attempt_summary *sum)
+finish_not_run (struct dff_core *core, struct dff_core_job *job, const struct attempt_summary *sum)
 {
 	bool charged = sum->start_failed + sum->failed + sum->lost > 0 ||
 		       job->stop_cause == DFF_CORE_STOP_START_TIMEOUT;
@@ -96,7 +96,9 @@
 
 /* Work that is not idempotent and may have run is never started again. */
 static void
-over_once (struct dff_core *core, struct dff_core_job *job, const struct attempt_summary *sum)
+finish_non_idempotent (struct dff_core *core,
+		       struct dff_core_job *job,
+		       const struct attempt_summary *sum)
 {
 	if (sum->lost_ran)
 		dff_core_job_end (core, job, DFF_OUTCOME_UNKNOWN, "worker_lost");
@@ -109,7 +111,9 @@
 }
 
 static void
-over_repeatable (struct dff_core *core, struct dff_core_job *job, const struct attempt_summary *sum)
+finish_idempotent (struct dff_core *core,
+		   struct dff_core_job *job,
+		   const struct attempt_summary *sum)
 {
 	job->failures += sum->failed > 0;
 	job->losses += sum->failed == 0 && sum->lost > 0;
@@ -136,26 +140,26 @@
 }
 
 void
-dff_core_attempt_over (struct dff_core *core, struct dff_core_job *job)
+dff_core_attempt_finish (struct dff_core *core, struct dff_core_job *job)
 {
 	struct attempt_summary sum = summarise (job);
 	if (sum.completed == job->gang) {
-		dff_core_estimate_learn (job, attempt_ms (core, job));
+		dff_core_estimate_update (job, attempt_ms (core, job));
 		dff_core_job_end (core, job, DFF_OUTCOME_COMPLETED, "completed");
 		return;
 	}
 	if (sum.any_ran && !job->idempotent) {
-		over_once (core, job, &sum);
+		finish_non_idempotent (core, job, &sum);
 		return;
 	}
 	if (job->cancelled) {
 		dff_core_job_end (core, job, DFF_OUTCOME_CANCELLED, "cancelled");
 		return;
 	}
-	if (dff_core_job_is_hopeless (core, job))
-		dff_core_job_end_hopeless (core, job);
+	if (dff_core_job_exceeds_blame_limit (core, job))
+		dff_core_job_end_blamed (core, job);
 	else if (!sum.any_ran)
-		over_unrun (core, job, &sum);
+		finish_not_run (core, job, &sum);
 	else
-		over_repeatable (core, job, &sum);
+		finish_idempotent (core, job, &sum);
 }
--- a/core/place.c
+++ b/core/place.c
@@ -10,9 +10,9 @@
 #define RACK_FIRST (1 << 20)
 /** Share of the pool in use up to which it counts as mostly idle: half, and a little for what
  * changes while a job is placed. */
-#define CALM_SHARE 0.53
+#define LOW_LOAD_SHARE 0.53
 /** Puts racks whose last whole piece a job would break behind all others. */
-#define WHOLE_BROKEN 1000000
+#define BREAKS_WHOLE_PIECE 1000000
 /** Puts the rack that holds a job's data before all others. */
 #define NEAR_DATA (-2)
 /** Then racks with workers that other work leaves free. */
@@ -27,30 +27,30 @@
 static bool
 is_hypothetical (enum dff_core_view view)
 {
-	return view == DFF_CORE_VIEW_EMPTY || view == DFF_CORE_VIEW_HOMELESS;
+	return view == DFF_CORE_VIEW_EMPTY || view == DFF_CORE_VIEW_EMPTY_LESS_WITNESSES;
 }
 
 struct dff_resources
-dff_core_worker_room (const struct dff_core *core,
-		      const struct dff_core_worker *worker,
-		      const struct dff_core_job *job,
-		      enum dff_core_view view)
+dff_core_worker_available (const struct dff_core *core,
+			   const struct dff_core_worker *worker,
+			   const struct dff_core_job *job,
+			   enum dff_core_view view)
 {
 	if (view == DFF_CORE_VIEW_EMPTY)
 		return worker->capacity;
-	if (view == DFF_CORE_VIEW_HOMELESS)
-		return dff_resources_less (&worker->capacity, &worker->homes);
-	struct dff_resources room = dff_resources_less (&worker->capacity, &worker->used);
-	room = dff_resources_less (&room, &worker->reserved);
-	for (guint i = 0; is_evicting (view) && i < worker->tenants->len; i++) {
-		struct dff_core_job *tenant = g_ptr_array_index (worker->tenants, i);
-		if (dff_core_may_evict (core, job, tenant))
-			dff_resources_add (&room, &tenant->per_task, 1);
+	if (view == DFF_CORE_VIEW_EMPTY_LESS_WITNESSES)
+		return dff_resources_less (&worker->capacity, &worker->witnesses);
+	struct dff_resources available = dff_resources_less (&worker->capacity, &worker->used);
+	available = dff_resources_less (&available, &worker->reserved);
+	for (guint i = 0; is_evicting (view) && i < worker->occupants->len; i++) {
+		struct dff_core_job *occupant = g_ptr_array_index (worker->occupants, i);
+		if (dff_core_may_evict (core, job, occupant))
+			dff_resources_add (&available, &occupant->per_task, 1);
 	}
 	if (view != DFF_CORE_VIEW_UNBOUND && view != DFF_CORE_VIEW_EVICT_UNBOUND)
-		return room;
+		return available;
 	struct dff_resources free_of_bound = dff_resources_less (&worker->capacity, &worker->bound);
-	return dff_resources_min (&room, &free_of_bound);
+	return dff_resources_min (&available, &free_of_bound);
 }
 
 static bool
@@ -72,9 +72,9 @@
 	if (job->per_worker == 0)
 		return limit;
 	int32_t left = job->per_worker;
-	for (guint i = 0; i < worker->tenants->len; i++) {
-		const struct dff_core_job *tenant = g_ptr_array_index (worker->tenants, i);
-		left -= tenant->per_worker > 0 && tenant->spread_group == job->spread_group;
+	for (guint i = 0; i < worker->occupants->len; i++) {
+		const struct dff_core_job *occupant = g_ptr_array_index (worker->occupants, i);
+		left -= occupant->per_worker > 0 && occupant->spread_group == job->spread_group;
 	}
 	return CLAMP (left, 0, limit);
 }
@@ -84,7 +84,7 @@
  * has lost a worker, or for workers that are left free. Workers that get no work for now count as
  * idle: they are part of what callers have been promised. */
 static bool
-is_calm (const struct dff_core *core, const struct dff_core_job *job)
+may_ignore_reservations (const struct dff_core *core, const struct dff_core_job *job)
 {
 	if (core->options.low_load_wait_ms == 0 ||
 	    core->now_ms - job->submitted_ms < core->options.low_load_wait_ms)
@@ -97,8 +97,8 @@
 		dff_resources_add (&up, &worker->capacity, 1);
 		dff_resources_add (&used, &worker->used, 1);
 	}
-	return used.accelerators <= CALM_SHARE * up.accelerators &&
-	       used.cores <= CALM_SHARE * up.cores;
+	return used.accelerators <= LOW_LOAD_SHARE * up.accelerators &&
+	       used.cores <= LOW_LOAD_SHARE * up.cores;
 }
 
 static int32_t
@@ -110,22 +110,22 @@
 {
 	const struct dff_core_worker *worker = dff_core_worker_at (core, index);
 	if (!has_label (worker, job->label) ||
-	    (!is_hypothetical (view) && dff_core_is_slower (core, worker, job)))
+	    (!is_hypothetical (view) && dff_core_exceeds_duration_limit (core, worker, job)))
 		return 0;
 	if (!is_hypothetical (view))
 		limit = spread_limit (worker, job, limit);
 	else if (job->per_worker > 0)
 		limit = MIN (limit, job->per_worker);
 	int32_t level = dff_core_headroom_level (core, job);
-	if (limit == 0 ||
-	    (!is_hypothetical (view) && !job->unkept && dff_core_is_headroom (core, worker, level)))
+	if (limit == 0 || (!is_hypothetical (view) && !job->ignores_reservations &&
+			   dff_core_is_headroom (core, worker, level)))
 		return 0;
 	if (!is_hypothetical (view) &&
 	    (!dff_core_worker_usable (worker) || dff_core_job_avoids (job, index) ||
-	     !dff_core_apart_allows (core, worker, job)))
+	     !dff_core_isolation_allows (core, worker, job)))
 		return 0;
 	if (!is_hypothetical (view) && dff_core_worker_on_trial (worker) &&
-	    worker->tenants->len > 0)
+	    worker->occupants->len > 0)
 		return 0;
 	/* Most workers are full: told from two numbers instead of whole vectors. */
 	if ((view == DFF_CORE_VIEW_FREE || view == DFF_CORE_VIEW_UNBOUND) &&
@@ -133,8 +133,8 @@
 		     job->per_task.accelerators ||
 	     worker->capacity.slots - worker->used.slots < job->per_task.slots))
 		return 0;
-	struct dff_resources room = dff_core_worker_room (core, worker, job, view);
-	return dff_resources_fits (&room, &job->per_task, limit);
+	struct dff_resources available = dff_core_worker_available (core, worker, job, view);
+	return dff_resources_fits (&available, &job->per_task, limit);
 }
 
 struct candidate {
@@ -166,13 +166,14 @@
 		int32_t fits = worker_fits (core, index, job, view, job->gang);
 		if (fits == 0)
 			continue;
-		struct dff_resources room = dff_core_worker_room (core, worker, job, view);
+		struct dff_resources available =
+			dff_core_worker_available (core, worker, job, view);
 		/* Accelerators first: a task without any keeps off workers that have some left. */
-		int32_t left = room.accelerators * ACCELERATOR_FIRST + room.slots;
+		int32_t left = available.accelerators * ACCELERATOR_FIRST + available.slots;
 		struct candidate candidate = {
 			.worker = index,
 			.fits = fits,
-			.left = dff_core_apart_order (core, worker, job, left)};
+			.left = dff_core_isolation_order (core, worker, job, left)};
 		g_array_append_val (out, candidate);
 	}
 }
@@ -209,7 +210,7 @@
 	return placed == gang;
 }
 
-/* Fills where least work is lost. Returns: the work lost, -1 when there is no room. */
+/* Fills where least work is lost. Returns: the work lost, -1 when there is no available. */
 static int64_t
 fill_evicting (const struct dff_core *core,
 	       const struct dff_core_job *job,
@@ -222,7 +223,7 @@
 		struct dff_core_candidate one = {.worker = at->worker, .fits = at->fits};
 		g_array_append_val (costed, one);
 	}
-	return dff_core_choose (core, job, costed, workers);
+	return dff_core_choose_workers (core, job, costed, workers);
 }
 
 static bool
@@ -236,10 +237,11 @@
 	if (is_hypothetical (view))
 		return true;
 	/* A job that leaves its data is several times as slow there: waiting a while pays. */
-	if (!job->unkept && job->data_rack != DFF_CORE_NONE && rack->label != job->data_rack &&
+	if (!job->ignores_reservations && job->data_rack != DFF_CORE_NONE &&
+	    rack->label != job->data_rack &&
 	    core->now_ms - job->submitted_ms < core->options.locality_wait_ms)
 		return false;
-	return job->unkept || !dff_core_rack_is_kept (core, rack, job);
+	return job->ignores_reservations || !dff_core_rack_is_reserved (core, rack, job);
 }
 
 /* Whether the whole gang could be in one rack, by sums alone. */
@@ -274,25 +276,25 @@
 	    const struct dff_core_rack *rack,
 	    const struct dff_core_job *job)
 {
-	int32_t room = rack->free_accelerators;
+	int32_t available = rack->free_accelerators;
 	if (job->data_rack != DFF_CORE_NONE && rack->label == job->data_rack)
 		return NEAR_DATA;
 	if (job->priority == 0 && has_headroom (core, rack))
 		return HEADROOM_FIRST;
 	if (job->hold == DFF_CORE_HOLD_HARD) {
-		room = 0;
+		available = 0;
 		for (guint i = 0; i < rack->workers->len; i++) {
 			const struct dff_core_worker *worker = dff_core_worker_at (
 				core, g_array_index (rack->workers, int32_t, i));
-			room += worker->capacity.accelerators - worker->bound.accelerators;
+			available += worker->capacity.accelerators - worker->bound.accelerators;
 		}
-		return room;
+		return available;
 	}
-	int32_t piece = room % core->adjacent_unit;
-	if (dff_core_job_is_apart (core, job))
-		return WHOLE_BROKEN - room;
+	int32_t piece = available % core->largest_rack_shape;
+	if (dff_core_job_is_isolated (core, job))
+		return BREAKS_WHOLE_PIECE - available;
 	bool breaks = piece < dff_core_job_accelerators (job);
-	return breaks ? WHOLE_BROKEN + room : piece;
+	return breaks ? BREAKS_WHOLE_PIECE + available : piece;
 }
 
 /* The rack with the fewest free accelerators that holds the whole gang. */
@@ -479,7 +481,7 @@
 }
 
 static bool
-is_tired (const struct dff_core *core, const struct dff_core_job *job)
+rack_wait_is_over (const struct dff_core *core, const struct dff_core_job *job)
 {
 	int64_t wait_ms =
 		job->urgent ? core->options.urgent_rack_wait_ms : core->options.rack_wait_ms;
@@ -499,8 +501,8 @@
 	if (job->adjacency == DFF_ADJACENCY_RACK)
 		return false;
 	/* A gang that fits a rack waits for a whole one; only larger ones spread. */
-	if (view != DFF_CORE_VIEW_EMPTY && !job->unkept && !is_tired (core, job) &&
-	    fits_some_rack (core, job))
+	if (view != DFF_CORE_VIEW_EMPTY && !job->ignores_reservations &&
+	    !rack_wait_is_over (core, job) && fits_some_rack (core, job))
 		return false;
 	return place_in_neighbours (core, job, view, workers);
 }
@@ -519,16 +521,16 @@
 
 /* Urgent work is late on a slow worker, and a gang takes as long as its slowest member. */
 static bool
-place_on_quicker (const struct dff_core *core,
-		  const struct dff_core_job *job,
-		  enum dff_core_view view,
-		  int32_t *workers)
+place_on_faster (const struct dff_core *core,
+		 const struct dff_core_job *job,
+		 enum dff_core_view view,
+		 int32_t *workers)
 {
 	if (!job->urgent || is_hypothetical (view))
 		return false;
-	struct dff_core_job quicker = *job;
-	while (dff_core_limit_pace (core, &quicker)) {
-		if (place (core, &quicker, view, workers))
+	struct dff_core_job faster = *job;
+	while (dff_core_next_duration_limit (core, &faster)) {
+		if (place (core, &faster, view, workers))
 			return true;
 	}
 	return false;
@@ -540,7 +542,7 @@
 		enum dff_core_view view,
 		int32_t *workers)
 {
-	if (place_on_quicker (core, job, view, workers) || place (core, job, view, workers))
+	if (place_on_faster (core, job, view, workers) || place (core, job, view, workers))
 		return true;
 	if (is_hypothetical (view))
 		return false;
@@ -556,8 +558,8 @@
 	relaxed.n_avoided = 0;
 	if (job->n_avoided > 0 && place (core, &relaxed, view, workers))
 		return true;
-	relaxed.unkept = is_calm (core, job);
-	return relaxed.unkept && place (core, &relaxed, view, workers);
+	relaxed.ignores_reservations = may_ignore_reservations (core, job);
+	return relaxed.ignores_reservations && place (core, &relaxed, view, workers);
 }
 
 uint64_t
--- a/core/policy.c
+++ b/core/policy.c
@@ -40,6 +40,6 @@
 		.ageing_ms = between (AGEING_C, AGEING_F, share),
 		.first_turn_ms = between (FIRST_TURN_C, FIRST_TURN_F, share),
 		.displace_loss_ms = between (DISPLACE_LOSS_C, DISPLACE_LOSS_F, share),
-		.moves = share >= 0.5,
+		.moves_jobs = share >= 0.5,
 	};
 }
--- a/core/quarantine.c
+++ b/core/quarantine.c
@@ -2,9 +2,9 @@
 
 /* Workers that fail everything, told apart from jobs that fail everywhere. A failure counts against
  * a worker unless the job has failed on other workers before; different jobs failing on one worker
- * with no success between them put it in quarantine. After a while it gets one job as a probe: a
- * small one that can be repeated, or, when none comes, any one attempt. A failure of it doubles the
- * time in quarantine. */
+ * with no success between them put it in quarantine. After a while it gets one job as a
+ * start_probing: a small one that can be repeated, or, when none comes, any one attempt. A failure
+ * of it doubles the time in quarantine. */
 
 /** Different jobs in a row that have to fail on a worker. */
 #define STREAK_LIMIT 2
@@ -14,7 +14,7 @@
 #define QUARANTINED_SHARE 4
 #define QUARANTINE_MIN_MS 60000
 #define QUARANTINE_MAX_MS 1800000
-/** Wait for a small job that can be repeated, before any attempt may be the probe. */
+/** Wait for a small job that can be repeated, before any attempt may be the start_probing. */
 #define PROBE_WAIT_MS 30000
 
 static void
@@ -47,29 +47,30 @@
 }
 
 static void
-probe (struct dff_core *core, struct dff_core_worker *worker)
+start_probing (struct dff_core *core, struct dff_core_worker *worker)
 {
 	worker->health_due_ms = core->now_ms + PROBE_WAIT_MS;
 	set_health (core, worker, DFF_CORE_PROBING);
 }
 
-/* Where gangs alone wait, no small job comes to probe a worker. Symptom: the gangs that need it
- * wait for ever, though the worker has long been mended. So it takes part again without a probe,
- * for one attempt at a time, and one failure of it is enough for the next, longer quarantine. */
+/* Where gangs alone wait, no small job comes to start_probing a worker. Symptom: the gangs that
+ * need it wait for ever, though the worker has long been mended. So it takes part again without a
+ * start_probing, for one attempt at a time, and one failure of it is enough for the next, longer
+ * quarantine. */
 static void
 put_on_trial (struct dff_core *core, struct dff_core_worker *worker)
 {
-	worker->streak = STREAK_LIMIT - 1;
+	worker->failure_streak = STREAK_LIMIT - 1;
 	worker->last_failed = 0;
 	set_health (core, worker, DFF_CORE_HEALTHY);
 }
 
-/* Returns: whether @worker waits for a time and not for the end of its probe. */
+/* Returns: whether @worker waits for a time and not for the end of its start_probing. */
 static bool
 health_is_timed (const struct dff_core_worker *worker)
 {
 	return worker->health == DFF_CORE_QUARANTINED ||
-	       (worker->health == DFF_CORE_PROBING && worker->tenants->len == 0);
+	       (worker->health == DFF_CORE_PROBING && worker->occupants->len == 0);
 }
 
 static bool
@@ -106,7 +107,7 @@
  * fails everything in both, because each such worker has to fail two of them before it is set
  * aside. Work that has failed elsewhere tells nothing: it may be what fails at once. */
 static bool
-fails_at_once (const struct dff_core *core, const struct dff_core_job *job)
+is_early_failure (const struct dff_core *core, const struct dff_core_job *job)
 {
 	double limit_ms = core->options.early_failure_share * (double)job->estimate_ms;
 	bool started = job->state == DFF_CORE_RUNNING;
@@ -119,7 +120,7 @@
 {
 	struct dff_core_worker *worker = dff_core_worker_at (core, worker_index);
 	bool blamed = job->n_avoided < JOB_BLAME_LIMIT;
-	bool at_once = fails_at_once (core, job);
+	bool early = is_early_failure (core, job);
 	worker->failed_ms = core->now_ms;
 	if (!has_failed_on (job, worker_index)) {
 		job->avoided[job->n_avoided % DFF_CORE_AVOIDED_MAX] = worker_index;
@@ -133,13 +134,13 @@
 	if (!blamed || worker->health != DFF_CORE_HEALTHY || worker->last_failed == failed)
 		return;
 	worker->last_failed = failed;
-	worker->streak += at_once ? STREAK_LIMIT : 1;
-	if (worker->streak >= STREAK_LIMIT && may_quarantine (core))
+	worker->failure_streak += early ? STREAK_LIMIT : 1;
+	if (worker->failure_streak >= STREAK_LIMIT && may_quarantine (core))
 		quarantine (core, worker);
 }
 
 void
-dff_core_worker_suspect (struct dff_core *core, int32_t index)
+dff_core_worker_try_quarantine (struct dff_core *core, int32_t index)
 {
 	struct dff_core_worker *worker = dff_core_worker_at (core, index);
 	if (worker->health == DFF_CORE_PROBING ||
@@ -148,23 +149,23 @@
 }
 
 void
-dff_core_worker_renew (struct dff_core *core, const struct dff_name *id)
+dff_core_worker_handle_restart (struct dff_core *core, const struct dff_name *id)
 {
 	int32_t index = dff_core_find_worker (core, id);
 	if (index == DFF_CORE_NONE)
 		return;
 	struct dff_core_worker *worker = dff_core_worker_at (core, index);
-	worker->streak = 0;
+	worker->failure_streak = 0;
 	worker->last_failed = 0;
 	worker->quarantines = 0;
 	worker->failed_ms = 0;
-	dff_core_forget_pace (core, index);
+	dff_core_reset_durations (core, index);
 	if (worker->health != DFF_CORE_HEALTHY)
 		set_health (core, worker, DFF_CORE_HEALTHY);
 }
 
 /* Symptom without the look at the start: a worker that begins to fail what it starts is given
- * dozens of tasks in a few seconds, each of which fails at once and makes room for the next.
+ * dozens of tasks in a few seconds, each of which fails at once and makes available for the next.
  * Sequence: it fails two and is set aside; a run that began before all this completes there, and it
  * counts as sound again. Cause: that run says nothing of what is started now. */
 void
@@ -173,7 +174,7 @@
 	struct dff_core_worker *worker = dff_core_worker_at (core, worker_index);
 	if (started_ms < worker->failed_ms)
 		return;
-	worker->streak = 0;
+	worker->failure_streak = 0;
 	worker->last_failed = 0;
 	bool suspect = worker->health != DFF_CORE_HEALTHY || worker->quarantines > 0;
 	worker->quarantines = 0;
@@ -192,7 +193,7 @@
 		if (!health_is_timed (worker) || worker->health_due_ms > core->now_ms)
 			continue;
 		if (worker->health == DFF_CORE_QUARANTINED)
-			probe (core, worker);
+			start_probing (core, worker);
 		else
 			put_on_trial (core, worker);
 	}
@@ -210,7 +211,8 @@
 	return wake_ms;
 }
 
-/* A probe may fail through no fault of its job: only a job that can be tried again is one. */
+/* A start_probing may fail through no fault of its job: only a job that can be tried again is one.
+ */
 bool
 dff_core_place_probe (const struct dff_core *core, const struct dff_core_job *job, int32_t *worker)
 {
@@ -220,14 +222,14 @@
 	for (guint i = 0; i < core->workers->len; i++) {
 		const struct dff_core_worker *at = dff_core_worker_at (core, (int32_t)i);
 		if (at->health != DFF_CORE_PROBING || at->state != DFF_WORKER_UP ||
-		    at->rack == DFF_CORE_NONE || at->tenants->len > 0)
+		    at->rack == DFF_CORE_NONE || at->occupants->len > 0)
 			continue;
 		if (job->region != DFF_CORE_NONE &&
 		    dff_core_rack_at (core, at->rack)->region != job->region)
 			continue;
-		struct dff_resources room =
-			dff_core_worker_room (core, at, job, DFF_CORE_VIEW_FREE);
-		if (dff_resources_fits (&room, &job->per_task, 1) == 0)
+		struct dff_resources available =
+			dff_core_worker_available (core, at, job, DFF_CORE_VIEW_FREE);
+		if (dff_resources_fits (&available, &job->per_task, 1) == 0)
 			continue;
 		*worker = (int32_t)i;
 		return true;
--- a/core/queue.c
+++ b/core/queue.c
@@ -6,7 +6,7 @@
 /* Queues of jobs that are alike. */
 
 /** Tells jobs that are placed where least else runs from others in the hash of what they want. */
-#define APART_HASH 29791
+#define ISOLATED_HASH 29791
 
 guint
 dff_core_class_key_hash (gconstpointer key)
@@ -28,17 +28,17 @@
 
 /* Estimates within a factor of two count as alike. */
 static int32_t
-level_of (int64_t estimate_ms)
+estimate_level (int64_t estimate_ms)
 {
 	return 64 - __builtin_clzll ((uint64_t)MAX (estimate_ms, 1));
 }
 
 static guint32
-wants_of (const struct dff_core *core, const struct dff_core_job *job)
+constraints_hash (const struct dff_core *core, const struct dff_core_job *job)
 {
 	guint32 hash = (guint32)(job->label + 1) + (guint32)(job->data_rack + 1) * 31;
-	if (dff_core_job_is_apart (core, job))
-		hash += APART_HASH;
+	if (dff_core_job_is_isolated (core, job))
+		hash += ISOLATED_HASH;
 	if (job->per_worker > 0)
 		hash += (guint32)job->spread_group * 961;
 	return hash;
@@ -57,8 +57,8 @@
 	key.urgent = job->urgent;
 	key.guaranteed = job->guaranteed;
 	key.idempotent = job->idempotent;
-	key.level = level_of (dff_core_remaining_ms (core, job));
-	key.wants = wants_of (core, job);
+	key.estimate_level = estimate_level (dff_core_remaining_ms (core, job));
+	key.worker_constraints = constraints_hash (core, job);
 	struct dff_core_class *found = g_hash_table_lookup (core->classes, &key);
 	if (found != NULL)
 		return found;
@@ -108,7 +108,7 @@
 	g_queue_unlink (&queue_class->jobs, &job->link);
 	job->queue_class = NULL;
 	job->waited_ms += core->now_ms - job->queued_ms;
-	dff_core_unguard (core, job);
+	dff_core_release_racks (core, job);
 	if (g_queue_is_empty (&queue_class->jobs))
 		g_hash_table_remove (core->classes, &queue_class->key);
 }
--- a/core/guard.c
+++ b/core/rack_reservation.c
@@ -13,13 +13,13 @@
 	for (guint i = 0; i < rack->workers->len; i++) {
 		const struct dff_core_worker *worker =
 			dff_core_worker_at (core, g_array_index (rack->workers, int32_t, i));
-		for (guint j = 0; j < worker->tenants->len; j++) {
-			struct dff_core_job *tenant = g_ptr_array_index (worker->tenants, j);
-			if (tenant->per_task.accelerators == 0 ||
-			    dff_core_may_evict (core, job, tenant))
+		for (guint j = 0; j < worker->occupants->len; j++) {
+			struct dff_core_job *occupant = g_ptr_array_index (worker->occupants, j);
+			if (occupant->per_task.accelerators == 0 ||
+			    dff_core_may_evict (core, job, occupant))
 				continue;
-			clear_ms =
-				MAX (clear_ms, core->now_ms + dff_core_remaining_ms (core, tenant));
+			clear_ms = MAX (clear_ms,
+					core->now_ms + dff_core_remaining_ms (core, occupant));
 		}
 	}
 	return clear_ms;
@@ -27,22 +27,24 @@
 
 /* Members that the rack would hold once its other work is gone. */
 static int32_t
-rack_yield (const struct dff_core *core,
-	    const struct dff_core_rack *rack,
-	    const struct dff_core_job *job)
+rack_capacity (const struct dff_core *core,
+	       const struct dff_core_rack *rack,
+	       const struct dff_core_job *job)
 {
-	enum dff_core_view view =
-		dff_core_job_preemptible (job) ? DFF_CORE_VIEW_EMPTY : DFF_CORE_VIEW_HOMELESS;
-	int32_t yield = 0;
+	enum dff_core_view view = dff_core_job_preemptible (job)
+					  ? DFF_CORE_VIEW_EMPTY
+					  : DFF_CORE_VIEW_EMPTY_LESS_WITNESSES;
+	int32_t capacity = 0;
 	for (guint i = 0; i < rack->workers->len; i++) {
 		const struct dff_core_worker *worker =
 			dff_core_worker_at (core, g_array_index (rack->workers, int32_t, i));
 		if (!dff_core_worker_usable (worker))
 			continue;
-		struct dff_resources room = dff_core_worker_room (core, worker, job, view);
-		yield += dff_resources_fits (&room, &job->per_task, job->gang);
+		struct dff_resources available =
+			dff_core_worker_available (core, worker, job, view);
+		capacity += dff_resources_fits (&available, &job->per_task, job->gang);
 	}
-	return yield;
+	return capacity;
 }
 
 struct window {
@@ -59,17 +61,17 @@
 	   struct window *window)
 {
 	int32_t region = dff_core_rack_at (core, first)->region;
-	int32_t yield = 0;
+	int32_t capacity = 0;
 	*window = (struct window){.first = first, .clear_ms = core->now_ms};
 	for (int32_t i = first; i < (int32_t)core->racks->len; i++) {
 		const struct dff_core_rack *rack = dff_core_rack_at (core, i);
-		if (rack->region != region || rack->guard != NULL ||
+		if (rack->region != region || rack->reserved_for != NULL ||
 		    (job->region != DFF_CORE_NONE && job->region != region))
 			return false;
 		window->clear_ms = MAX (window->clear_ms, rack_clear_ms (core, rack, job));
 		window->last = i;
-		yield += rack_yield (core, rack, job);
-		if (yield >= job->gang)
+		capacity += rack_capacity (core, rack, job);
+		if (capacity >= job->gang)
 			return true;
 	}
 	return false;
@@ -86,12 +88,12 @@
 }
 
 bool
-dff_core_guard (struct dff_core *core, struct dff_core_job *job)
+dff_core_reserve_racks (struct dff_core *core, struct dff_core_job *job)
 {
-	if (job->guarded || core->n_guards >= core->max_guards)
+	if (job->has_reserved_racks || core->n_rack_reservations >= core->max_rack_reservations)
 		return false;
 	struct window best = {.first = DFF_CORE_NONE};
-	job->guarded = true;
+	job->has_reserved_racks = true;
 	for (int32_t i = 0; i < (int32_t)core->racks->len; i++) {
 		struct window window;
 		if (!window_at (core, job, i, &window))
@@ -99,48 +101,48 @@
 		if (best.first == DFF_CORE_NONE || is_better (&window, &best))
 			best = window;
 	}
-	job->guarded = best.first != DFF_CORE_NONE;
-	core->n_guards += job->guarded;
-	for (int32_t i = best.first; job->guarded && i <= best.last; i++) {
-		dff_core_rack_at (core, i)->guard = job;
-		dff_core_rack_at (core, i)->guard_ms = best.clear_ms;
+	job->has_reserved_racks = best.first != DFF_CORE_NONE;
+	core->n_rack_reservations += job->has_reserved_racks;
+	for (int32_t i = best.first; job->has_reserved_racks && i <= best.last; i++) {
+		dff_core_rack_at (core, i)->reserved_for = job;
+		dff_core_rack_at (core, i)->expected_free_ms = best.clear_ms;
 	}
-	return job->guarded;
+	return job->has_reserved_racks;
 }
 
 void
-dff_core_unguard (struct dff_core *core, struct dff_core_job *job)
+dff_core_release_racks (struct dff_core *core, struct dff_core_job *job)
 {
-	if (!job->guarded)
+	if (!job->has_reserved_racks)
 		return;
-	job->guarded = false;
+	job->has_reserved_racks = false;
 	core->dirty = true;
-	core->n_guards--;
+	core->n_rack_reservations--;
 	for (guint i = 0; i < core->racks->len; i++) {
 		struct dff_core_rack *rack = dff_core_rack_at (core, (int32_t)i);
-		if (rack->guard == job)
-			rack->guard = NULL;
+		if (rack->reserved_for == job)
+			rack->reserved_for = NULL;
 	}
 }
 
 void
-dff_core_run_guards (struct dff_core *core)
+dff_core_run_rack_reservations (struct dff_core *core)
 {
-	for (guint i = 0; core->n_guards > 0 && i < core->racks->len; i++) {
+	for (guint i = 0; core->n_rack_reservations > 0 && i < core->racks->len; i++) {
 		const struct dff_core_rack *rack = dff_core_rack_at (core, (int32_t)i);
 		/* The estimates that it was chosen by were far off: choose again. */
-		if (rack->guard != NULL &&
-		    rack->guard_ms + core->options.rack_reservation_grace_ms < core->now_ms)
-			dff_core_unguard (core, rack->guard);
+		if (rack->reserved_for != NULL &&
+		    rack->expected_free_ms + core->options.rack_reservation_grace_ms < core->now_ms)
+			dff_core_release_racks (core, rack->reserved_for);
 	}
 }
 
 bool
-dff_core_rack_is_kept (const struct dff_core *core,
-		       const struct dff_core_rack *rack,
-		       const struct dff_core_job *job)
+dff_core_rack_is_reserved (const struct dff_core *core,
+			   const struct dff_core_rack *rack,
+			   const struct dff_core_job *job)
 {
-	if (rack->guard == NULL || rack->guard == job || job->urgent || job->entitled)
+	if (rack->reserved_for == NULL || rack->reserved_for == job || job->urgent || job->entitled)
 		return false;
-	return core->now_ms + dff_core_remaining_ms (core, job) > rack->guard_ms;
+	return core->now_ms + dff_core_remaining_ms (core, job) > rack->expected_free_ms;
 }
--- a/core/reclaim.c
+++ b/core/reclaim.c
@@ -5,29 +5,30 @@
 /** How much lower a job's score has to be to take a borrower's place, and how long the borrower
  * has run at least since its last start, ms. */
 #define OVERTAKE_MARGIN 1.5
-#define OVERTAKE_AFTER_MS 30000
+#define OVERTAKE_MIN_RUN_MS 30000
 /** Preemptions after which that time grows no more. */
 #define OVERTAKE_STEPS 10
 /** A gang that racks are kept for displaces jobs this many times narrower than it. */
-#define DISPLACE_WIDTHS 4
+#define DISPLACE_WIDTH_RATIO 4
 /** Time left of a run below which it is this much dearer to stop, ms: a stop takes about as long.
  */
 #define ENDS_SOON_MS 1200
-#define ENDS_SOON_TIMES 4
+#define ENDS_SOON_FACTOR 4
 /** How much dearer urgent work is to stop than other work: somebody waits for it. */
-#define URGENT_LOSS_TIMES 10
+#define URGENT_LOSS_FACTOR 10
 
 /* Small jobs in the racks kept for a gang move elsewhere rather than hold the gang up. */
 static bool
 may_displace (const struct dff_core *core,
 	      const struct dff_core_job *job,
-	      const struct dff_core_job *tenant)
+	      const struct dff_core_job *occupant)
 {
 	int32_t width = dff_core_job_accelerators (job);
-	if (!job->guarded || dff_core_job_accelerators (tenant) * DISPLACE_WIDTHS > width)
+	if (!job->has_reserved_racks ||
+	    dff_core_job_accelerators (occupant) * DISPLACE_WIDTH_RATIO > width)
 		return false;
-	return tenant->checkpoint ||
-	       core->now_ms - tenant->started_ms < (int64_t)core->policy.displace_loss_ms;
+	return occupant->checkpoint ||
+	       core->now_ms - occupant->started_ms < (int64_t)core->policy.displace_loss_ms;
 }
 
 /* Borrowing work gives way to other borrowing work only when that is much shorter, and when little
@@ -35,45 +36,46 @@
 static bool
 may_overtake (const struct dff_core *core,
 	      const struct dff_core_job *job,
-	      struct dff_core_job *tenant)
+	      struct dff_core_job *occupant)
 {
-	if (tenant->state != DFF_CORE_RUNNING)
+	if (occupant->state != DFF_CORE_RUNNING)
 		return false;
-	int64_t ran_ms = core->now_ms - tenant->started_ms;
-	if (ran_ms < (int64_t)OVERTAKE_AFTER_MS * (1 + MIN (tenant->preemptions, OVERTAKE_STEPS)))
+	int64_t ran_ms = core->now_ms - occupant->started_ms;
+	if (ran_ms <
+	    (int64_t)OVERTAKE_MIN_RUN_MS * (1 + MIN (occupant->preemptions, OVERTAKE_STEPS)))
 		return false;
-	if (may_displace (core, job, tenant))
+	if (may_displace (core, job, occupant))
 		return true;
-	return tenant->checkpoint &&
-	       job->score * OVERTAKE_MARGIN < dff_core_running_score (core, tenant);
+	return occupant->checkpoint &&
+	       job->score * OVERTAKE_MARGIN < dff_core_running_score (core, occupant);
 }
 
 bool
 dff_core_may_evict (const struct dff_core *core,
 		    const struct dff_core_job *job,
-		    struct dff_core_job *tenant)
+		    struct dff_core_job *occupant)
 {
-	if (tenant->hold != DFF_CORE_HOLD_SOFT)
+	if (occupant->hold != DFF_CORE_HOLD_SOFT)
 		return false;
 	if (job->hold == DFF_CORE_HOLD_CLAIM || job->entitled)
 		return true;
 	/* Symptom: a team does not get what is its own, because others' urgent work has come first.
 	 * Cause: urgent work never gave way, also where its team had more than it is assured of. */
-	if (tenant->urgent)
+	if (occupant->urgent)
 		return dff_core_job_is_assured (core, job) &&
-		       !dff_core_job_is_assured (core, tenant);
-	return job->urgent || may_overtake (core, job, tenant);
+		       !dff_core_job_is_assured (core, occupant);
+	return job->urgent || may_overtake (core, job, occupant);
 }
 
 static bool
-is_leaving (const struct dff_core_job *job)
+is_ending (const struct dff_core_job *job)
 {
 	return job->preempted || job->cancelled || job->state == DFF_CORE_STOPPING;
 }
 
 /* An accelerator counts as many cores as go with it on the pool's workers, a slot as one. */
 int64_t
-dff_core_job_weight (const struct dff_core *core, const struct dff_core_job *job)
+dff_core_job_footprint (const struct dff_core *core, const struct dff_core_job *job)
 {
 	int64_t accelerator_cores = core->total.cores / MAX (core->total.accelerators, 1);
 	int64_t task = (int64_t)job->per_task.accelerators * accelerator_cores +
@@ -84,61 +86,62 @@
 int64_t
 dff_core_lost_work (const struct dff_core *core, const struct dff_core_job *job)
 {
-	if (is_leaving (job))
+	if (is_ending (job))
 		return 0;
-	int64_t weight = dff_core_job_weight (core, job);
+	int64_t weight = dff_core_job_footprint (core, job);
 	int64_t age_ms = job->state == DFF_CORE_RUNNING ? core->now_ms - job->started_ms : 0;
 	if (job->checkpoint)
 		age_ms = MIN (age_ms, core->options.checkpoint_loss_ms);
 	/* What was preempted before is dearer, or the same job would give way for ever. */
 	/* What ends soon anyway is not worth stopping. */
-	bool ends_soon = job->told_ms > 0 && job->state == DFF_CORE_RUNNING &&
+	bool ends_soon = job->projected_ms > 0 && job->state == DFF_CORE_RUNNING &&
 			 dff_core_remaining_ms (core, job) < ENDS_SOON_MS;
-	int64_t times = (int64_t)(1 + job->preemptions) * (job->urgent ? URGENT_LOSS_TIMES : 1);
-	return weight * (age_ms + 1000) * times * (ends_soon ? ENDS_SOON_TIMES : 1);
+	int64_t times = (int64_t)(1 + job->preemptions) * (job->urgent ? URGENT_LOSS_FACTOR : 1);
+	return weight * (age_ms + 1000) * times * (ends_soon ? ENDS_SOON_FACTOR : 1);
 }
 
 static bool
-helps (const struct dff_resources *lack, const struct dff_core_job *tenant)
+reduces_shortage (const struct dff_resources *shortage, const struct dff_core_job *occupant)
 {
-	return (lack->slots < 0 && tenant->per_task.slots > 0) ||
-	       (lack->cores < 0 && tenant->per_task.cores > 0) ||
-	       (lack->memory_gb < 0 && tenant->per_task.memory_gb > 0) ||
-	       (lack->accelerators < 0 && tenant->per_task.accelerators > 0);
+	return (shortage->slots < 0 && occupant->per_task.slots > 0) ||
+	       (shortage->cores < 0 && occupant->per_task.cores > 0) ||
+	       (shortage->memory_gb < 0 && occupant->per_task.memory_gb > 0) ||
+	       (shortage->accelerators < 0 && occupant->per_task.accelerators > 0);
 }
 
-/* The cheapest tenant, not yet in @victims, whose end brings the worker nearer to having room. */
+/* The cheapest occupant, not yet in @victims, whose end brings the worker nearer to having
+ * available. */
 static struct dff_core_job *
 next_victim (const struct dff_core *core,
 	     const struct dff_core_worker *worker,
 	     const struct dff_core_job *job,
-	     const struct dff_resources *room,
+	     const struct dff_resources *available,
 	     const GPtrArray *victims)
 {
 	struct dff_core_job *best = NULL;
 	int64_t best_cost = INT64_MAX;
-	for (guint i = 0; i < worker->tenants->len; i++) {
-		struct dff_core_job *tenant = g_ptr_array_index (worker->tenants, i);
-		if (!is_leaving (tenant) && !dff_core_may_evict (core, job, tenant))
+	for (guint i = 0; i < worker->occupants->len; i++) {
+		struct dff_core_job *occupant = g_ptr_array_index (worker->occupants, i);
+		if (!is_ending (occupant) && !dff_core_may_evict (core, job, occupant))
 			continue;
-		int64_t cost = dff_core_lost_work (core, tenant);
-		if (cost >= best_cost || !helps (room, tenant) ||
-		    g_ptr_array_find ((GPtrArray *)victims, tenant, NULL))
+		int64_t cost = dff_core_lost_work (core, occupant);
+		if (cost >= best_cost || !reduces_shortage (available, occupant) ||
+		    g_ptr_array_find ((GPtrArray *)victims, occupant, NULL))
 			continue;
-		best = tenant;
+		best = occupant;
 		best_cost = cost;
 	}
 	return best;
 }
 
 static void
-give_up_tenant (const struct dff_core_worker *worker,
-		const struct dff_core_job *tenant,
-		struct dff_resources *room)
+release_occupant (const struct dff_core_worker *worker,
+		  const struct dff_core_job *occupant,
+		  struct dff_resources *available)
 {
-	for (guint i = 0; i < worker->tenants->len; i++) {
-		if (g_ptr_array_index (worker->tenants, i) == tenant)
-			dff_resources_add (room, &tenant->per_task, 1);
+	for (guint i = 0; i < worker->occupants->len; i++) {
+		if (g_ptr_array_index (worker->occupants, i) == occupant)
+			dff_resources_add (available, &occupant->per_task, 1);
 	}
 }
 
@@ -150,16 +153,17 @@
 	      int32_t times,
 	      GPtrArray *victims)
 {
-	struct dff_resources room = dff_core_worker_room (core, worker, job, DFF_CORE_VIEW_FREE);
-	dff_resources_add (&room, &job->per_task, -times);
+	struct dff_resources available =
+		dff_core_worker_available (core, worker, job, DFF_CORE_VIEW_FREE);
+	dff_resources_add (&available, &job->per_task, -times);
 	int64_t cost = 0;
-	while (!dff_resources_covered (&room)) {
-		struct dff_core_job *victim = next_victim (core, worker, job, &room, victims);
+	while (!dff_resources_covered (&available)) {
+		struct dff_core_job *victim = next_victim (core, worker, job, &available, victims);
 		if (victim == NULL)
 			return INT64_MAX;
 		cost += dff_core_lost_work (core, victim);
 		g_ptr_array_add (victims, victim);
-		give_up_tenant (worker, victim, &room);
+		release_occupant (worker, victim, &available);
 	}
 	return cost;
 }
@@ -170,15 +174,16 @@
 		     const struct dff_core_job *job,
 		     int32_t times)
 {
-	struct dff_resources room = dff_core_worker_room (core, worker, job, DFF_CORE_VIEW_FREE);
-	if (dff_resources_fits (&room, &job->per_task, times) == times)
+	struct dff_resources available =
+		dff_core_worker_available (core, worker, job, DFF_CORE_VIEW_FREE);
+	if (dff_resources_fits (&available, &job->per_task, times) == times)
 		return 0;
 	g_autoptr (GPtrArray) victims = g_ptr_array_new ();
 	return find_victims (core, worker, job, times, victims);
 }
 
 static int32_t
-times_on (const int32_t *workers, int32_t count, int32_t worker)
+count_on (const int32_t *workers, int32_t count, int32_t worker)
 {
 	int32_t times = 0;
 	for (int32_t i = 0; i < count; i++)
@@ -213,8 +218,8 @@
 	/* A gang is a victim once, on however many of the workers it is. */
 	g_autoptr (GPtrArray) victims = g_ptr_array_new ();
 	for (int32_t i = 0; i < job->gang; i++) {
-		bool is_first = times_on (workers, i, workers[i]) == 0;
-		int32_t times = times_on (workers, job->gang, workers[i]);
+		bool is_first = count_on (workers, i, workers[i]) == 0;
+		int32_t times = count_on (workers, job->gang, workers[i]);
 		if (is_first && !gather_victims (core, job, workers[i], times, victims))
 			return INT64_MAX;
 	}
@@ -233,16 +238,16 @@
 	int64_t right = other->cost / other->fits;
 	if (left != right)
 		return left < right ? -1 : 1;
-	if (one->room != other->room)
-		return one->room < other->room ? -1 : 1;
+	if (one->accelerators_left != other->accelerators_left)
+		return one->accelerators_left < other->accelerators_left ? -1 : 1;
 	return one->worker < other->worker ? -1 : one->worker > other->worker;
 }
 
 int64_t
-dff_core_choose (const struct dff_core *core,
-		 const struct dff_core_job *job,
-		 GArray *candidates,
-		 int32_t *workers)
+dff_core_choose_workers (const struct dff_core *core,
+			 const struct dff_core_job *job,
+			 GArray *candidates,
+			 int32_t *workers)
 {
 	for (guint i = 0; i < candidates->len; i++) {
 		struct dff_core_candidate *at =
@@ -284,16 +289,17 @@
 
 /* Whether every member fits on what is not leased, reservations aside. */
 static bool
-fits_now (const struct dff_core *core, const struct dff_core_job *job, bool mind_reserved)
+fits_now (const struct dff_core *core, const struct dff_core_job *job, bool less_reserved)
 {
 	for (int32_t i = 0; i < job->gang; i++) {
 		const struct dff_core_worker *worker =
 			dff_core_worker_at (core, job->members[i].worker);
-		struct dff_resources room = dff_resources_less (&worker->capacity, &worker->used);
-		if (mind_reserved)
-			room = dff_resources_less (&room, &worker->reserved);
+		struct dff_resources available =
+			dff_resources_less (&worker->capacity, &worker->used);
+		if (less_reserved)
+			available = dff_resources_less (&available, &worker->reserved);
 		int32_t times = members_on (job, job->members[i].worker);
-		if (dff_resources_fits (&room, &job->per_task, times) < times)
+		if (dff_resources_fits (&available, &job->per_task, times) < times)
 			return false;
 	}
 	return true;
@@ -307,8 +313,8 @@
 	find_victims (core, worker, job, members_on (job, worker_index), victims);
 	for (guint i = 0; i < victims->len; i++) {
 		struct dff_core_job *victim = g_ptr_array_index (victims, i);
-		if (!is_leaving (victim))
-			dff_core_job_preempt (core, victim, DFF_CORE_PREEMPT_ROOM);
+		if (!is_ending (victim))
+			dff_core_job_preempt (core, victim, DFF_CORE_PREEMPT_CAPACITY);
 	}
 }
 
@@ -365,7 +371,7 @@
 }
 
 static bool
-workers_stand (const struct dff_core *core, const struct dff_core_job *job)
+workers_are_usable (const struct dff_core *core, const struct dff_core_job *job)
 {
 	for (int32_t i = 0; i < job->gang; i++) {
 		if (!dff_core_worker_usable (dff_core_worker_at (core, job->members[i].worker)))
@@ -387,7 +393,7 @@
 		struct dff_core_job *job = link->data;
 		/* A victim may not answer, or a worker may go: the job looks for another place
 		 * instead of waiting on this one for ever. */
-		if (job->deadline_ms <= core->now_ms || !workers_stand (core, job)) {
+		if (job->deadline_ms <= core->now_ms || !workers_are_usable (core, job)) {
 			dff_core_unreserve (core, job);
 			dff_core_job_requeue (core, job);
 			continue;
--- a/core/recover.c
+++ b/core/recover.c
@@ -27,7 +27,8 @@
 }
 
 static bool
-recovered_is_whole (const struct dff_core_job *job, const struct dff_recovered_attempt *recovered)
+recovered_is_complete (const struct dff_core_job *job,
+		       const struct dff_recovered_attempt *recovered)
 {
 	return recovered->placements != NULL && recovered->running != NULL &&
 	       recovered->placements->len == (guint)job->gang &&
@@ -56,7 +57,7 @@
 	dff_core_job_bind (core, job);
 	for (int32_t i = 0; i < job->gang; i++) {
 		if (job->members[i].worker != DFF_CORE_NONE)
-			dff_core_worker_note_overload (
+			dff_core_worker_update_overload (
 				dff_core_worker_at (core, job->members[i].worker));
 	}
 	core->witness_dirty = true;
@@ -77,7 +78,7 @@
 	job->cancelled = recovered->cancelled;
 	/* An earlier attempt of idempotent work may have run: it can no longer be "not run". */
 	job->ever_ran = recovered->attempt > 0 && job->idempotent;
-	if (recovered->open && recovered_is_whole (job, recovered)) {
+	if (recovered->open && recovered_is_complete (job, recovered)) {
 		resume_attempt (core, job, recovered);
 		return;
 	}
@@ -89,5 +90,5 @@
 		dff_core_job_end (core, job, DFF_OUTCOME_CANCELLED, "cancelled");
 		return;
 	}
-	dff_core_job_queue_or_refuse (core, job, spec);
+	dff_core_job_queue_or_reject (core, job, spec);
 }
--- /dev/null
+++ b/core/relative_duration.c
@@ -0,0 +1,305 @@
+#include "core/core_private.h"
+
+#include <math.h>
+#include <stdlib.h>
+#include <string.h>
+
+/* Workers of unlike speed. No worker tells how fast it is. Tasks of one step are alike but for some
+ * spread, so that what they take on different workers, set against the step's median, tells the
+ * workers apart; what a step takes in all tells nothing, as run times are declared far off. Beliefs
+ * are in logarithms of time: a worker's is normal around the mean of all. How far workers differ,
+ * and how far tasks on one worker do, is learned from the same times: so where all workers are
+ * alike none counts as slow, however uneven the tasks are. */
+
+/** Spread of tasks and of workers before anything is known, as variances of logarithms, and their
+ * least: a worker's belief is worked out by both. */
+#define TASK_VARIANCE 0.07F
+#define WORKER_VARIANCE 0.0004F
+#define VARIANCE_MIN 0.0004F
+/** Difference to the median at the most: some tasks are several times as long as others, which is
+ * not their workers' doing. */
+#define DIFFERENCE_MAX 0.8
+/** Spread of the workers' paces, as a deviation of logarithms, up to which they count as alike. */
+#define ALIKE_SPREAD 0.15
+/** Tasks of a step that have to be known before their workers are compared. */
+#define GROUP_MIN 3
+/** Tasks that are weight, of a step and of all. */
+#define GROUP_MAX 256
+#define SAMPLES_MAX 8192
+/** Time in which what was sample loses two thirds of its weight, and all of it, ms: workers may
+ * turn slow and recover. */
+#define DECAY_MS 30000
+#define EXPIRY_MS 120000
+/** Time between two looks at all that was sample, ms, and passes over it: each goes by the beliefs
+ * of the one before. */
+#define REVIEW_MS 500
+#define PASSES 2
+/** Workers that have to be known before their spread is learned. */
+#define SAMPLED_MIN 12
+/** Weight of the workers' spread as it is now against what was learned before. */
+#define SPREAD_RATE 0.3F
+
+/** Parts of a logarithm of 1 in a worker's pace, and the largest pace. */
+#define LOG_PARTS 1000.0F
+#define LOG_MAX 30.0F
+
+/** What a task of a step took. */
+struct sample {
+	int32_t worker;
+	/** Logarithm of the time that the whole task takes there, ms. */
+	float log_ms;
+};
+
+struct peer_group {
+	int64_t last_ms;
+	/** Elements: struct sample. */
+	GArray *samples;
+};
+
+static void
+free_peer_group (gpointer data)
+{
+	struct peer_group *group = data;
+	g_array_unref (group->samples);
+	g_free (group);
+}
+
+static float
+log_duration_of (const struct dff_core_worker *worker)
+{
+	return (float)worker->relative_duration / LOG_PARTS;
+}
+
+static const struct sample *
+sample_at (const struct peer_group *group, guint index)
+{
+	return &g_array_index (group->samples, struct sample, index);
+}
+
+static int
+compare_floats (const void *a, const void *b)
+{
+	const float *one = a;
+	const float *other = b;
+	return (*one > *other) - (*one < *other);
+}
+
+/* What the step's tasks take on a worker like the mean. */
+static float
+group_median (const struct dff_core *core, const struct peer_group *group)
+{
+	float logs[GROUP_MAX];
+	for (guint i = 0; i < group->samples->len; i++) {
+		const struct sample *sample = sample_at (group, i);
+		logs[i] = sample->log_ms -
+			  log_duration_of (dff_core_worker_at (core, sample->worker));
+	}
+	qsort (logs, group->samples->len, sizeof (float), compare_floats);
+	return logs[group->samples->len / 2];
+}
+
+/** What was sample of a worker: differences to the medians of steps, faded by age. */
+struct sum {
+	float count;
+	float total;
+	float squares;
+};
+
+static void
+add_group (const struct dff_core *core, const struct peer_group *group, struct sum *sums)
+{
+	float median = group_median (core, group);
+	float weight = expf (-(float)(core->now_ms - group->last_ms) / DECAY_MS);
+	for (guint i = 0; i < group->samples->len; i++) {
+		const struct sample *sample = sample_at (group, i);
+		struct sum *sum = &sums[sample->worker];
+		float difference = CLAMP (sample->log_ms - median, -DIFFERENCE_MAX, DIFFERENCE_MAX);
+		sum->count += weight;
+		sum->total += difference * weight;
+		sum->squares += difference * difference * weight;
+	}
+}
+
+/* Forgets the step that was sample last the longest ago. */
+static void
+drop_oldest (struct dff_core *core)
+{
+	const struct peer_group *oldest = NULL;
+	gint64 oldest_key = 0;
+	GHashTableIter iter;
+	gpointer key, value;
+	g_hash_table_iter_init (&iter, core->peer_groups);
+	while (g_hash_table_iter_next (&iter, &key, &value)) {
+		const struct peer_group *group = value;
+		if (oldest != NULL && group->last_ms >= oldest->last_ms)
+			continue;
+		oldest = group;
+		oldest_key = *(gint64 *)key;
+	}
+	core->n_durations -= oldest != NULL ? oldest->samples->len : 0;
+	g_hash_table_remove (core->peer_groups, &oldest_key);
+}
+
+static struct peer_group *
+peer_group_for (struct dff_core *core, uint64_t key)
+{
+	gint64 id = (gint64)key;
+	struct peer_group *group = g_hash_table_lookup (core->peer_groups, &id);
+	if (group != NULL)
+		return group;
+	group = g_new0 (struct peer_group, 1);
+	group->samples = g_array_new (FALSE, FALSE, sizeof (struct sample));
+	g_hash_table_insert (core->peer_groups, g_memdup2 (&id, sizeof (id)), group);
+	return group;
+}
+
+void
+dff_core_handle_duration (struct dff_core *core, const struct dff_event *event)
+{
+	int32_t index = dff_core_find_worker (core, &event->worker);
+	if (index == DFF_CORE_NONE || event->duration_ms <= 0)
+		return;
+	if (core->n_durations >= SAMPLES_MAX)
+		drop_oldest (core);
+	struct peer_group *group = peer_group_for (core, event->peer_group);
+	if (group->samples->len >= GROUP_MAX)
+		return;
+	struct sample sample = {.worker = index, .log_ms = logf ((float)event->duration_ms)};
+	g_array_append_val (group->samples, sample);
+	core->n_durations++;
+	group->last_ms = core->now_ms;
+}
+
+static void
+remove_samples (struct dff_core *core, struct peer_group *group, int32_t worker)
+{
+	for (guint i = group->samples->len; i > 0; i--) {
+		if (sample_at (group, i - 1)->worker != worker)
+			continue;
+		g_array_remove_index_fast (group->samples, i - 1);
+		core->n_durations--;
+	}
+}
+
+void
+dff_core_reset_durations (struct dff_core *core, int32_t index)
+{
+	GHashTableIter iter;
+	gpointer value;
+	g_hash_table_iter_init (&iter, core->peer_groups);
+	while (g_hash_table_iter_next (&iter, NULL, &value))
+		remove_samples (core, value, index);
+	struct dff_core_worker *worker = dff_core_worker_at (core, index);
+	worker->relative_duration = 0;
+}
+
+static void
+drop_expired (struct dff_core *core)
+{
+	GHashTableIter iter;
+	gpointer value;
+	g_hash_table_iter_init (&iter, core->peer_groups);
+	while (g_hash_table_iter_next (&iter, NULL, &value)) {
+		const struct peer_group *group = value;
+		if (core->now_ms - group->last_ms <= EXPIRY_MS)
+			continue;
+		core->n_durations -= group->samples->len;
+		g_hash_table_iter_remove (&iter);
+	}
+}
+
+/* One pass over all that was sample. */
+static void
+update_workers (struct dff_core *core, struct sum *sums)
+{
+	memset (sums, 0, sizeof (struct sum) * core->workers->len);
+	GHashTableIter iter;
+	gpointer value;
+	g_hash_table_iter_init (&iter, core->peer_groups);
+	while (g_hash_table_iter_next (&iter, NULL, &value)) {
+		const struct peer_group *group = value;
+		if (group->samples->len >= GROUP_MIN)
+			add_group (core, group, sums);
+	}
+	float prior_weight = core->task_variance / core->worker_variance;
+	for (guint i = 0; i < core->workers->len; i++) {
+		float relative = sums[i].total / (sums[i].count + prior_weight);
+		dff_core_worker_at (core, (int32_t)i)->relative_duration =
+			(int16_t)lroundf (CLAMP (relative, -LOG_MAX, LOG_MAX) * LOG_PARTS);
+	}
+}
+
+/* Analysis of variance: how far tasks on one worker differ, and by how much more those on different
+ * workers do. */
+static void
+update_variances (struct dff_core *core, const struct sum *sums)
+{
+	float within = 0.0F, n_within = 0.0F, between = 0.0F, n_between = 0.0F, n_sampled = 0.0F;
+	for (guint i = 0; i < core->workers->len; i++) {
+		const struct sum *sum = &sums[i];
+		if (sum->count <= 0.0F)
+			continue;
+		float of_mean = sum->total * sum->total / sum->count;
+		between += of_mean;
+		n_between += sum->count;
+		n_sampled += 1.0F;
+		if (sum->count <= 1.0F)
+			continue;
+		within += sum->squares - of_mean;
+		n_within += sum->count - 1.0F;
+	}
+	if (n_sampled < SAMPLED_MIN || n_within < SAMPLED_MIN)
+		return;
+	core->task_variance = MAX (within / n_within, VARIANCE_MIN);
+	float spread = (between - n_sampled * core->task_variance) / n_between;
+	core->worker_variance += SPREAD_RATE * (spread - core->worker_variance);
+	core->worker_variance = MAX (core->worker_variance, VARIANCE_MIN);
+}
+
+void
+dff_core_run_durations (struct dff_core *core)
+{
+	if (core->now_ms < core->duration_review_ms || g_hash_table_size (core->peer_groups) == 0)
+		return;
+	core->duration_review_ms = core->now_ms + REVIEW_MS;
+	drop_expired (core);
+	g_autoptr (GArray) table = g_array_new (FALSE, TRUE, sizeof (struct sum));
+	g_array_set_size (table, core->workers->len);
+	struct sum *sums = (struct sum *)(void *)table->data;
+	for (int32_t i = 0; i < PASSES; i++)
+		update_workers (core, sums);
+	update_variances (core, sums);
+	core->stats.duration_spread = sqrt (core->worker_variance);
+}
+
+/** Limits of pace for urgent work, tried one after the other, in deviations from the mean. */
+static const float duration_limits[] = {-0.5F, 0.0F, 0.5F, 1.0F};
+
+bool
+dff_core_exceeds_duration_limit (const struct dff_core *core,
+				 const struct dff_core_worker *worker,
+				 const struct dff_core_job *job)
+{
+	return job->duration_limit > 0 &&
+	       log_duration_of (worker) >
+		       duration_limits[job->duration_limit - 1] * sqrtf (core->worker_variance);
+}
+
+bool
+dff_core_next_duration_limit (const struct dff_core *core, struct dff_core_job *job)
+{
+	if (core->worker_variance <= (float)(ALIKE_SPREAD * ALIKE_SPREAD) ||
+	    job->duration_limit >= (int8_t)G_N_ELEMENTS (duration_limits))
+		return false;
+	job->duration_limit++;
+	return true;
+}
+
+void
+dff_core_durations_init (struct dff_core *core)
+{
+	core->peer_groups =
+		g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, free_peer_group);
+	core->task_variance = TASK_VARIANCE;
+	core->worker_variance = WORKER_VARIANCE;
+}
--- a/core/resources.c
+++ b/core/resources.c
@@ -31,27 +31,27 @@
 }
 
 int32_t
-dff_resources_fits (const struct dff_resources *room,
+dff_resources_fits (const struct dff_resources *available,
 		    const struct dff_resources *need,
 		    int32_t limit)
 {
 	int32_t count = limit;
 	if (need->slots > 0)
-		count = MIN (count, room->slots / need->slots);
+		count = MIN (count, available->slots / need->slots);
 	if (need->cores > 0)
-		count = MIN (count, room->cores / need->cores);
+		count = MIN (count, available->cores / need->cores);
 	if (need->memory_gb > 0)
-		count = MIN (count, room->memory_gb / need->memory_gb);
+		count = MIN (count, available->memory_gb / need->memory_gb);
 	if (need->accelerators > 0)
-		count = MIN (count, room->accelerators / need->accelerators);
+		count = MIN (count, available->accelerators / need->accelerators);
 	return MAX (count, 0);
 }
 
 bool
-dff_resources_covered (const struct dff_resources *room)
+dff_resources_covered (const struct dff_resources *available)
 {
-	return room->slots >= 0 && room->cores >= 0 && room->memory_gb >= 0 &&
-	       room->accelerators >= 0;
+	return available->slots >= 0 && available->cores >= 0 && available->memory_gb >= 0 &&
+	       available->accelerators >= 0;
 }
 
 bool
--- a/core/start.c
+++ b/core/start.c
@@ -3,7 +3,7 @@
 /* Ways in which a queued job may get its place. */
 
 /** Wait after which urgent work that may not be preempted uses its own team's guarantee, ms. */
-#define OWN_GUARANTEE_AFTER_MS 2000
+#define OWN_GUARANTEE_DELAY_MS 2000
 
 bool
 dff_core_within_quota (const struct dff_core *core, const struct dff_core_job *job)
@@ -31,7 +31,9 @@
  * it again; more is lost for those who wait for the gang than is won. A team's right to its own
  * accelerators goes before that, in time. */
 static bool
-costs_too_much (const struct dff_core *core, const struct dff_core_job *job, const int32_t *workers)
+evicts_too_much_work (const struct dff_core *core,
+		      const struct dff_core_job *job,
+		      const int32_t *workers)
 {
 	const struct dff_core_options *options = &core->options;
 	if (options->evict_work_ratio <= 0.0)
@@ -39,12 +41,12 @@
 	if (dff_core_job_is_assured (core, job) &&
 	    core->now_ms - job->submitted_ms >= options->evict_unlimited_after_ms)
 		return false;
-	double own = (double)dff_core_job_weight (core, job) * (double)job->estimate_ms;
+	double own = (double)dff_core_job_footprint (core, job) * (double)job->estimate_ms;
 	double lost = (double)dff_core_total_evict_cost (core, job, workers);
 	return lost > options->evict_work_ratio * own;
 }
 
-/* Preemption for borrowing work looks at every tenant, so that it is tried for a few
+/* Preemption for borrowing work looks at every occupant, so that it is tried for a few
  * only, and not for work without accelerators. */
 static bool
 place_evicting (struct dff_core *core,
@@ -62,17 +64,18 @@
 	job->score = dff_core_score (core, job);
 	job->score_ms = INT64_MIN / 2;
 	return dff_core_place (core, job, view, workers) &&
-	       !(job->urgent && costs_too_much (core, job, workers));
+	       !(job->urgent && evicts_too_much_work (core, job, workers));
 }
 
 /* What did not fit before fits now only if something came free. */
 static bool
-place_fresh (struct dff_core *core,
-	     const struct dff_core_job *job,
-	     enum dff_core_view view,
-	     int32_t *workers)
+place_if_freed (struct dff_core *core,
+		const struct dff_core_job *job,
+		enum dff_core_view view,
+		int32_t *workers)
 {
-	return (core->fresh || job->guarded) && dff_core_place (core, job, view, workers);
+	return (core->capacity_freed || job->has_reserved_racks) &&
+	       dff_core_place (core, job, view, workers);
 }
 
 static bool
@@ -81,7 +84,7 @@
 	int32_t workers[DFF_GANG_MAX];
 	job->hold = DFF_CORE_HOLD_SOFT;
 	if (!dff_core_place_probe (core, job, workers) &&
-	    !place_fresh (core, job, DFF_CORE_VIEW_FREE, workers) &&
+	    !place_if_freed (core, job, DFF_CORE_VIEW_FREE, workers) &&
 	    !place_evicting (core, job, DFF_CORE_VIEW_EVICT, workers))
 		return false;
 	dff_core_take (core, job, workers, DFF_CORE_HOLD_SOFT, DFF_CORE_NONE);
@@ -103,10 +106,10 @@
 static bool
 place_displacing (struct dff_core *core, struct dff_core_job *job, int32_t *workers)
 {
-	if (!place_fresh (core, job, DFF_CORE_VIEW_FREE, workers))
+	if (!place_if_freed (core, job, DFF_CORE_VIEW_FREE, workers))
 		return false;
 	bind_workers (core, job, workers, 1);
-	bool fits = dff_core_witness_make_room (core);
+	bool fits = dff_core_relocate_witnesses (core);
 	bind_workers (core, job, workers, -1);
 	return fits;
 }
@@ -117,9 +120,9 @@
 may_use_guarantee (const struct dff_core *core, const struct dff_core_job *job)
 {
 	int32_t workers[DFF_GANG_MAX];
-	if (job->urgent && core->now_ms - job->submitted_ms >= OWN_GUARANTEE_AFTER_MS)
+	if (job->urgent && core->now_ms - job->submitted_ms >= OWN_GUARANTEE_DELAY_MS)
 		return true;
-	return !dff_core_place (core, job, DFF_CORE_VIEW_HOMELESS, workers);
+	return !dff_core_place (core, job, DFF_CORE_VIEW_EMPTY_LESS_WITNESSES, workers);
 }
 
 /* Work that may not be preempted: only where no witness needs the place. */
@@ -128,7 +131,7 @@
 {
 	int32_t workers[DFF_GANG_MAX];
 	job->hold = DFF_CORE_HOLD_HARD;
-	if (!place_fresh (core, job, DFF_CORE_VIEW_UNBOUND, workers) &&
+	if (!place_if_freed (core, job, DFF_CORE_VIEW_UNBOUND, workers) &&
 	    !place_displacing (core, job, workers) &&
 	    !place_evicting (core, job, DFF_CORE_VIEW_EVICT_UNBOUND, workers))
 		return may_use_guarantee (core, job) && start_claim (core, job);
--- a/core/stats.c
+++ b/core/stats.c
@@ -4,11 +4,11 @@
 dff_core_get_stats (const struct dff_core *core, struct dff_core_stats *stats)
 {
 	*stats = core->stats;
-	stats->duration_samples = core->n_paces;
+	stats->duration_samples = core->n_durations;
 	int64_t whole = 0;
 	for (guint i = 0; i < core->racks->len; i++) {
 		const struct dff_core_rack *rack = dff_core_rack_at (core, (int32_t)i);
-		int32_t unit = core->adjacent_unit;
+		int32_t unit = core->largest_rack_shape;
 		stats->accelerators_total += rack->accelerators;
 		stats->accelerators_free += rack->free_accelerators;
 		whole += (int64_t)(rack->free_accelerators / unit) * unit;
--- a/core/tables.c
+++ b/core/tables.c
@@ -30,7 +30,7 @@
 	struct dff_core_worker *worker = dff_core_worker_at (core, index);
 	worker->name = *name;
 	worker->rack = DFF_CORE_NONE;
-	worker->tenants = g_ptr_array_new ();
+	worker->occupants = g_ptr_array_new ();
 	g_hash_table_insert (core->worker_index, dff_name_dup (name), GINT_TO_POINTER (index));
 	return index;
 }
@@ -141,7 +141,7 @@
 	g_clear_pointer (&job->members, g_free);
 	g_clear_pointer (&job->placements, g_array_unref);
 	job->n_open = 0;
-	job->told_ms = 0;
+	job->projected_ms = 0;
 	job->n_started = 0;
 	job->released = false;
 	job->preempted = false;
@@ -164,7 +164,7 @@
 }
 
 bool
-dff_core_worker_answers (const struct dff_core_worker *worker)
+dff_core_worker_accepts_starts (const struct dff_core_worker *worker)
 {
 	return worker->rack != DFF_CORE_NONE && worker->state == DFF_WORKER_UP &&
 	       worker->health != DFF_CORE_QUARANTINED;
@@ -173,7 +173,7 @@
 bool
 dff_core_worker_usable (const struct dff_core_worker *worker)
 {
-	return dff_core_worker_answers (worker) && worker->health == DFF_CORE_HEALTHY;
+	return dff_core_worker_accepts_starts (worker) && worker->health == DFF_CORE_HEALTHY;
 }
 
 void
@@ -224,7 +224,7 @@
 }
 
 void
-dff_core_worker_note_overload (struct dff_core_worker *worker)
+dff_core_worker_update_overload (struct dff_core_worker *worker)
 {
 	struct dff_resources unused = dff_resources_less (&worker->capacity, &worker->used);
 	struct dff_resources unbound = dff_resources_less (&worker->capacity, &worker->bound);
@@ -263,12 +263,12 @@
 	g_assert (worker->overlapping || (worker->leased & accelerators) == 0);
 	worker->leased |= accelerators;
 	worker_use (core, worker, &job->per_task, 1);
-	g_ptr_array_add (worker->tenants, job);
+	g_ptr_array_add (worker->occupants, job);
 	if (job->team != DFF_CORE_NONE)
 		dff_resources_add (&dff_core_team_at (core, job->team)->used, &job->per_task, 1);
 }
 
-/* Counts the leases of one tenant anew. Returns: whether they are not disjoint from @leased. */
+/* Counts the leases of one occupant anew. Returns: whether they are not disjoint from @leased. */
 static bool
 gather_leases (const struct dff_core_job *job, int32_t worker, uint64_t *leased)
 {
@@ -291,12 +291,12 @@
 	struct dff_core_worker *worker = dff_core_worker_at (core, index);
 	worker->leased = 0;
 	worker->overlapping = false;
-	for (guint i = 0; i < worker->tenants->len; i++) {
-		const struct dff_core_job *tenant = g_ptr_array_index (worker->tenants, i);
+	for (guint i = 0; i < worker->occupants->len; i++) {
+		const struct dff_core_job *occupant = g_ptr_array_index (worker->occupants, i);
 		bool seen = false;
 		for (guint j = 0; j < i && !seen; j++)
-			seen = g_ptr_array_index (worker->tenants, j) == tenant;
-		if (!seen && gather_leases (tenant, index, &worker->leased))
+			seen = g_ptr_array_index (worker->occupants, j) == occupant;
+		if (!seen && gather_leases (occupant, index, &worker->leased))
 			worker->overlapping = true;
 	}
 }
@@ -313,9 +313,9 @@
 	g_assert ((worker->leased & placement->accelerators) == placement->accelerators);
 	worker->leased &= ~placement->accelerators;
 	worker_use (core, worker, &job->per_task, -1);
-	g_ptr_array_remove_fast (worker->tenants, job);
+	g_ptr_array_remove_fast (worker->occupants, job);
 	if (worker->overloaded)
-		dff_core_worker_note_overload (worker);
+		dff_core_worker_update_overload (worker);
 	if (worker->overlapping)
 		resolve_overlap (core, index);
 	if (job->team != DFF_CORE_NONE)
@@ -327,7 +327,7 @@
 dff_core_worker_clear (gpointer data)
 {
 	struct dff_core_worker *worker = data;
-	g_ptr_array_unref (worker->tenants);
+	g_ptr_array_unref (worker->occupants);
 }
 
 void
--- a/core/witness.c
+++ b/core/witness.c
@@ -34,7 +34,7 @@
 	struct dff_core_worker *worker = dff_core_worker_at (core, part->worker);
 	struct dff_resources share = dff_core_worker_share (worker, part->count);
 	dff_resources_add (&worker->bound, &share, sign);
-	dff_resources_add (&worker->homes, &share, sign);
+	dff_resources_add (&worker->witnesses, &share, sign);
 }
 
 /* Accelerators of a worker that a shape's home may still take. */
@@ -43,12 +43,12 @@
 {
 	if (!dff_core_worker_usable (worker))
 		return 0;
-	struct dff_resources room = dff_resources_less (&worker->capacity, &worker->bound);
+	struct dff_resources available = dff_resources_less (&worker->capacity, &worker->bound);
 	struct dff_resources one = dff_core_worker_share (worker, 1);
 	one.slots = 0;
-	int32_t count = dff_resources_fits (&room, &one, worker->capacity.accelerators);
+	int32_t count = dff_resources_fits (&available, &one, worker->capacity.accelerators);
 	/* Where slots are kept for short requests, several accelerators share one slot. */
-	while (count > 0 && slots_with (worker, count) > room.slots)
+	while (count > 0 && slots_with (worker, count) > available.slots)
 		count--;
 	return count;
 }
@@ -63,7 +63,7 @@
 }
 
 void
-dff_core_shape_settle (struct dff_core *core, struct dff_core_shape *shape, const GArray *parts)
+dff_core_shape_set_parts (struct dff_core *core, struct dff_core_shape *shape, const GArray *parts)
 {
 	dff_core_shape_unpack (core, shape);
 	for (guint i = 0; i < parts->len; i++) {
@@ -74,7 +74,7 @@
 	}
 }
 
-struct room {
+struct candidate {
 	int32_t worker;
 	int32_t unbound;
 	bool whole;
@@ -84,8 +84,8 @@
 static int
 compare_cost (gconstpointer a, gconstpointer b)
 {
-	const struct room *one = a;
-	const struct room *other = b;
+	const struct candidate *one = a;
+	const struct candidate *other = b;
 	if (one->cost != other->cost)
 		return one->cost < other->cost ? -1 : 1;
 	return one->worker < other->worker ? -1 : one->worker > other->worker;
@@ -94,68 +94,68 @@
 static int
 compare_least (gconstpointer a, gconstpointer b)
 {
-	const struct room *one = a;
-	const struct room *other = b;
+	const struct candidate *one = a;
+	const struct candidate *other = b;
 	if (one->unbound != other->unbound)
 		return one->unbound < other->unbound ? -1 : 1;
 	return compare_cost (a, b);
 }
 
 static void
-rack_rooms (const struct dff_core *core,
-	    int32_t rack_index,
-	    dff_core_worker_cost_func cost,
-	    const void *user,
-	    GArray *rooms)
+rack_candidates (const struct dff_core *core,
+		 int32_t rack_index,
+		 dff_core_worker_cost_func cost,
+		 const void *user,
+		 GArray *candidates)
 {
 	const struct dff_core_rack *rack = dff_core_rack_at (core, rack_index);
 	for (guint i = 0; i < rack->workers->len; i++) {
 		int32_t index = g_array_index (rack->workers, int32_t, i);
 		const struct dff_core_worker *worker = dff_core_worker_at (core, index);
-		struct room room = {.worker = index, .unbound = unbound (worker)};
-		if (room.unbound == 0)
+		struct candidate candidate = {.worker = index, .unbound = unbound (worker)};
+		if (candidate.unbound == 0)
 			continue;
-		room.whole = room.unbound == worker->capacity.accelerators;
-		room.cost = cost != NULL ? cost (worker, user) : 0;
-		g_array_append_val (rooms, room);
+		candidate.whole = candidate.unbound == worker->capacity.accelerators;
+		candidate.cost = cost != NULL ? cost (worker, user) : 0;
+		g_array_append_val (candidates, candidate);
 	}
 }
 
 static void
-take_room (struct room *room, int32_t count, GArray *parts)
+take_candidate (struct candidate *candidate, int32_t count, GArray *parts)
 {
-	struct dff_core_part part = {.worker = room->worker, .count = count};
+	struct dff_core_part part = {.worker = candidate->worker, .count = count};
 	g_array_append_val (parts, part);
-	room->unbound = 0;
+	candidate->unbound = 0;
 }
 
-/* Whole workers first: a home made of crumbs on many workers could not hold a task that needs
+/* Whole workers first: a home made of fragments on many workers could not hold a task that needs
  * several accelerators of one worker. Returns: what is left of @size. */
 static int32_t
-take_whole (GArray *rooms, int32_t size, GArray *parts)
+take_whole (GArray *candidates, int32_t size, GArray *parts)
 {
-	g_array_sort (rooms, compare_cost);
-	for (guint i = 0; i < rooms->len; i++) {
-		struct room *room = &g_array_index (rooms, struct room, i);
-		if (!room->whole || room->unbound > size)
+	g_array_sort (candidates, compare_cost);
+	for (guint i = 0; i < candidates->len; i++) {
+		struct candidate *candidate = &g_array_index (candidates, struct candidate, i);
+		if (!candidate->whole || candidate->unbound > size)
 			continue;
-		size -= room->unbound;
-		take_room (room, room->unbound, parts);
+		size -= candidate->unbound;
+		take_candidate (candidate, candidate->unbound, parts);
 	}
 	return size;
 }
 
 static int32_t
-take_remainder (GArray *rooms, int32_t size, GArray *parts)
+take_remainder (GArray *candidates, int32_t size, GArray *parts)
 {
 	if (size == 0)
 		return 0;
-	g_array_sort (rooms, compare_least);
-	for (guint i = 0; i < rooms->len; i++) {
-		struct room *room = &g_array_index (rooms, struct room, i);
-		if (room->unbound < size)
+	g_array_sort (candidates, compare_least);
+	for (guint i = 0; i < candidates->len; i++) {
+		struct candidate *candidate = &g_array_index (candidates, struct candidate, i);
+		if (candidate->unbound < size)
 			continue;
-		take_room (room, size, parts);
+		take_candidate (candidate, size, parts);
 		return 0;
 	}
 	return size;
@@ -172,10 +172,10 @@
 	g_array_set_size (parts, 0);
 	if (dff_core_rack_at (core, rack)->accelerators < size)
 		return false;
-	g_autoptr (GArray) rooms = g_array_new (FALSE, TRUE, sizeof (struct room));
-	rack_rooms (core, rack, cost, user, rooms);
-	int32_t left = take_whole (rooms, size, parts);
-	return take_remainder (rooms, left, parts) == 0;
+	g_autoptr (GArray) candidates = g_array_new (FALSE, TRUE, sizeof (struct candidate));
+	rack_candidates (core, rack, cost, user, candidates);
+	int32_t left = take_whole (candidates, size, parts);
+	return take_remainder (candidates, left, parts) == 0;
 }
 
 static int32_t
@@ -203,66 +203,66 @@
 	for (guint i = 0; i < core->racks->len; i++) {
 		if (!region_allows (shape, dff_core_rack_at (core, (int32_t)i)))
 			continue;
-		int32_t room = rack_unbound (core, (int32_t)i);
-		if (room < shape->size || room >= best_room)
+		int32_t available = rack_unbound (core, (int32_t)i);
+		if (available < shape->size || available >= best_room)
 			continue;
 		if (!dff_core_pack_rack (core, (int32_t)i, shape->size, NULL, NULL, trial))
 			continue;
-		best_room = room;
+		best_room = available;
 		g_array_set_size (parts, 0);
 		g_array_append_vals (parts, trial->data, trial->len);
 	}
 	return best_room < INT32_MAX;
 }
 
-/* Neighbouring racks from @first on until the shape is whole. @crumbs: pieces smaller than a worker
- * count. */
+/* Neighbouring racks from @first on until the shape is whole. @fragments: pieces smaller than a
+ * worker count. */
 static bool
 pack_window (const struct dff_core *core,
 	     const struct dff_core_shape *shape,
 	     int32_t first,
 	     int32_t last,
-	     bool crumbs,
+	     bool fragments,
 	     GArray *parts)
 {
 	g_array_set_size (parts, 0);
-	g_autoptr (GArray) rooms = g_array_new (FALSE, TRUE, sizeof (struct room));
+	g_autoptr (GArray) candidates = g_array_new (FALSE, TRUE, sizeof (struct candidate));
 	for (int32_t i = first; i <= last; i++)
-		rack_rooms (core, i, NULL, NULL, rooms);
-	int32_t left = take_whole (rooms, shape->size, parts);
-	left = take_remainder (rooms, left, parts);
-	for (guint i = 0; crumbs && i < rooms->len && left > 0; i++) {
-		struct room *room = &g_array_index (rooms, struct room, i);
-		int32_t count = MIN (room->unbound, left);
+		rack_candidates (core, i, NULL, NULL, candidates);
+	int32_t left = take_whole (candidates, shape->size, parts);
+	left = take_remainder (candidates, left, parts);
+	for (guint i = 0; fragments && i < candidates->len && left > 0; i++) {
+		struct candidate *candidate = &g_array_index (candidates, struct candidate, i);
+		int32_t count = MIN (candidate->unbound, left);
 		if (count == 0)
 			continue;
 		left -= count;
-		take_room (room, count, parts);
+		take_candidate (candidate, count, parts);
 	}
 	return left == 0;
 }
 
-/* The shortest run of neighbouring racks with room for the shape. */
+/* The shortest run of neighbouring racks with available for the shape. */
 static bool
 pack_in_neighbours (const struct dff_core *core,
 		    const struct dff_core_shape *shape,
-		    bool crumbs,
+		    bool fragments,
 		    GArray *parts)
 {
 	int32_t first = 0, best_first = DFF_CORE_NONE, best_last = 0, sum = 0;
 	g_autoptr (GArray) table = g_array_new (FALSE, TRUE, sizeof (int32_t));
 	g_array_set_size (table, core->racks->len + 1);
-	int32_t *rooms = (int32_t *)(void *)table->data;
+	int32_t *sums = (int32_t *)(void *)table->data;
 	for (int32_t last = 0; last < (int32_t)core->racks->len; last++) {
 		const struct dff_core_rack *rack = dff_core_rack_at (core, last);
 		if (rack->region != dff_core_rack_at (core, first)->region) {
 			first = last;
 			sum = 0;
 		}
-		rooms[last] = region_allows (shape, rack) ? rack_unbound (core, last) : 0;
-		sum += rooms[last];
-		while (first < last && sum - rooms[first] >= shape->size)
-			sum -= rooms[first++];
+		sums[last] = region_allows (shape, rack) ? rack_unbound (core, last) : 0;
+		sum += sums[last];
+		while (first < last && sum - sums[first] >= shape->size)
+			sum -= sums[first++];
 		if (sum < shape->size ||
 		    (best_first != DFF_CORE_NONE && last - first >= best_last - best_first))
 			continue;
@@ -270,7 +270,7 @@
 		best_last = last;
 	}
 	return best_first != DFF_CORE_NONE &&
-	       pack_window (core, shape, best_first, best_last, crumbs, parts);
+	       pack_window (core, shape, best_first, best_last, fragments, parts);
 }
 
 static bool
@@ -284,26 +284,26 @@
 	return false;
 }
 
-/* @crumbs: better a home in pieces, over several racks, than none. */
+/* @fragments: better a home in pieces, over several racks, than none. */
 static bool
-pack (struct dff_core *core, struct dff_core_shape *shape, bool crumbs)
+pack (struct dff_core *core, struct dff_core_shape *shape, bool fragments)
 {
 	g_autoptr (GArray) parts = g_array_new (FALSE, TRUE, sizeof (struct dff_core_part));
 	if (!pack_in_best_rack (core, shape, parts)) {
-		if (!crumbs && fits_some_rack (core, shape))
+		if (!fragments && fits_some_rack (core, shape))
 			return false;
-		if (!pack_in_neighbours (core, shape, crumbs, parts))
+		if (!pack_in_neighbours (core, shape, fragments, parts))
 			return false;
 	}
-	dff_core_shape_settle (core, shape, parts);
+	dff_core_shape_set_parts (core, shape, parts);
 	return true;
 }
 
 static bool
 is_over_bound (const struct dff_core_worker *worker)
 {
-	struct dff_resources room = dff_resources_less (&worker->capacity, &worker->bound);
-	return !dff_core_worker_usable (worker) || !dff_resources_covered (&room);
+	struct dff_resources available = dff_resources_less (&worker->capacity, &worker->bound);
+	return !dff_core_worker_usable (worker) || !dff_resources_covered (&available);
 }
 
 static bool
@@ -349,12 +349,12 @@
 		dff_core_shape_unpack (core, dff_core_shape_at (core, indices[i]));
 	for (guint i = 0; i < displaced->len; i++) {
 		struct dff_core_shape *shape = dff_core_shape_at (core, indices[i]);
-		dff_core_shape_settle (core, shape, g_ptr_array_index (saved, i));
+		dff_core_shape_set_parts (core, shape, g_ptr_array_index (saved, i));
 	}
 }
 
 bool
-dff_core_witness_make_room (struct dff_core *core)
+dff_core_relocate_witnesses (struct dff_core *core)
 {
 	g_autoptr (GArray) displaced = g_array_new (FALSE, FALSE, sizeof (int32_t));
 	g_autoptr (GPtrArray) saved =
@@ -367,12 +367,12 @@
 		g_ptr_array_add (saved, copy_parts (shape));
 		dff_core_shape_unpack (core, shape);
 	}
-	bool claims_stand = true;
-	for (guint i = 0; i < core->workers->len && claims_stand; i++) {
+	bool claims_fit = true;
+	for (guint i = 0; i < core->workers->len && claims_fit; i++) {
 		const struct dff_core_worker *worker = dff_core_worker_at (core, (int32_t)i);
-		claims_stand = !dff_core_worker_usable (worker) || !is_over_bound (worker);
+		claims_fit = !dff_core_worker_usable (worker) || !is_over_bound (worker);
 	}
-	if (claims_stand && pack_displaced (core, displaced))
+	if (claims_fit && pack_displaced (core, displaced))
 		return true;
 	restore_displaced (core, displaced, saved);
 	return false;
