--- a/core/check.c
+++ b/core/check.c
@@ -2,7 +2,7 @@
 
 #include <inttypes.h>
 
-/* The invariants, computed anew from the attempts and compared with the tables. */
+/* Checks the invariants: recomputes the tables from the attempts and compares them. */
 
 struct tally {
 	struct dff_resources used;
@@ -52,7 +52,7 @@
 static char *
 check_capacity (const struct dff_core_worker *worker)
 {
-	/* A pool that shrank may leave running work over the new capacity until it ends. */
+	/* After the pool shrank, running work may exceed the new capacity until it ends. */
 	if (worker->rack == DFF_CORE_NONE || worker->overloaded)
 		return NULL;
 	struct dff_resources available = dff_resources_less (&worker->capacity, &worker->used);
@@ -77,7 +77,8 @@
 	return NULL;
 }
 
-/* What a job holds beside its leases: reservations, and what may not be preempted. */
+/* Adds up what a job holds besides its leases: reservations, and resources that may not be
+ * preempted. */
 static void
 tally_holds (const struct dff_core *core, const struct dff_core_job *job, struct tally *tallies)
 {
@@ -98,7 +99,8 @@
 	}
 }
 
-/* Homes are disjoint because what they bind adds up, and whole because their parts do. */
+/* Witness placements are disjoint if the resources they bind add up, and complete if their parts
+ * do. */
 static char *
 check_shape (const struct dff_core *core, const struct dff_core_shape *shape, struct tally *tallies)
 {
@@ -113,12 +115,12 @@
 		packed += part->count;
 		claimed += part->claimed;
 		if (part->claimed < 0 || part->claimed > part->count)
-			return g_strdup ("a shape is claimed beyond its home");
+			return g_strdup ("a shape is claimed beyond its witness placement");
 	}
 	if (shape->covered < 0 || shape->covered > shape->size)
 		return g_strdup ("a shape covers more than its size");
 	if (packed != shape->packed || claimed != shape->claimed)
-		return g_strdup ("a shape's parts do not add up");
+		return g_strdup ("the parts of a shape differ from its totals");
 	return NULL;
 }
 
@@ -137,7 +139,7 @@
 	return broken;
 }
 
-/* Nothing that can't be preempted stands where a shape has its home. */
+/* No work that may not be preempted runs on the witness placement of a shape. */
 static char *
 check_bound (const struct dff_core *core,
 	     const struct dff_core_worker *worker,
--- a/core/claim.c
+++ b/core/claim.c
@@ -1,6 +1,6 @@
 #include "core/core_private.h"
 
-/* Claims of guaranteed shapes, and the account of what may not be preempted. */
+/* Claims of guaranteed shapes, and accounting of the resources that may not be preempted. */
 
 static struct dff_core_part *
 find_part (const struct dff_core_shape *shape, int32_t worker)
@@ -54,8 +54,8 @@
 	}
 }
 
-/* The part that a member gives back is the witness of its shape again, on the same accelerators, so
- * that there is no moment in which other work could take them. */
+/* Returns the part of a member that has ended to the witness placement of its shape, on the same
+ * accelerators, so that other work cannot take them in between. */
 static void
 return_claim (struct dff_core *core, const struct dff_core_job *job, struct dff_core_worker *worker)
 {
@@ -86,9 +86,8 @@
 		core->witness_dirty = true;
 }
 
-/* Members that a former can hold, cheapest first. Returns: work lost, or -1 when it can't hold
- * them.
- */
+/* Finds the cheapest workers for a job's members in a witness placement. Returns: work lost,
+ * core-ms; -1 when the members do not fit. */
 static int64_t
 placement_cost (const struct dff_core *core,
 		const struct dff_core_job *job,
@@ -123,9 +122,9 @@
 	int64_t cost;
 	int32_t shape;
 	int32_t slack;
-	/** Shape that swaps homes with @shape; DFF_CORE_NONE: none. */
+	/** Shape that swaps witness placements with @shape; DFF_CORE_NONE: none. */
 	int32_t swap;
-	/** Whether @parts is a new former. */
+	/** Whether @parts is a new witness placement for @shape. */
 	bool moves;
 	GArray *parts;
 	int32_t *workers;
@@ -146,8 +145,9 @@
 	return true;
 }
 
-/* Takes a former as the best so far when it leaves less of the shape unclaimed, or the same at less
- * cost: small claims spread over several shapes would leave none whole for the team's gangs. */
+/* Makes a witness placement the best so far when it leaves less of the shape unclaimed, or as much
+ * at less cost. Small claims spread over several shapes would leave none whole for the team's
+ * gangs. */
 static bool
 consider (struct claim_search *search, int32_t shape_index, const GArray *parts)
 {
@@ -169,7 +169,7 @@
 	return true;
 }
 
-/* Whether the best so far is in this shape and costs nothing: there is none better. */
+/* Whether the best placement so far is in this shape and costs nothing: there is no better one. */
 static bool
 is_optimal (const struct claim_search *search, int32_t shape_index)
 {
@@ -185,7 +185,7 @@
 				    MIN (times, search->job->gang));
 }
 
-/* Other racks as the former of a shape that nobody claims. */
+/* Tries other racks as the witness placement of a shape that no job claims. */
 static void
 consider_racks (struct claim_search *search, int32_t shape_index)
 {
@@ -210,7 +210,8 @@
 	dff_core_shape_set_parts (search->core, shape, former);
 }
 
-/* Homes of other shapes of the same size that nobody claims: both keep a witness after a swap. */
+/* Tries the witness placements of other unclaimed shapes of the same size. After a swap both shapes
+ * still have one. */
 static void
 consider_swaps (struct claim_search *search, int32_t shape_index)
 {
@@ -237,7 +238,7 @@
 		consider (search, index, shape->parts);
 	if (shape->claimed > 0 || shape->size == *last_size)
 		return;
-	/* One shape of each size stands for its equals. */
+	/* Unclaimed shapes of equal size are interchangeable: only the first is tried. */
 	*last_size = shape->size;
 	if (shape->packed == shape->size)
 		consider_swaps (search, index);
@@ -293,7 +294,7 @@
 	return true;
 }
 
-/* Parts where a recovered job's members are. */
+/* Collects the parts on which a recovered job's members run. */
 static void
 parts_of_job (const struct dff_core_job *job, GArray *parts)
 {
--- a/core/core.c
+++ b/core/core.c
@@ -1,18 +1,19 @@
 #include "core/core_private.h"
 
-/* The core's outside: construction, the pool, events in, commands out. */
+/* Public interface of the core: construction, the pool, events in, commands out. */
 
 #define DEFAULT_START_TIMEOUT_MS 15000
-/* 4.3 s for urgent work, less deciding, recording, stopping and starting. */
+/* Urgent work has to start within 4.3 s; this leaves the rest for deciding, recording, stopping and
+ * starting. */
 #define DEFAULT_CHECKPOINT_GRACE_MS 2500
 #define DEFAULT_MAX_RACK_RESERVATIONS 1
 #define DEFAULT_STALL_RESTART_MAX_MS 60000
-/** It is taken again from its checkpoint, after grace and restart. */
+/** A task that is stopped resumes from its checkpoint, after the grace period and the restart. */
 #define DEFAULT_CHECKPOINT_LOSS_MS 5000
-/** A backstop: keeping racks earlier cost more than it gave where jobs run for hours. */
+/** A last resort: where jobs run for hours, reserving racks earlier costs more than it gains. */
 #define DEFAULT_RACK_RESERVATION_DELAY_MS 28800000
 #define DEFAULT_RACK_RESERVATION_GRACE_MS 600000
-/** Accelerators that count as a whole piece where no team has a guarantee. */
+/** Accelerators of a whole piece where no team has a guarantee. */
 #define DEFAULT_LARGEST_RACK_SHAPE 8
 
 void
@@ -148,7 +149,7 @@
 static void
 set_racks (struct dff_core *core, const struct dff_pool *pool)
 {
-	/* Racks that are kept go with the racks: their gangs ask again. */
+	/* Rack reservations end with the racks; their gangs request new ones. */
 	for (guint i = 0; i < core->racks->len; i++) {
 		if (dff_core_rack_at (core, (int32_t)i)->reserved_for != NULL)
 			dff_core_release_racks (core,
@@ -208,7 +209,7 @@
 	const char *reason = rejection_reason (core, queue_class->jobs.head->data);
 	if (reason == NULL)
 		return;
-	/* The class goes with its last job. */
+	/* Ending the last job frees the class: read its length first. */
 	bool last = false;
 	while (!last) {
 		last = queue_class->jobs.length == 1;
@@ -216,8 +217,9 @@
 	}
 }
 
-/* A new pool may make queued jobs impossible: they end now instead of waiting for ever. Judged once
- * for all that are alike, because a hundred thousand may wait when a pool file is applied. */
+/* Ends queued jobs that the new pool makes impossible, which would wait for ever otherwise. Each
+ * class is evaluated once for all its jobs, because a hundred thousand may be queued when a pool
+ * file is applied. */
 static void
 end_rejected_jobs (struct dff_core *core)
 {
--- a/core/core_tables.h
+++ b/core/core_tables.h
@@ -3,84 +3,87 @@
 
 #include "core/core.h"
 
-/* Tables of the decision core. Entities refer to each other by index into their table; jobs, which
- * come and go, by pointer. */
+/* Tables of the decision core. Entities refer to each other by index into their table. Jobs, which
+ * are added and removed often, are referred to by pointer. */
 
-/** Index that refers to nothing. */
+/** Index that refers to no entity. */
 #define DFF_CORE_NONE (-1)
 
-/** A STOP_TASK that is not answered for this long is sent again, ms. */
+/** Time after which an unanswered STOP_TASK is sent again, ms. */
 #define DFF_CORE_STOP_REPEAT_MS 5000
-/** Wait before a job is placed again after its record was refused, ms: doubled up to the limit. */
+/** Backoff before a job is placed again after its record was refused, ms: doubles up to the
+ * maximum. */
 #define DFF_CORE_RETRY_MIN_MS 250
 #define DFF_CORE_RETRY_MAX_MS 15000
-/** Attempts that end proven not started before the job is given up. */
+/** Number of attempts that end proven not started before the job is ended. */
 #define DFF_CORE_START_FAILURES_MAX 8
-/** A reservation whose victims have not gone after this long is given up, ms. */
+/** Time after which a reservation is cancelled when its victims have not ended, ms. */
 #define DFF_CORE_RESERVE_MAX_MS 15000
-/** Attempts lost with their worker before the job is given up, on top of its own attempts. */
+/** Number of attempts lost with their worker before the job is ended, on top of its own
+ * max_attempts. */
 #define DFF_CORE_LOSSES_MAX 5
 
-/** Workers that may be looked at for victims between two reviews, urgent work aside, and placement
- * decisions that may do so. */
+/** Number of workers that may be scanned for victims between two reviews, and number of placements
+ * that may preempt in that time. Urgent work is not limited. */
 #define DFF_CORE_EVICTION_SCANS_MAX 4000
 #define DFF_CORE_EVICTIONS_MAX 8
-/** Interval at which the queue is looked at again though nothing came free, ms. */
+/** Interval at which the queue is reviewed even if no capacity came free, ms. */
 #define DFF_CORE_REVIEW_MS 1000
-/** Workers on which a job has failed that it remembers. */
+/** Number of workers kept for a job as those on which it has failed. */
 #define DFF_CORE_AVOIDED_MAX 4
 
-/** Priorities that are told apart: the last stands for all after it. */
+/** Number of distinct priorities; the last one stands for all lower ones. */
 #define DFF_CORE_PRIORITIES 3
 
 enum dff_core_health {
 	DFF_CORE_HEALTHY,
 	DFF_CORE_QUARANTINED,
-	/** May get one job, to see whether it fails again. */
+	/** May get one job as a probe, to test whether jobs still fail there. */
 	DFF_CORE_PROBING,
 };
 
 struct dff_core_worker {
 	struct dff_name name;
-	/** Index of its rack; DFF_CORE_NONE once the pool no longer declares it. */
+	/** Index of its rack; DFF_CORE_NONE when the pool does not declare the worker any more. */
 	int32_t rack;
 	enum dff_worker_state state;
-	/** When it is gone, if it leaves; 0: not known. */
+	/** Time at which it leaves, in DFF_WORKER_LEAVING; 0: not known. */
 	int64_t leaves_ms;
 	struct dff_resources capacity;
-	/** Indices of its labels; DFF_CORE_NONE: no more. */
+	/** Indices of its labels; DFF_CORE_NONE in unused entries. */
 	int32_t labels[DFF_WORKER_LABELS_MAX];
 	/** Leased to members of attempts. */
 	struct dff_resources used;
-	/** Held for jobs that wait until their victims are gone. */
+	/** Reserved for jobs that wait until their victims have ended. */
 	struct dff_resources reserved;
-	/** What work that may not be preempted holds, plus what witnesses need. Never more than
-	 * @capacity on a usable worker, so that a claim always finds its place. */
+	/** What work that may not be preempted holds, plus what witness placements need. Never more
+	 * than @capacity on a usable worker, so that a claim always finds a placement. */
 	struct dff_resources bound;
-	/** Of @bound, the homes of shapes. */
+	/** The part of @bound that witness placements need. */
 	struct dff_resources witnesses;
 	/** Bit i: accelerator i is leased. */
 	uint64_t leased;
-	/** Share of its region's accelerators on workers before it, 0 to 1: the last workers are
-	 * the first to be left free. */
+	/** Share of its region's accelerators that are on workers before it, 0 to 1. The last
+	 * workers are the first to be kept free as headroom. */
 	float headroom_rank;
 	enum dff_core_health health;
-	/** Different jobs that failed here since the last success. */
+	/** Number of different jobs that failed here since the last success. */
 	int32_t failure_streak;
-	/** Hash of the last of them; 0: none. */
+	/** Hash of the job that failed last; 0: none. */
 	guint last_failed;
-	/** Times in quarantine since it last was healthy. */
+	/** Number of quarantines since it was last healthy. */
 	int32_t quarantines;
-	/** Whether more is in use than the capacity: the pool shrank, or rows claimed too much. */
+	/** Whether its leases or bound resources exceed its capacity: the pool shrank, or recovered
+	 * rows claim too much. */
 	bool overloaded;
 	/** Whether recovered rows claim the same accelerators. */
 	bool overlapping;
-	/** How long tasks are believed to take here, against the mean of all workers: thousandths
-	 * of the logarithm. */
+	/** Estimated duration of tasks here relative to the mean of all workers: natural logarithm,
+	 * in thousandths. */
 	int16_t relative_duration;
-	/** When a run failed here last; 0: never. */
+	/** Time of the last failure of a run here; 0: never. */
 	int64_t failed_ms;
-	/** When its quarantine, or the wait for a probe, is over. */
+	/** End of its quarantine, or of the wait for a probe. */
 	int64_t health_due_ms;
 	/** Elements: struct dff_core_job *, one for each member that holds a lease here. */
 	GPtrArray *occupants;
@@ -88,13 +91,14 @@
 
 struct dff_core_region {
 	struct dff_name name;
-	/** Accelerators of its workers. */
+	/** Accelerators of its declared workers. */
 	int32_t accelerators;
 	/** Accelerators of jobs that have not ended, by priority. */
 	int32_t demand[DFF_CORE_PRIORITIES];
-	/** By priority, share of the accelerators that its work leaves free, 0 to 1 and more. */
+	/** By priority: share of the accelerators that work of the priority leaves free; 0 to 1, or
+	 * more when demand exceeds the region. */
 	double headroom[DFF_CORE_PRIORITIES];
-	/** When that was worked out last. */
+	/** Time at which @headroom was last updated. */
 	int64_t headroom_ms;
 };
 
@@ -103,33 +107,35 @@
 	/** Index of its name among the labels. */
 	int32_t label;
 	int32_t region;
-	/** (nullable): the waiting gang that is to have this rack next, and when it may. */
+	/** (nullable): the waiting gang that the rack is reserved for, and the time at which the
+	 * rack is expected to be free for it. */
 	struct dff_core_job *reserved_for;
 	int64_t expected_free_ms;
 	/** Elements: int32_t, indices of workers. */
 	GArray *workers;
-	/** Free accelerators on workers that take new work. */
+	/** Free accelerators on usable workers. */
 	int32_t free_accelerators;
-	/** Accelerators and slots on workers that take new work. */
+	/** Accelerators and slots on usable workers. */
 	int32_t accelerators;
 	int32_t slots;
 };
 
-/** Accelerators of one worker in a shape's home. */
+/** Accelerators of one worker in a witness placement. */
 struct dff_core_part {
 	int32_t worker;
 	int32_t count;
-	/** Of @count, held by jobs that claim the shape. */
+	/** Those of @count that are held by jobs that claim the shape. */
 	int32_t claimed;
 };
 
-/** One guaranteed gang and its witness: the place where it can be claimed now. */
+/** One guaranteed gang and its witness placement: the accelerators on which it can be claimed
+ * now. */
 struct dff_core_shape {
 	int32_t team;
-	/** Region it has to be in; DFF_CORE_NONE: any one. */
+	/** Region it has to be in; DFF_CORE_NONE: any. */
 	int32_t region;
 	int32_t size;
-	/** Sum of the parts: less than @size when the shape fits nowhere. */
+	/** Sum of the parts; less than @size when the shape fits nowhere. */
 	int32_t packed;
 	int32_t claimed;
 	/** Accelerators of the guaranteed jobs that it covers, wherever they run. */
@@ -147,9 +153,9 @@
 	/** Accelerators of its urgent jobs that have not ended. */
 	int32_t urgent_accelerators;
 	int32_t weight;
-	/** Jobs that have not ended. */
+	/** Number of jobs that have not ended. */
 	int32_t n_jobs;
-	/** Leased. */
+	/** Leased to its jobs. */
 	struct dff_resources used;
 	/** Guaranteed jobs that no shape covers, oldest first. */
 	GQueue uncovered;
@@ -159,17 +165,17 @@
 
 enum dff_core_state {
 	DFF_CORE_QUEUED,
-	/** Waits for its back-off to pass. */
+	/** Waits for its backoff to elapse. */
 	DFF_CORE_DELAYED,
-	/** Has its workers, and waits until the victims on them are gone. */
+	/** Has its workers assigned and waits until the victims on them have ended. */
 	DFF_CORE_RESERVED,
-	/** Leases are held; the start intent is on its way to the store. */
+	/** Leases are held; the start intent is being written to the store. */
 	DFF_CORE_RECORDING,
 	DFF_CORE_STARTING,
 	DFF_CORE_RUNNING,
 	DFF_CORE_CHECKPOINTING,
 	DFF_CORE_STOPPING,
-	/** The outcome is on its way to the store. */
+	/** The outcome is being written to the store. */
 	DFF_CORE_ENDING,
 };
 
@@ -178,7 +184,7 @@
 	DFF_CORE_MEMBER_SENT,
 	DFF_CORE_MEMBER_STARTED,
 	DFF_CORE_MEMBER_CHECKPOINTED,
-	/** From here on the member is over and holds no lease. */
+	/** From this state on the member has ended and holds no lease. */
 	DFF_CORE_MEMBER_COMPLETED,
 	DFF_CORE_MEMBER_FAILED,
 	DFF_CORE_MEMBER_STOPPED,
@@ -189,37 +195,38 @@
 struct dff_core_member {
 	int32_t worker;
 	enum dff_core_member_state state;
-	/** Whether it counts in the worker's bound resources, or in a part of the claimed shape. */
+	/** Whether it counts in the bound resources of its worker, or in a part of the claimed
+	 * shape. */
 	bool bound;
 	/** Whether it may have run. */
 	bool ran;
 };
 
-/** Why an attempt is being ended early. */
+/** Why an attempt is stopped early. */
 enum dff_core_stop_cause {
 	DFF_CORE_STOP_NONE,
 	DFF_CORE_STOP_CANCELLED,
 	DFF_CORE_STOP_PREEMPTED,
-	DFF_CORE_STOP_MEMBER_ENDED, /**< Another member ended badly. */
+	DFF_CORE_STOP_MEMBER_ENDED, /**< Another member ended without completing. */
 	DFF_CORE_STOP_START_TIMEOUT,
 	DFF_CORE_STOP_RECOVERY,
 };
 
-/** Why a job has to leave where it is. */
+/** Why a job is preempted. */
 enum dff_core_preempt_cause {
-	/** Others need the available. */
+	/** Another job needs the capacity. */
 	DFF_CORE_PREEMPT_CAPACITY,
-	/** A whole piece comes free when it moves. */
+	/** A whole piece of a rack comes free when the job moves. */
 	DFF_CORE_PREEMPT_DEFRAG,
 	DFF_CORE_PREEMPT_WORKER_STALLED,
 	DFF_CORE_PREEMPT_WORKER_LEAVING,
 };
 
-/** How a job holds what it was given. */
+/** On what terms a job holds its resources. */
 enum dff_core_hold {
 	/** Borrows, and may be preempted. */
 	DFF_CORE_HOLD_SOFT,
-	/** Borrows what no witness needs, and may not be preempted. */
+	/** Borrows what no witness placement needs, and may not be preempted. */
 	DFF_CORE_HOLD_HARD,
 	/** Holds part of a guaranteed shape of its team. */
 	DFF_CORE_HOLD_CLAIM,
@@ -241,90 +248,94 @@
 	bool idempotent;
 	int64_t declared_ms;
 	int32_t max_attempts;
-	/** Index of the label asked for, and of that of the rack with its data; DFF_CORE_NONE: any.
-	 */
+	/** Index of the label asked for, and of the label of the rack that holds its data;
+	 * DFF_CORE_NONE: any. */
 	int32_t label;
 	int32_t data_rack;
-	/** Hash of the spread group's name; with @per_worker 0 there is none. */
+	/** Hash of the name of its spread group; without a group when @per_worker is 0. */
 	uint64_t spread_group;
 	int32_t per_worker;
 	float weight;
-	/** How long its attempt takes by the progress last told, ms; 0: not told. */
+	/** Projected duration of its attempt by the last progress report, ms; 0: no report yet. */
 	int32_t projected_ms;
 
 	enum dff_core_state state;
 	bool cancelled;
 	bool preempted;
-	/** An enum dff_core_preempt_cause, if it is. */
+	/** An enum dff_core_preempt_cause; valid when @preempted. */
 	uint8_t preempt_cause;
-	/** Whether it is placed beside a shape of its team that would hold it but for its pieces.
-	 */
+	/** Whether it is placed outside the shape of its team that would hold it if that shape were
+	 * not fragmented. */
 	bool entitled;
-	/** Whether it is being placed on what is otherwise kept for others. */
+	/** Whether it is placed without regard to headroom, rack reservations and the waits for a
+	 * rack or for data locality. */
 	bool ignores_reservations;
-	/** Whether racks are kept for it. */
+	/** Whether racks are reserved for it. */
 	bool has_reserved_racks;
 	/** Whether any attempt may have run. */
 	bool ever_ran;
-	/** Whether members of the attempt were let go to run. */
+	/** Whether the held members of the attempt were released to run. */
 	bool released;
 	enum dff_core_stop_cause stop_cause;
 	enum dff_core_hold hold;
 	/** Shape that is claimed, with DFF_CORE_HOLD_CLAIM. */
 	int32_t shape;
-	/** Shape that covers it, if any, and its place among those that wait for one. */
+	/** Shape that covers it; DFF_CORE_NONE: none. And its link in the team's list of jobs
+	 * without a cover. */
 	int32_t cover;
 	GList cover_link;
-	/** Whether it is in the account of covers. */
+	/** Whether it takes part in the accounting of covers. */
 	bool cover_tracked;
 	/** 0 to DFF_CORE_PRIORITIES - 1. */
 	int8_t priority;
-	/** Points against it for workers that ended under it. */
+	/** Blame points, for workers that crashed while they ran it. */
 	int8_t blame;
-	/** Which limit of pace its workers have to keep as it is placed, from 1; 0: none. */
+	/** Number of the duration limit that its workers have to keep, from 1; 0: none. */
 	int8_t duration_limit;
 	int32_t attempt;
-	/** Times that it was preempted after it may have run. */
+	/** Number of times it was preempted while running. */
 	int32_t preemptions;
 	int32_t failures;
 	int32_t losses;
 	int32_t start_failures;
 	int32_t refusals;
-	/** Workers it has failed on, the last of them. */
+	/** The last workers on which it failed. */
 	int32_t avoided[DFF_CORE_AVOIDED_MAX];
 	int32_t n_avoided;
 	struct dff_core_estimator *estimator;
-	/** Predicted when it was queued last: median run time, and its logarithm's mean and
-	 * deviation. */
+	/** Estimated when it was last queued: median run time, and mean and standard deviation of
+	 * its logarithm. */
 	int64_t estimate_ms;
 	double log_mean;
 	double log_deviation;
-	/** Run time that earlier attempts have saved. */
+	/** Run time that earlier attempts saved in checkpoints. */
 	int64_t run_ms;
-	/** Time spent in queues before, and since when it is in one. */
+	/** Time spent in queues before, and the time at which it was last queued. */
 	int64_t waited_ms;
 	int64_t queued_ms;
-	/** Of the moment it is being placed: what it may take from others. While it runs: what
-	 * others have to undercut, of @score_ms. */
+	/** While it is being placed: its current score. While it runs: the score that others have
+	 * to undercut to preempt it, as computed at @score_ms. */
 	double score;
 	int64_t score_ms;
 	int64_t submitted_ms;
 	int64_t started_ms;
-	/** When the state's time is up: start, grace, repeat of stop, back-off. */
+	/** Deadline of the state: start timeout, checkpoint grace, repetition of a stop,
+	 * backoff. */
 	int64_t deadline_ms;
-	/** (nullable): one a member, while an attempt exists. */
+	/** (nullable): one for each member, while an attempt or reservation exists. */
 	struct dff_core_member *members;
 	/** (nullable): elements: struct dff_placement, parallel to @members. */
 	GArray *placements;
 	int32_t n_open;
 	int32_t n_started;
-	/** Its place in the queue of its state. */
+	/** Its link in the queue of its state or class. */
 	GList link;
-	/** (nullable): the class it is queued in. */
+	/** (nullable): the class that it is queued in. */
 	struct dff_core_class *queue_class;
 };
 
-/** What makes queued jobs interchangeable to placement. Compared bytewise: zeroed before filled. */
+/** Queued jobs with equal keys are interchangeable to placement. Keys are compared bytewise: zero
+ * them before filling them in. */
 struct dff_core_class_key {
 	int32_t team;
 	int32_t region;
@@ -335,40 +346,42 @@
 	int32_t guaranteed;
 	int32_t idempotent;
 	int32_t estimate_level;
-	/** Hash of what it asks of single workers: label, data, spread group, least else there. */
+	/** Hash of what a job asks of single workers: label, data rack, spread group, isolation. */
 	guint32 worker_constraints;
 };
 
-/** Queued jobs of one key, oldest first: only the head needs to be looked at. */
+/** Queued jobs with equal keys, oldest first: only the head has to be tried. */
 struct dff_core_class {
 	struct dff_core_class_key key;
 	GQueue jobs;
-	/** Of its head, when last ranked. */
+	/** Score of its head when last ranked. */
 	double score;
-	/** Whether its head found no shape in this tick. */
+	/** Whether no shape was found for its head in this tick. */
 	bool unclaimable;
-	/** Whether its head is within what its team is assured of, when last ranked. */
+	/** Whether its head was within what its team is assured of when last ranked. */
 	bool assured;
 };
 
-/** What the pool's weights come to. */
+/** Settings that follow from the pool's weights. */
 struct dff_core_policy {
 	/** Exponent of a job's accelerators in its score. */
 	double width_power;
-	/** Wait after which a job's score is divided by four, on top of its own estimate, ms. */
+	/** Wait, on top of its estimated run time, after which a job's score is divided by four,
+	 * ms. */
 	double ageing_ms;
-	/** Wait after which a job that never ran rises as much again, ms. */
+	/** Wait after which the score of a job that never ran is lowered by as much again, ms. */
 	double first_turn_ms;
-	/** Work that a job without checkpoint may lose to a gang that racks are kept for, ms. */
+	/** Run time up to which a job without checkpoints may be preempted for a gang with reserved
+	 * racks, ms. */
 	double displace_loss_ms;
-	/** Whether jobs are moved to make whole pieces. */
+	/** Whether jobs are moved to free whole pieces of racks. */
 	bool moves_jobs;
 };
 
 struct dff_core {
 	struct dff_core_options options;
 	struct dff_core_policy policy;
-	/** When moves are looked for next. */
+	/** Time at which moves are considered next. */
 	int64_t defrag_ms;
 	int64_t now_ms;
 	GArray *workers; /**< Elements: struct dff_core_worker. */
@@ -379,22 +392,22 @@
 	GArray *shapes;  /**< Elements: struct dff_core_shape, largest first. */
 	GHashTable *worker_index;
 	GHashTable *team_index;
-	/** struct dff_name * (in the job) to struct dff_core_job *. */
+	/** struct dff_name * (owned by the job) to struct dff_core_job *. */
 	GHashTable *jobs;
 	/** struct dff_core_class_key * to struct dff_core_class *. */
 	GHashTable *classes;
-	/** Learned run times by team and service. */
+	/** Run time estimators by team and service. */
 	GHashTable *estimators;
-	/** What tasks of a step have taken where: gint64 * to struct cohort. */
+	/** Task durations by peer group and worker: gint64 * to struct peer_group *. */
 	GHashTable *peer_groups;
-	/** Tasks in them. */
+	/** Number of durations in all peer groups. */
 	guint n_durations;
-	/** Variance of the workers' paces, and of what tasks of one step take on one worker, as
-	 * logarithms. */
+	/** Variance of the logarithm of durations: between workers, and between tasks of one peer
+	 * group on one worker. */
 	float worker_variance;
 	float task_variance;
 	int64_t duration_review_ms;
-	/** Queues by state; deadlines rise along each but @delayed. */
+	/** Queues by state. Deadlines rise along each of them, except in @delayed. */
 	GQueue reserved;
 	GQueue starting;
 	GQueue checkpointing;
@@ -402,20 +415,22 @@
 	GQueue delayed;
 	/** Commands since the last tick. */
 	GArray *pending;
-	/** Whether something may be placed that could not be before. */
+	/** Whether something may be placed that could not be placed before. */
 	bool dirty;
-	/** Whether shapes may have lost their place, or may find one that they had not. */
+	/** Whether shapes may have lost their witness placement, or may find one that they
+	 * lacked. */
 	bool witness_dirty;
-	/** When the queue is looked at again in any case. */
+	/** Time of the next review of the queue, which runs even when nothing has changed. */
 	int64_t review_ms;
 	int32_t evictions_left;
-	/** Whether the queue is run because something came free, not only to look for victims. */
+	/** Whether capacity may have come free since the last run of the queue. Only then are jobs
+	 * placed on free capacity; otherwise only preemption is tried. */
 	bool capacity_freed;
-	/** Jobs that are placed where least else runs. */
+	/** Number of jobs that are placed in isolation. */
 	int32_t n_isolated;
 	int32_t n_rack_reservations;
 	int32_t max_rack_reservations;
-	/** Capacity declared. */
+	/** Declared capacity. */
 	struct dff_resources total;
 	/** Accelerators of the largest guaranteed shape that fits a rack. */
 	int32_t largest_rack_shape;
@@ -458,8 +473,8 @@
 	return job->gang * job->per_task.accelerators;
 }
 
-/** Whether a job has a right to its accelerators: it is urgent, and all that its team has of that
- * kind is within what the team is assured of. */
+/** Whether a job has a right to its accelerators: it is urgent, and the urgent jobs of its team
+ * together ask for no more than the team is assured of. */
 static inline bool
 dff_core_job_is_assured (const struct dff_core *core, const struct dff_core_job *job)
 {
@@ -469,8 +484,9 @@
 	return team->urgent_accelerators <= team->assured_accelerators;
 }
 
-/** Work that may be started again may be preempted. A checkpoint alone is not enough: the task runs
- * on between its checkpoint and its stop, and a resumed job would repeat what it did in between. */
+/** A job may be preempted if it may be started again. A checkpoint alone is not enough: the task
+ * keeps running between its checkpoint and its stop, and a resumed job would repeat what it did in
+ * between. */
 static inline bool
 dff_core_job_preemptible (const struct dff_core_job *job)
 {
--- a/core/cover.c
+++ b/core/cover.c
@@ -1,9 +1,10 @@
 #include "core/core_private.h"
 
-/* Which guaranteed jobs a team's shapes cover, wherever they run. A guaranteed job that finds its
- * team's shapes used up runs as a borrower if it can; when a shape has left again the oldest such
- * job is covered, also one that runs already. Without this account a later job would take the left,
- * and the older one, once preempted, would wait for what was its own. */
+/* Accounting of which guaranteed jobs the shapes of a team cover, wherever they run. A guaranteed
+ * job that finds its team's shapes used up runs as a borrower if it can. When a shape has capacity
+ * left again, the oldest such job is covered, even if it runs already. Without this accounting a
+ * later job would take that capacity, and the older one, once preempted, would wait although the
+ * guarantee was due to it. */
 
 static bool
 region_agrees (const struct dff_core_job *job, const struct dff_core_shape *shape)
@@ -12,7 +13,7 @@
 	       job->region == shape->region;
 }
 
-/* The tightest shape that has left. */
+/* Covers a job by the smallest shape that has enough left. */
 static bool
 cover (struct dff_core *core, struct dff_core_job *job)
 {
--- a/core/defrag.c
+++ b/core/defrag.c
@@ -1,14 +1,14 @@
 #include "core/core_private.h"
 
-/* Checkpoint and move: where a few narrow jobs keep a rack from having one more whole piece free
- * and the fragments_elsewhere of other racks have available for them, they are checkpointed and
- * placed again there. */
+/* Defragmentation by checkpoint and move. Where a few narrow jobs keep a rack from having one more
+ * whole piece free, and the fragments of other racks have capacity for these jobs, they are
+ * preempted with a checkpoint and placed again in the fragments. */
 
 /** Interval, ms. */
 #define DEFRAG_MS 10000
-/** Accelerators that are moved at once at the most. */
+/** Maximum number of accelerators that are moved at once. */
 #define MOVE_MAX 16
-/** Run time before a job is moved, ms: multiplied by the times it was preempted. */
+/** Minimum run time before a job is moved, ms; multiplied by one plus its number of preemptions. */
 #define MOVE_AFTER_MS 120000
 
 static bool
@@ -43,7 +43,7 @@
 	return freed >= missing;
 }
 
-/* Accelerators in the fragments_elsewhere of other racks. */
+/* Returns: free accelerators of other racks that are not part of a whole piece. */
 static int32_t
 fragments_elsewhere (const struct dff_core *core, int32_t except)
 {
--- a/core/estimate.c
+++ b/core/estimate.c
@@ -2,24 +2,24 @@
 
 #include <math.h>
 
-/* Run times. Declared ones are far off, so for each team and service two predictors are learned in
- * logarithms: the declared time times a bounded ratio, and the mean of past runs whatever was
- * declared. They are mixed by how well each has done. */
+/* Run time estimation. Declared run times are far off, so two predictors are learned in logarithms
+ * for each team and service: the declared time multiplied by a bounded ratio, and the mean of past
+ * runs regardless of the declared time. They are weighted by their past errors. */
 
-/** Weight of a new observation once there are enough of them. */
+/** Weight of a new observation once there are many. */
 #define LEARNING_RATE 0.05
-/** Bounds of the ratio of actual to declared time. */
+/** Bound of the logarithm of the ratio of actual to declared time. */
 #define RATIO_MAX_LOG 3.0
-/** Squared errors, in natural logarithms, before anything is known. */
+/** Variance of the error in natural logarithms before there are observations, and its minimum. */
 #define PRIOR_VARIANCE 1.0
 #define VARIANCE_MIN 0.01
 #define MIN_RUN_MS 1000
-/** Least time left of a run whose progress is told, ms. */
+/** Minimum remaining time of a run whose progress is reported, ms. */
 #define PROJECTED_MIN_MS 50
-/** Below this probability of having run so long, the mean residual life is not computed. */
+/** Probability of running this long below which the mean residual life is not computed. */
 #define SURVIVAL_MIN 1e-4
 
-/** Running mean and variance. */
+/** Exponentially weighted mean, and variance of the error. */
 struct dff_core_predictor {
 	double mean;
 	double variance;
@@ -93,7 +93,7 @@
 	predictor_learn (&estimator->actual, actual, rate);
 }
 
-/* Mixes the predictors. Run times are taken as log-normal around the mix. */
+/* Combines the predictors. Run times are assumed to be log-normally distributed. */
 static void
 posterior (const struct dff_core_job *job, double *mean, double *deviation)
 {
@@ -119,7 +119,7 @@
 	job->estimate_ms = (int64_t)exp (job->log_mean);
 }
 
-/* Upper tail of the normal distribution. */
+/* Upper tail of the standard normal distribution. */
 static double
 tail (double x)
 {
@@ -138,8 +138,8 @@
 	double whole = exp (job->log_mean + deviation * deviation / 2.0);
 	if (ran_ms <= 0)
 		return (int64_t)whole;
-	/* Mean residual life: a job that outlives its estimate sinks, because the longer it has run
-	 * the longer it is expected to run still. */
+	/* Mean residual life: the longer a job has run past its estimate, the longer it is expected
+	 * to keep running, so its place in the order falls. */
 	double z = (log ((double)ran_ms) - job->log_mean) / deviation;
 	double survives = tail (z);
 	if (survives < SURVIVAL_MIN)
--- a/core/headroom.c
+++ b/core/headroom.c
@@ -2,19 +2,22 @@
 
 #include <math.h>
 
-/* Headroom: available for what is about to come. Work of a priority leaves free what work before it
- * has needed lately. Symptom without this: urgent jobs find the pool full and wait until somebody's
- * task has stopped, and what that task did is lost; the same tasks are started and stopped again
- * and again. Cause: whatever was idle was given to whoever waited, though what goes first arrives
- * in bursts and the rest can wait for many seconds.
+/*
+ * Headroom: capacity kept free for work that is about to arrive. Work of a priority leaves free
+ * what
+ * higher priorities have needed lately. Without headroom urgent jobs find the pool full, have to
+ * wait until a task is stopped, and the work of that task is lost; the same tasks are started and
+ * stopped again and again. The reason is that urgent work arrives in bursts, whereas other work can
+ * wait for many seconds.
  *
- * The most that was needed at a time counts, and is forgotten slowly, so that a burst leaves its
- * available free for the next. The available is whole workers, the last of each region, so that
- * gangs find racks in it. Work that has waited for long beside a pool that is mostly idle takes it
- * all the same, see is_calm() in place.c. */
+ * The headroom is the largest recent demand, which decays slowly, so that a burst leaves its
+ * capacity free for the next. It consists of whole workers, the last of each region, so that gangs
+ * find racks in it. Work that has waited long while the pool is mostly idle uses it nevertheless,
+ * see may_ignore_reservations() in place.c.
+ */
 
-/** Share of what was needed that is left free: between 0.7 and 1.2 of it no difference was
- * measured in what is served in time, and less leaves more to bulk work. */
+/** Share of the demand that is left free. Values from 0.7 to 1.2 make no difference to the work
+ * served in time, and the smallest leaves most to bulk work. */
 #define HEADROOM_SHARE 0.7
 
 void
@@ -82,11 +85,10 @@
 		update_region (core, dff_core_region_at (core, (int32_t)i));
 }
 
-/* Symptom without this: on a loaded day work of the last priority is put off until its time is up,
- * a whole kind of request unserved. Cause: work of the middle priority that waits for racks, and
- * could not use the available at once, kept it from all work behind it. So work that has waited for
- * as long as it runs leaves free only what the first priority has needed: its slack is being used
- * up, and what it runs on can be cleared again. */
+/* Work that has waited for as long as it runs leaves headroom for the highest priority only: its
+ * slack is being used up, and the capacity it takes can be cleared again by preemption. Guards
+ * against starvation on a loaded day: work of the middle priority that waits for racks, and could
+ * not use the capacity at once, keeps it from all lower priorities until their deadlines pass. */
 int32_t
 dff_core_headroom_level (const struct dff_core *core, const struct dff_core_job *job)
 {
--- a/core/isolation.c
+++ b/core/isolation.c
@@ -1,16 +1,16 @@
 #include "core/core_private.h"
 
-/* Jobs that may have ended their workers are tried one at a time on each worker: where least else
- * runs, and with nothing new beside them where there is another place, until the worker has
- * outlived their start. Symptom without this: jobs that were started beside the one that crashes
- * its workers are blamed, and given up, with it. Cause: all that was lost with one worker is placed
- * again at the same moment, and so together; and whoever is there as the next worker ends looks
- * like the one to blame. */
+/* Placement of jobs that may crash their workers. Such a job is placed in isolation: where least
+ * else runs, one such job on trial a worker, and with no new job beside it where there is another
+ * place, until the worker has survived its start. Guards against blaming the wrong jobs: all jobs
+ * lost with one worker are placed again at the same moment, and so together. Those that run beside
+ * the crashing job when the next worker crashes would get blame points too, and be ended with
+ * it. */
 
-/** How long after its start a job is on trial, ms: by then a worker that has ended is known to be
- * silent. */
+/** Time after its start for which an isolated job is on trial, ms. By then the silence of a crashed
+ * worker has been noticed. */
 #define TRIAL_MS 1500
-/** Puts workers with a job on trial behind all others. */
+/** Sorts workers with a job on trial after all others. */
 #define BESIDE_TRIAL (1 << 28)
 
 void
--- a/core/leaving.c
+++ b/core/leaving.c
@@ -1,12 +1,12 @@
 #include "core/core_private.h"
 
-/* Work on workers that leave. A worker tells how long it will be there at least, and is gone soon
- * after. Symptom without this: a task that does not end in that time is lost with the worker, which
- * nobody tells; it starts again only when the worker's lease has surely lapsed, many seconds later,
- * without what it could have saved. So it is stopped at once where it will not end in time. */
+/* Work on workers that leave. A worker reports the minimum time until it leaves, and is gone soon
+ * after. A task that does not end in that time would be lost with the worker, without a report: it
+ * would start again only when its lease has expired, many seconds later, and without a checkpoint.
+ * So a task that will not end in time is stopped at once. */
 
-/** Time from a stop until it has been carried out and saved, ms: what ends later than that before
- * the worker leaves is not sure to end. */
+/** Time from a stop until it has been carried out and the checkpoint is saved, ms. A task that ends
+ * less than this before the worker leaves may not end in time. */
 #define STOP_DURATION_MS 500
 
 static bool
@@ -31,7 +31,7 @@
 void
 dff_core_review_leaving_worker (struct dff_core *core, int32_t worker)
 {
-	/* What is stopped may leave the list. */
+	/* A copy, because stopping a job may remove it from the list. */
 	g_autoptr (GPtrArray) occupants =
 		g_ptr_array_copy (dff_core_worker_at (core, worker)->occupants, NULL, NULL);
 	for (guint i = 0; i < occupants->len; i++)
--- a/core/lifecycle.c
+++ b/core/lifecycle.c
@@ -2,10 +2,12 @@
 
 #include <string.h>
 
-/** Progress that tells something of the whole, percent: less is mostly the time until it began. */
+/** Progress from which the total duration is projected, percent. A smaller one consists mostly of
+ * the time until the task began. */
 #define PROGRESS_MIN 8
 
-/* The state machine of attempts. Commands go to core->pending and leave with the next tick. */
+/* The state machine of attempts. Commands are collected in core->pending; the next tick returns
+ * them. */
 
 struct dff_command *
 dff_core_emit (struct dff_core *core, enum dff_command_type type, const struct dff_core_job *job)
@@ -203,8 +205,8 @@
 	if (job->state != DFF_CORE_RECORDING)
 		return;
 	job->refusals = 0;
-	/* A worker may have gone between decision and record. Nothing was sent yet, so no member
-	 * is sent at all and the attempt is proven not run. */
+	/* A worker may have gone down between decision and record. Nothing was sent yet, so no
+	 * member is sent at all and the attempt is proven not run. */
 	if (job->cancelled || job->preempted || !every_worker_answers (core, job)) {
 		close_unsent (core, job);
 		dff_core_attempt_finish (core, job);
@@ -229,8 +231,8 @@
 		dff_core_job_end (core, job, DFF_OUTCOME_CANCELLED, "cancelled");
 		return;
 	}
-	/* A store that refuses one record refuses the next: without a back-off the same job would
-	 * be placed and refused at every tick and keep its workers from others. */
+	/* A store that refuses one record probably refuses the next. Without a backoff the same job
+	 * would be placed and refused at every tick and keep its workers from others. */
 	int64_t wait_ms = (int64_t)DFF_CORE_RETRY_MIN_MS << MIN (job->refusals, 6);
 	job->refusals++;
 	dff_core_delay (core, job, MIN (wait_ms, DFF_CORE_RETRY_MAX_MS));
@@ -288,7 +290,8 @@
 	dff_core_attempt_stop (core, job, DFF_CORE_STOP_PREEMPTED);
 }
 
-/* What a worker says about an end, and whether the member may have run by then. */
+/* Converts an event to the end of a member. @ran: (out): whether the member may have run by
+ * then. */
 static bool
 member_end_of_event (const struct dff_core_job *job,
 		     const struct dff_core_member *member,
@@ -303,10 +306,10 @@
 		return true;
 	case DFF_EVENT_TASK_FAILED:
 		*state = DFF_CORE_MEMBER_FAILED;
-		/* Symptom: a gang is started once more than its attempts allow. Sequence: the
-		 * answer to one member's start is late, and another member fails meanwhile. Cause:
-		 * the gang was taken for one that had not begun, whose failures do not count;
-		 * workers at which a gang begins by itself know better. */
+		/* If one member fails while the answer to another member's start is late, the gang
+		 * looks as if it had not begun, although at some workers a gang begins by itself.
+		 * Its failure must count nevertheless, or the gang is started once more than its
+		 * attempts allow: @event->ran reports it. */
 		*ran = job->gang == 1 || job->released || event->ran;
 		return true;
 	case DFF_EVENT_TASK_STOPPED:
@@ -327,7 +330,7 @@
 	}
 }
 
-/* One member's end decides about the others: a gang runs whole or not at all. */
+/* The end of one member may end the others: a gang runs whole or not at all. */
 static void
 after_member_end (struct dff_core *core, struct dff_core_job *job, bool completed)
 {
@@ -339,7 +342,7 @@
 		dff_core_attempt_stop (core, job, DFF_CORE_STOP_MEMBER_ENDED);
 }
 
-/* An end may be heard before the start is. */
+/* The end of a task may be received before its start. */
 static int64_t
 start_ms (const struct dff_core *core, const struct dff_core_job *job)
 {
@@ -381,7 +384,7 @@
 			      const struct dff_event *event)
 {
 	struct dff_core_member *member = &job->members[event->member];
-	/* A late or repeated event about a member that is over must not change its end. */
+	/* A late or repeated event about a member that has ended must not change its end. */
 	if (!member_is_open (member) || member->state == DFF_CORE_MEMBER_IDLE)
 		return;
 	if (event->type == DFF_EVENT_GANG_COMPLETED) {
@@ -407,9 +410,9 @@
 	bool ran;
 	if (!member_end_of_event (job, member, event, &state, &ran))
 		return;
-	/* A worker that says "not started" after it said "started" contradicts itself: what may
-	 * have run stays so, or the job could run twice. A stop's own word on @ran counts, because
-	 * a release that was sent may not have arrived. */
+	/* A worker that reports "not started" after "started" contradicts itself. What may have run
+	 * still may have run, or the job could run twice. For a stopped gang member @ran of the
+	 * event counts, because a release that was sent may not have arrived. */
 	if (state == DFF_CORE_MEMBER_START_FAILED && member->ran)
 		ran = true;
 	if (state == DFF_CORE_MEMBER_STOPPED && member->ran && job->gang == 1)
@@ -444,7 +447,8 @@
 		dff_core_attempt_stop (core, job, DFF_CORE_STOP_CANCELLED);
 		return;
 	default:
-		/* Recording: decided when the record is answered. Stopping: decided at its end. */
+		/* In DFF_CORE_RECORDING the cancellation takes effect when the record is answered,
+		 * in DFF_CORE_STOPPING when the attempt ends. */
 		return;
 	}
 }
--- a/core/order.c
+++ b/core/order.c
@@ -3,13 +3,14 @@
 #include <math.h>
 #include <string.h>
 
-/* Who goes first. Jobs that are alike queue in classes of which only the head is looked at; claims
- * go by age, the others by urgency and score. */
+/* Order of placement. Interchangeable jobs are queued in classes, of which only the head is tried.
+ * Claims go by age, other jobs by urgency and score. */
 
-/** Age at which the score of a running job is computed anew, ms: thousands are compared when a
- * place is looked for, and the logarithms took three quarters of the time at the design size. */
+/** Age at which the score of a running job is recomputed, ms. A search for a place compares
+ * thousands of them, and computing the logarithms each time took three quarters of the time at the
+ * design size. */
 #define SCORE_AGE_MS 5000
-/** How much a team's share of the pool raises its scores. */
+/** Weight of a team's share of the pool in its scores. */
 #define FAIRNESS 0.25
 
 double
@@ -21,7 +22,7 @@
 	if (job->state == DFF_CORE_QUEUED)
 		waited_ms += (double)(core->now_ms - job->queued_ms);
 	double age = 1.0 + waited_ms / (core->policy.ageing_ms + (double)job->estimate_ms);
-	/* What has not run at all yet goes up until it gets its first turn. */
+	/* A job that has never run rises until it has run for the first time. */
 	if (!job->ever_ran && job->state == DFF_CORE_QUEUED)
 		age += waited_ms / core->policy.first_turn_ms;
 	return remaining_ms * pow (width, core->policy.width_power) / (age * age * job->weight);
@@ -37,7 +38,7 @@
 	return job->score;
 }
 
-/* Dominant resource fairness in a mild form: what a team holds of the scarcest thing it uses. */
+/* Mild form of dominant resource fairness: a team's share of the scarcest resource that it uses. */
 static double
 team_share (const struct dff_core *core, const struct dff_core_team *team)
 {
@@ -97,7 +98,7 @@
 	return oldest;
 }
 
-/* Covered jobs are the older ones of a class: it is done at the first that is not. */
+/* In a class the covered jobs are the older ones: stop at the first job that cannot claim. */
 static void
 claim_class (struct dff_core *core, struct dff_core_class *queue_class)
 {
@@ -109,8 +110,8 @@
 	}
 }
 
-/* A team's shapes go to its guaranteed jobs in the order in which they came: a later one that fits
- * better must not make an earlier one wait for what it has a right to. */
+/* The shapes of a team go to its guaranteed jobs in order of submission. A later job that fits
+ * better must not make an earlier one wait for its guarantee. */
 static void
 run_claims (struct dff_core *core)
 {
@@ -126,7 +127,7 @@
 	}
 }
 
-/* What decides whether a job fits, beside its team. */
+/* Hash of the properties, other than the team, that determine whether a job fits. */
 static guint
 shape_hash (const struct dff_core_class_key *key)
 {
@@ -137,7 +138,8 @@
 	return dff_core_class_key_hash (&shape);
 }
 
-/* Whether a job may get available that a younger one of its shape may not yet. */
+/* Whether a job may use capacity, under low load, that a younger one of the same shape may not use
+ * yet. */
 static bool
 has_waited_for_low_load (const struct dff_core *core, const struct dff_core_job *job)
 {
@@ -145,11 +147,11 @@
 	       core->now_ms - job->submitted_ms >= core->options.low_load_wait_ms;
 }
 
-/* Starts the jobs of a class in order. Returns: whether all went. */
+/* Starts the jobs of a class in order. Returns: whether all were started. */
 static bool
 drain_class (struct dff_core *core, struct dff_core_class *queue_class)
 {
-	/* The class goes with its last job: look at the length before the job starts. */
+	/* Starting the last job frees the class: read its length first. */
 	bool last = false;
 	while (!last) {
 		last = queue_class->jobs.length == 1;
@@ -159,7 +161,8 @@
 	return true;
 }
 
-/* Only gangs that need about a rack whole: smaller ones find a place sooner or later. */
+/* Only gangs that need about a whole rack get a reservation: smaller ones find a place without
+ * one. */
 static bool
 needs_rack_reservation (const struct dff_core *core, const struct dff_core_job *job)
 {
@@ -174,7 +177,8 @@
 	bool review = core->now_ms >= core->review_ms && g_hash_table_size (core->classes) > 0;
 	if (!core->dirty && !review)
 		return;
-	/* What a job may use can depend on its wait alone: nothing need come free for that. */
+	/* With retry_without_limit the capacity that a job may use also depends on its wait: a job
+	 * may fit although nothing came free. */
 	core->capacity_freed = core->dirty || core->options.retry_without_limit;
 	core->dirty = false;
 	if (review) {
--- a/core/outcome.c
+++ b/core/outcome.c
@@ -1,6 +1,6 @@
 #include "core/core_private.h"
 
-/* What becomes of a job whose attempt is over. */
+/* Outcomes of attempts: the job ends or is retried. */
 
 void
 dff_core_job_end (struct dff_core *core,
@@ -22,10 +22,11 @@
 	dff_core_job_end (core, job, outcome, reason);
 }
 
-/* Symptom: one job takes a worker away every few seconds, with all that runs there, and is never
- * over. Cause: a run that goes with its worker is nobody's failure, so that it cost its job no
- * attempt. Who shared a worker with such a job must not be ended for it: what counts against a job
- * is weighed by whoever reports it, and survives a change of the process that decides. */
+/* Guards against a job that crashes a worker every few seconds, with all jobs that run there, and
+ * is retried without end: a run lost with its worker is not a failure, so it does not count against
+ * the job's attempts. Jobs that only shared a worker with the crashing job must not be ended for
+ * it: the reporter of the crash weighs the blame points. They are kept across a change of the
+ * holder. */
 bool
 dff_core_job_exceeds_blame_limit (const struct dff_core *core, const struct dff_core_job *job)
 {
@@ -73,7 +74,7 @@
 	dff_core_job_requeue (core, job);
 }
 
-/* An attempt of which nothing ran may be followed by another, whatever the job is. */
+/* An attempt of which nothing ran may be followed by another, even if the job is not idempotent. */
 static void
 finish_not_run (struct dff_core *core, struct dff_core_job *job, const struct attempt_summary *sum)
 {
@@ -94,7 +95,7 @@
 	retry (core, job, DFF_CORE_RETRY_MIN_MS);
 }
 
-/* Work that is not idempotent and may have run is never started again. */
+/* A job that is not idempotent and may have run is never started again. */
 static void
 finish_non_idempotent (struct dff_core *core,
 		       struct dff_core_job *job,
--- a/core/place.c
+++ b/core/place.c
@@ -2,20 +2,20 @@
 
 #include <string.h>
 
-/* Best fit: within what is allowed, the racks and workers that are left with least. */
+/* Placement by best fit: of the racks and workers allowed, those that are left with least. */
 
-/** Lets free accelerators count before free slots. */
+/** Makes free accelerators count before free slots in the order of workers. */
 #define ACCELERATOR_FIRST (1 << 12)
-/** Lets the racks' order count before that of the workers in them. */
+/** Makes the order of racks count before that of the workers in them. */
 #define RACK_FIRST (1 << 20)
-/** Share of the pool in use up to which it counts as mostly idle: half, and a little for what
- * changes while a job is placed. */
+/** Share of the pool in use up to which the load counts as low: half, and a little for changes
+ * while a job is placed. */
 #define LOW_LOAD_SHARE 0.53
-/** Puts racks whose last whole piece a job would break behind all others. */
+/** Sorts racks in which a job would break a whole piece after all others. */
 #define BREAKS_WHOLE_PIECE 1000000
-/** Puts the rack that holds a job's data before all others. */
+/** Sorts the rack that holds a job's data before all others. */
 #define NEAR_DATA (-2)
-/** Then racks with workers that other work leaves free. */
+/** Sorts racks with headroom next. */
 #define HEADROOM_FIRST (-1)
 
 static bool
@@ -65,7 +65,7 @@
 	return false;
 }
 
-/* How many more tasks of the job's spread group a worker may get. */
+/* Returns: how many more tasks of the job's spread group may be placed on a worker. */
 static int32_t
 spread_limit (const struct dff_core_worker *worker, const struct dff_core_job *job, int32_t limit)
 {
@@ -79,10 +79,10 @@
 	return CLAMP (left, 0, limit);
 }
 
-/* Whether a job has waited long enough, and the pool is idle enough, for it to get what is kept for
- * others. Without this a job may wait for ever beside a pool that is nearly empty: for a rack that
- * has lost a worker, or for workers that are left free. Workers that get no work for now count as
- * idle: they are part of what callers have been promised. */
+/* Whether a job has waited long enough, and the load is low enough, for it to use what is kept for
+ * others. Without this a job may wait for ever while the pool is nearly empty: for a rack that has
+ * lost a worker, or for workers kept free as headroom. Workers that get no new work for now count
+ * as capacity: it is part of what callers were promised. */
 static bool
 may_ignore_reservations (const struct dff_core *core, const struct dff_core_job *job)
 {
@@ -127,7 +127,7 @@
 	if (!is_hypothetical (view) && dff_core_worker_on_trial (worker) &&
 	    worker->occupants->len > 0)
 		return 0;
-	/* Most workers are full: told from two numbers instead of whole vectors. */
+	/* Most workers are full: two numbers are compared before whole vectors are computed. */
 	if ((view == DFF_CORE_VIEW_FREE || view == DFF_CORE_VIEW_UNBOUND) &&
 	    (worker->capacity.accelerators - worker->used.accelerators <
 		     job->per_task.accelerators ||
@@ -168,7 +168,8 @@
 			continue;
 		struct dff_resources available =
 			dff_core_worker_available (core, worker, job, view);
-		/* Accelerators first: a task without any keeps off workers that have some left. */
+		/* Accelerators count first, so that a task without any avoids workers that have
+		 * some left. */
 		int32_t left = available.accelerators * ACCELERATOR_FIRST + available.slots;
 		struct candidate candidate = {
 			.worker = index,
@@ -196,7 +197,7 @@
 	return MIN (count, job->gang);
 }
 
-/* Fills from the workers that are left with least. */
+/* Fills the workers that are left with least first. */
 static bool
 fill (GArray *candidates, int32_t *workers, int32_t gang)
 {
@@ -210,7 +211,8 @@
 	return placed == gang;
 }
 
-/* Fills where least work is lost. Returns: the work lost, -1 when there is no available. */
+/* Fills the workers where least work is lost first. Returns: the work lost, core-ms; -1 when the
+ * members do not fit. */
 static int64_t
 fill_evicting (const struct dff_core *core,
 	       const struct dff_core_job *job,
@@ -236,7 +238,7 @@
 		return false;
 	if (is_hypothetical (view))
 		return true;
-	/* A job that leaves its data is several times as slow there: waiting a while pays. */
+	/* A job away from its data runs several times as slow, so a short wait pays off. */
 	if (!job->ignores_reservations && job->data_rack != DFF_CORE_NONE &&
 	    rack->label != job->data_rack &&
 	    core->now_ms - job->submitted_ms < core->options.locality_wait_ms)
@@ -244,7 +246,7 @@
 	return job->ignores_reservations || !dff_core_rack_is_reserved (core, rack, job);
 }
 
-/* Whether the whole gang could be in one rack, by sums alone. */
+/* Whether the whole gang may fit in one rack, by the sums alone. */
 static bool
 rack_may_hold (const struct dff_core_rack *rack,
 	       const struct dff_core_job *job,
@@ -257,7 +259,7 @@
 	       job->gang * job->per_task.slots <= rack->slots;
 }
 
-/* Whether work of the next priority leaves some of a rack's workers free for the first. */
+/* Whether work of the second priority leaves some of a rack's workers free for the first. */
 static bool
 has_headroom (const struct dff_core *core, const struct dff_core_rack *rack)
 {
@@ -267,10 +269,10 @@
 	return dff_core_is_headroom (core, dff_core_worker_at (core, last), 1);
 }
 
-/* What a rack is chosen by, least first. Best fit on what is splintered already: pieces smaller
- * than the largest adjacent shape serve no large gang, so they are used up before a whole one is
- * broken. Work that may not be preempted goes where such work is: one such task keeps a rack from
- * gangs. */
+/* Sort key of a rack, lowest first. Best fit on the fragments: pieces smaller than the largest
+ * guaranteed rack shape serve no large gang, so they are used up before a whole piece is broken.
+ * Work that may not be preempted is placed beside other such work, because one such task keeps
+ * gangs from a rack. */
 static int32_t
 rack_order (const struct dff_core *core,
 	    const struct dff_core_rack *rack,
@@ -297,7 +299,7 @@
 	return breaks ? BREAKS_WHOLE_PIECE + available : piece;
 }
 
-/* The rack with the fewest free accelerators that holds the whole gang. */
+/* Places the gang in the rack that rack_order() prefers. */
 static bool
 place_in_rack (const struct dff_core *core,
 	       const struct dff_core_job *job,
@@ -323,7 +325,7 @@
 	return fill (candidates, workers, job->gang);
 }
 
-/* The rack where least work is lost. */
+/* Places the gang in the rack where least work is lost. */
 static bool
 evict_in_rack (const struct dff_core *core,
 	       const struct dff_core_job *job,
@@ -360,7 +362,7 @@
 	return place_in_rack (core, job, view, workers);
 }
 
-/* Racks @first to @last, as one. */
+/* Fills racks @first to @last as if they were one. */
 static bool
 fill_window (const struct dff_core *core,
 	     const struct dff_core_job *job,
@@ -377,7 +379,7 @@
 	return fill (candidates, workers, job->gang);
 }
 
-/* The shortest run of neighbouring racks of one region that holds the gang. */
+/* Places the gang in the shortest run of neighbouring racks of one region that holds it. */
 static bool
 place_in_neighbours (const struct dff_core *core,
 		     const struct dff_core_job *job,
@@ -411,7 +413,7 @@
 	       fill_window (core, job, view, best_first, best_last, workers);
 }
 
-/* Anywhere in one region: splintered racks first. */
+/* Places the gang anywhere in one region, in racks with few free accelerators first. */
 static bool
 place_in_region (const struct dff_core *core,
 		 const struct dff_core_job *job,
@@ -454,8 +456,8 @@
 	return false;
 }
 
-/* Whether a rack could hold the gang if its workers that are up were empty. A rack that has lost a
- * worker may never hold it again. */
+/* Whether a rack could hold the gang if its usable workers were empty. A rack that has lost a
+ * worker may never hold the gang again. */
 static bool
 fits_some_rack (const struct dff_core *core, const struct dff_core_job *job)
 {
@@ -500,14 +502,14 @@
 		return true;
 	if (job->adjacency == DFF_ADJACENCY_RACK)
 		return false;
-	/* A gang that fits a rack waits for a whole one; only larger ones spread. */
+	/* A gang that fits a rack waits for a whole one; only larger gangs are spread. */
 	if (view != DFF_CORE_VIEW_EMPTY && !job->ignores_reservations &&
 	    !rack_wait_is_over (core, job) && fits_some_rack (core, job))
 		return false;
 	return place_in_neighbours (core, job, view, workers);
 }
 
-/* Whether the rack with a job's data takes any new work. */
+/* Whether the rack with a job's data accepts new work. */
 static bool
 data_rack_is_open (const struct dff_core *core, const struct dff_core_job *job)
 {
@@ -519,7 +521,8 @@
 	return false;
 }
 
-/* Urgent work is late on a slow worker, and a gang takes as long as its slowest member. */
+/* Tries the faster workers first: urgent work would be late on a slow worker, and a gang takes as
+ * long as its slowest member. */
 static bool
 place_on_faster (const struct dff_core *core,
 		 const struct dff_core_job *job,
@@ -547,14 +550,14 @@
 	if (is_hypothetical (view))
 		return false;
 	struct dff_core_job relaxed = *job;
-	/* Nothing comes free on a rack whose workers all leave or are evacuated: to wait there is
-	 * time lost on top of what it takes elsewhere. */
+	/* Nothing comes free in a rack whose workers all leave or are evacuated: waiting there only
+	 * adds to the time that the job takes elsewhere. */
 	if (job->data_rack != DFF_CORE_NONE && !data_rack_is_open (core, job)) {
 		relaxed.data_rack = DFF_CORE_NONE;
 		if (place (core, &relaxed, view, workers))
 			return true;
 	}
-	/* Better a worker on which it failed once than none: the failure may not recur. */
+	/* A worker on which the job failed once is better than none: the failure may not recur. */
 	relaxed.n_avoided = 0;
 	if (job->n_avoided > 0 && place (core, &relaxed, view, workers))
 		return true;
--- a/core/policy.c
+++ b/core/policy.c
@@ -2,18 +2,17 @@
 
 #include <math.h>
 
-/* What the pool's weights mean. Between the two presets the settings change gradually; those that
- * are times or factors, by equal ratios. The values were measured, see
- * docs/decisions/core-order.md.
- */
+/* Translates the pool's weights into settings. Between the two presets the settings change
+ * gradually; times and factors by equal ratios. See docs/decisions/core-order.md for the values. */
 
-/** Share of the fragmentation weight in the two presets. */
+/** Fragmentation share of the weights in the two presets. */
 #define COMPLETION_SHARE 0.3
 #define FRAGMENTATION_SHARE 0.7
 
-/** Exponent of a job's accelerators in its score: 1 orders by area, less favours wide jobs. */
+/** Range of the exponent of a job's accelerators in its score: 1 orders by area, less favours wide
+ * jobs. */
 #define WIDTH_POWER_RANGE 0.75
-/** Settings for completion (C) and fragmentation (F), ms: see struct dff_core_policy. */
+/** Settings for completion (C) and for fragmentation (F), ms: see struct dff_core_policy. */
 #define AGEING_C 28800000.0
 #define AGEING_F 1800000.0
 #define FIRST_TURN_C 14400000.0
--- a/core/quarantine.c
+++ b/core/quarantine.c
@@ -1,20 +1,22 @@
 #include "core/core_private.h"
 
-/* Workers that fail everything, told apart from jobs that fail everywhere. A failure counts against
- * a worker unless the job has failed on other workers before; different jobs failing on one worker
- * with no success between them put it in quarantine. After a while it gets one job as a
- * start_probing: a small one that can be repeated, or, when none comes, any one attempt. A failure
- * of it doubles the time in quarantine. */
+/* Distinguishes workers that fail all jobs from jobs that fail on all workers. A failure counts
+ * against a worker unless the job has failed on other workers before. Different jobs that fail on
+ * one worker, with no success in between, put it in quarantine. After that it gets one job as a
+ * probe: a small job that may be retried or, if none arrives, any one attempt. A failure of the
+ * probe doubles the time in quarantine. */
 
-/** Different jobs in a row that have to fail on a worker. */
+/** Number of different jobs in a row that have to fail on a worker. */
 #define STREAK_LIMIT 2
-/** Failures on other workers after which a job's failures tell nothing about a worker. */
+/** Number of failures on other workers after which a job's failures do not count against a
+ * worker. */
 #define JOB_BLAME_LIMIT 2
-/** Of the workers that are up, one in so many may be set aside at a time, and always one. */
+/** At most one in this many of the workers that are up is in quarantine at a time, but always
+ * one. */
 #define QUARANTINED_SHARE 4
 #define QUARANTINE_MIN_MS 60000
 #define QUARANTINE_MAX_MS 1800000
-/** Wait for a small job that can be repeated, before any attempt may be the start_probing. */
+/** Wait for a small job that may be retried, after which any attempt may be the probe, ms. */
 #define PROBE_WAIT_MS 30000
 
 static void
@@ -53,10 +55,9 @@
 	set_health (core, worker, DFF_CORE_PROBING);
 }
 
-/* Where gangs alone wait, no small job comes to start_probing a worker. Symptom: the gangs that
- * need it wait for ever, though the worker has long been mended. So it takes part again without a
- * start_probing, for one attempt at a time, and one failure of it is enough for the next, longer
- * quarantine. */
+/* Returns a worker to work without a probe, for one attempt at a time; one failure then is enough
+ * for the next, longer quarantine. Guards against gangs that wait for ever for a repaired worker:
+ * where only gangs are queued, no small job arrives to probe it. */
 static void
 put_on_trial (struct dff_core *core, struct dff_core_worker *worker)
 {
@@ -65,7 +66,7 @@
 	set_health (core, worker, DFF_CORE_HEALTHY);
 }
 
-/* Returns: whether @worker waits for a time and not for the end of its start_probing. */
+/* Returns: whether @worker waits for @health_due_ms and not for the end of its probe. */
 static bool
 health_is_timed (const struct dff_core_worker *worker)
 {
@@ -89,10 +90,10 @@
 	return job->n_avoided > 0 && has_failed_on (job, worker);
 }
 
-/* Symptom: a batch of a few dozen jobs that fail wherever they run closes a whole region; no team
- * gets its guaranteed shapes for a minute and longer. Each worker sees different jobs fail, as it
- * would if it were at fault. But workers seldom fail by the quarter at once: beyond that the jobs
- * are blamed. */
+/* Whether another worker may be quarantined. Guards against a batch of a few dozen jobs that fail
+ * wherever they run: each worker sees different jobs fail, as if it were at fault, and a whole
+ * region would be closed, so that no team gets its guaranteed shapes for a minute or longer. A
+ * quarter of the workers seldom fails at once: beyond that the jobs are blamed. */
 static bool
 may_quarantine (const struct dff_core *core)
 {
@@ -102,10 +103,11 @@
 	return core->stats.workers_quarantined < MAX (1, n_up / QUARANTINED_SHARE);
 }
 
-/* A worker that is at fault fails what it starts within moments; work that is at fault fails along
- * the way. Symptom without the difference: urgent gangs, which have two runs, meet a worker that
- * fails everything in both, because each such worker has to fail two of them before it is set
- * aside. Work that has failed elsewhere tells nothing: it may be what fails at once. */
+/* Whether a failure came so early in the run that the worker is blamed alone. A faulty worker fails
+ * what it starts within moments, faulty work fails along the way. Without this distinction each
+ * faulty worker has to fail two jobs before its quarantine, and an urgent gang, which has two
+ * attempts, may fail on such workers in both. Work that has failed elsewhere does not count: it may
+ * be work that fails early anywhere. */
 static bool
 is_early_failure (const struct dff_core *core, const struct dff_core_job *job)
 {
@@ -164,10 +166,10 @@
 		set_health (core, worker, DFF_CORE_HEALTHY);
 }
 
-/* Symptom without the look at the start: a worker that begins to fail what it starts is given
- * dozens of tasks in a few seconds, each of which fails at once and makes available for the next.
- * Sequence: it fails two and is set aside; a run that began before all this completes there, and it
- * counts as sound again. Cause: that run says nothing of what is started now. */
+/* A success counts only if the run began after the last failure. Otherwise a run that began before
+ * a worker became faulty completes there after the quarantine began and makes the worker count as
+ * healthy: it then gets dozens of tasks in a few seconds, each of which fails at once and makes
+ * room for the next. */
 void
 dff_core_note_success (struct dff_core *core, int32_t worker_index, int64_t started_ms)
 {
@@ -211,8 +213,7 @@
 	return wake_ms;
 }
 
-/* A start_probing may fail through no fault of its job: only a job that can be tried again is one.
- */
+/* A probe may fail through no fault of its job, so only a job that may be retried is used. */
 bool
 dff_core_place_probe (const struct dff_core *core, const struct dff_core_job *job, int32_t *worker)
 {
--- a/core/queue.c
+++ b/core/queue.c
@@ -3,9 +3,9 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Queues of jobs that are alike. */
+/* Queues of interchangeable jobs. */
 
-/** Tells jobs that are placed where least else runs from others in the hash of what they want. */
+/** Added to the constraints hash of isolated jobs. */
 #define ISOLATED_HASH 29791
 
 guint
@@ -26,7 +26,7 @@
 	return g_hash_table_new_full (dff_core_class_key_hash, class_key_equal, NULL, g_free);
 }
 
-/* Estimates within a factor of two count as alike. */
+/* Estimates within a factor of two get the same level. */
 static int32_t
 estimate_level (int64_t estimate_ms)
 {
@@ -85,7 +85,8 @@
 	struct dff_core_class *queue_class = class_for (core, job);
 	job->queue_class = queue_class;
 	core->dirty = true;
-	/* Nearly always the newest; a job that comes back after an attempt is mostly the oldest. */
+	/* Nearly every job is the newest; one that returns after an attempt is usually the
+	 * oldest. */
 	GList *before = queue_class->jobs.head;
 	if (before != NULL && dff_core_compare_age (before->data, job) <= 0) {
 		GList *after = queue_class->jobs.tail;
--- a/core/rack_reservation.c
+++ b/core/rack_reservation.c
@@ -1,8 +1,10 @@
 #include "core/core_private.h"
 
-/* Reservations for waiting gangs. Small jobs would otherwise take each accelerator as it comes
- * free, and a gang that needs a rack whole would wait for ever. The racks that come free first are
- * kept: other work may be placed there only when it is gone by then (backfill), or more urgent. */
+/* Rack reservations for waiting gangs. Without them small jobs take each accelerator as it comes
+ * free, and a gang that needs a whole rack waits for ever. The shortest run of neighbouring racks
+ * that would hold the gang is reserved, and of runs of equal length the one expected to be free
+ * first. Other work is placed there only when it is expected to end before that (backfill), or has
+ * precedence. */
 
 static int64_t
 rack_clear_ms (const struct dff_core *core,
@@ -25,7 +27,7 @@
 	return clear_ms;
 }
 
-/* Members that the rack would hold once its other work is gone. */
+/* Number of members that the rack would hold once its other work has ended. */
 static int32_t
 rack_capacity (const struct dff_core *core,
 	       const struct dff_core_rack *rack,
@@ -53,7 +55,7 @@
 	int64_t clear_ms;
 };
 
-/* Neighbouring racks from @first on that would hold the gang. */
+/* Finds the run of neighbouring racks from @first on that would hold the gang. */
 static bool
 window_at (const struct dff_core *core,
 	   const struct dff_core_job *job,
@@ -130,7 +132,8 @@
 {
 	for (guint i = 0; core->n_rack_reservations > 0 && i < core->racks->len; i++) {
 		const struct dff_core_rack *rack = dff_core_rack_at (core, (int32_t)i);
-		/* The estimates that it was chosen by were far off: choose again. */
+		/* The run time estimates by which the racks were chosen were far off: release them,
+		 * so that others can be chosen. */
 		if (rack->reserved_for != NULL &&
 		    rack->expected_free_ms + core->options.rack_reservation_grace_ms < core->now_ms)
 			dff_core_release_racks (core, rack->reserved_for);
--- a/core/reclaim.c
+++ b/core/reclaim.c
@@ -1,23 +1,25 @@
 #include "core/core_private.h"
 
-/* Reclaim: which borrowing work gives way, and jobs that wait until it has. */
+/* Reclaim: which borrowing work is preempted, and jobs that wait until it has ended. */
 
-/** How much lower a job's score has to be to take a borrower's place, and how long the borrower
- * has run at least since its last start, ms. */
+/** Factor by which a job's score has to be lower to preempt a borrower, and minimum run time of the
+ * borrower since its last start, ms. */
 #define OVERTAKE_MARGIN 1.5
 #define OVERTAKE_MIN_RUN_MS 30000
-/** Preemptions after which that time grows no more. */
+/** Number of preemptions after which that run time does not grow any more. */
 #define OVERTAKE_STEPS 10
-/** A gang that racks are kept for displaces jobs this many times narrower than it. */
+/** A gang with reserved racks preempts jobs that are at least this many times narrower than
+ * itself. */
 #define DISPLACE_WIDTH_RATIO 4
-/** Time left of a run below which it is this much dearer to stop, ms: a stop takes about as long.
- */
+/** Remaining run time below which a run costs ENDS_SOON_FACTOR times as much to stop, ms. A stop
+ * takes about as long. */
 #define ENDS_SOON_MS 1200
 #define ENDS_SOON_FACTOR 4
-/** How much dearer urgent work is to stop than other work: somebody waits for it. */
+/** Factor by which urgent work costs more to stop than other work, because a user waits for it. */
 #define URGENT_LOSS_FACTOR 10
 
-/* Small jobs in the racks kept for a gang move elsewhere rather than hold the gang up. */
+/* Whether a small job in the racks reserved for a gang is preempted: it can run elsewhere and must
+ * not hold up the gang. */
 static bool
 may_displace (const struct dff_core *core,
 	      const struct dff_core_job *job,
@@ -31,8 +33,8 @@
 	       core->now_ms - occupant->started_ms < (int64_t)core->policy.displace_loss_ms;
 }
 
-/* Borrowing work gives way to other borrowing work only when that is much shorter, and when little
- * of what it did is lost. */
+/* Borrowing work is preempted for other borrowing work only when that is much shorter, and when
+ * little of the work done is lost. */
 static bool
 may_overtake (const struct dff_core *core,
 	      const struct dff_core_job *job,
@@ -59,8 +61,9 @@
 		return false;
 	if (job->hold == DFF_CORE_HOLD_CLAIM || job->entitled)
 		return true;
-	/* Symptom: a team does not get what is its own, because others' urgent work has come first.
-	 * Cause: urgent work never gave way, also where its team had more than it is assured of. */
+	/* Urgent work is preempted for other urgent work if its team uses more than it is assured
+	 * of and the other team does not. Otherwise a team would not get its assured accelerators
+	 * when urgent work of others came first. */
 	if (occupant->urgent)
 		return dff_core_job_is_assured (core, job) &&
 		       !dff_core_job_is_assured (core, occupant);
@@ -73,7 +76,8 @@
 	return job->preempted || job->cancelled || job->state == DFF_CORE_STOPPING;
 }
 
-/* An accelerator counts as many cores as go with it on the pool's workers, a slot as one. */
+/* An accelerator counts as many cores as there are for each accelerator in the pool, a slot as
+ * one. */
 int64_t
 dff_core_job_footprint (const struct dff_core *core, const struct dff_core_job *job)
 {
@@ -92,8 +96,8 @@
 	int64_t age_ms = job->state == DFF_CORE_RUNNING ? core->now_ms - job->started_ms : 0;
 	if (job->checkpoint)
 		age_ms = MIN (age_ms, core->options.checkpoint_loss_ms);
-	/* What was preempted before is dearer, or the same job would give way for ever. */
-	/* What ends soon anyway is not worth stopping. */
+	/* Each earlier preemption raises the cost, or the same job would be preempted for ever. */
+	/* A run that ends soon anyway is not worth stopping. */
 	bool ends_soon = job->projected_ms > 0 && job->state == DFF_CORE_RUNNING &&
 			 dff_core_remaining_ms (core, job) < ENDS_SOON_MS;
 	int64_t times = (int64_t)(1 + job->preemptions) * (job->urgent ? URGENT_LOSS_FACTOR : 1);
@@ -109,8 +113,8 @@
 	       (shortage->accelerators < 0 && occupant->per_task.accelerators > 0);
 }
 
-/* The cheapest occupant, not yet in @victims, whose end brings the worker nearer to having
- * available. */
+/* Returns: the cheapest occupant, not yet in @victims, whose end reduces the shortage of the
+ * worker; NULL: none. */
 static struct dff_core_job *
 next_victim (const struct dff_core *core,
 	     const struct dff_core_worker *worker,
@@ -145,7 +149,8 @@
 	}
 }
 
-/* Fills @victims until @times members fit. Returns: work lost; INT64_MAX: they never fit. */
+/* Adds to @victims until @times members fit. Returns: work lost, core-ms; INT64_MAX: they never
+ * fit. */
 static int64_t
 find_victims (const struct dff_core *core,
 	      const struct dff_core_worker *worker,
@@ -215,7 +220,7 @@
 			   const struct dff_core_job *job,
 			   const int32_t *workers)
 {
-	/* A gang is a victim once, on however many of the workers it is. */
+	/* A gang counts as a victim once, on however many of the workers it runs. */
 	g_autoptr (GPtrArray) victims = g_ptr_array_new ();
 	for (int32_t i = 0; i < job->gang; i++) {
 		bool is_first = count_on (workers, i, workers[i]) == 0;
@@ -287,7 +292,8 @@
 	return count;
 }
 
-/* Whether every member fits on what is not leased, reservations aside. */
+/* Whether every member fits on what is not leased, and with @less_reserved not reserved for others
+ * either. */
 static bool
 fits_now (const struct dff_core *core, const struct dff_core_job *job, bool less_reserved)
 {
@@ -391,8 +397,8 @@
 	for (GList *link = core->reserved.head; link != NULL; link = next) {
 		next = link->next;
 		struct dff_core_job *job = link->data;
-		/* A victim may not answer, or a worker may go: the job looks for another place
-		 * instead of waiting on this one for ever. */
+		/* A victim may not answer, or a worker may leave: the job is queued again to find
+		 * another place instead of waiting here for ever. */
 		if (job->deadline_ms <= core->now_ms || !workers_are_usable (core, job)) {
 			dff_core_unreserve (core, job);
 			dff_core_job_requeue (core, job);
--- a/core/recover.c
+++ b/core/recover.c
@@ -1,7 +1,7 @@
 #include "core/core_private.h"
 
-/* A row found at take-over. What runs on goes on; what cannot be proven to run is stopped, and the
- * workers' answers decide its end. */
+/* Recovery of rows found at a takeover. Members that are known to run continue. An attempt with a
+ * member that is not known to run is stopped, and the workers' answers determine the outcome. */
 
 static void
 adopt_member (struct dff_core *core,
@@ -12,14 +12,15 @@
 {
 	struct dff_core_member *member = &job->members[index];
 	g_array_append_val (job->placements, *placement);
-	/* A worker that the pool does not declare any more may be declared again while the task
-	 * still runs there: its accelerators must not look free then. */
+	/* The pool may no longer declare the worker and may declare it again while the task still
+	 * runs there: the accelerators must not look free then. */
 	member->worker = dff_core_intern_worker (core, &placement->worker);
 	member->state = running ? DFF_CORE_MEMBER_STARTED : DFF_CORE_MEMBER_SENT;
 	member->ran = running;
 	job->n_started += running;
-	/* A member that is over leaves its accelerators to others while its gang's row still names
-	 * them. Until the workers' answers tell which row holds them, both do, and nobody else. */
+	/* A member that has ended leaves its accelerators to others while its gang's row still
+	 * names them. Until the workers' answers show which row holds them, both rows do, and no
+	 * other job gets them. */
 	struct dff_core_worker *worker = dff_core_worker_at (core, member->worker);
 	if ((worker->leased & placement->accelerators) != 0)
 		worker->overlapping = true;
@@ -43,7 +44,7 @@
 	job->members = g_new0 (struct dff_core_member, (gsize)job->gang);
 	job->placements = g_array_new (FALSE, TRUE, sizeof (struct dff_placement));
 	job->n_open = job->gang;
-	/* The former holder may have released the gang just before it went. */
+	/* The former holder may have released the gang just before it failed. */
 	job->released = true;
 	for (int32_t i = 0; i < job->gang; i++) {
 		adopt_member (core, job, i,
@@ -76,7 +77,8 @@
 	struct dff_core_job *job = dff_core_job_add (core, spec);
 	job->attempt = recovered->attempt;
 	job->cancelled = recovered->cancelled;
-	/* An earlier attempt of idempotent work may have run: it can no longer be "not run". */
+	/* An earlier attempt of idempotent work may have run, so the outcome can no longer be "not
+	 * run". */
 	job->ever_ran = recovered->attempt > 0 && job->idempotent;
 	if (recovered->open && recovered_is_complete (job, recovered)) {
 		resume_attempt (core, job, recovered);
--- a/core/relative_duration.c
+++ b/core/relative_duration.c
@@ -4,49 +4,53 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Workers of unlike speed. No worker tells how fast it is. Tasks of one step are alike but for some
- * spread, so that what they take on different workers, set against the step's median, tells the
- * workers apart; what a step takes in all tells nothing, as run times are declared far off. Beliefs
- * are in logarithms of time: a worker's is normal around the mean of all. How far workers differ,
- * and how far tasks on one worker do, is learned from the same times: so where all workers are
- * alike none counts as slow, however uneven the tasks are. */
+/* Relative durations: how fast workers are compared to each other. Workers do not report their
+ * speed. Tasks of one step (a peer group) take about equally long, so the duration of a task on a
+ * worker, relative to the median of its peer group, tells how fast the worker is. The total
+ * duration of a step tells nothing, because declared run times are far off. Estimates are in
+ * logarithms of time; a worker's relative duration is assumed to be normally distributed around the
+ * mean of all workers. The variance between workers and the variance of tasks on one worker are
+ * learned from the same samples, so that no worker counts as slow where all are alike, however
+ * uneven the tasks are. */
 
-/** Spread of tasks and of workers before anything is known, as variances of logarithms, and their
- * least: a worker's belief is worked out by both. */
+/** Variances of the logarithms, of tasks and of workers, before there are samples, and the least
+ * variance. Their quotient weighs a worker's samples against the mean. */
 #define TASK_VARIANCE 0.07F
 #define WORKER_VARIANCE 0.0004F
 #define VARIANCE_MIN 0.0004F
-/** Difference to the median at the most: some tasks are several times as long as others, which is
- * not their workers' doing. */
+/** Largest difference to the median that counts: some tasks take several times as long as others,
+ * which their workers do not cause. */
 #define DIFFERENCE_MAX 0.8
-/** Spread of the workers' paces, as a deviation of logarithms, up to which they count as alike. */
+/** Standard deviation of the workers' relative durations, in logarithms, up to which they count as
+ * equally fast. */
 #define ALIKE_SPREAD 0.15
-/** Tasks of a step that have to be known before their workers are compared. */
+/** Number of samples that a peer group needs before its workers are compared. */
 #define GROUP_MIN 3
-/** Tasks that are weight, of a step and of all. */
+/** Maximum number of samples in one peer group, and in all. */
 #define GROUP_MAX 256
 #define SAMPLES_MAX 8192
-/** Time in which what was sample loses two thirds of its weight, and all of it, ms: workers may
- * turn slow and recover. */
+/** Age at which a sample has lost two thirds of its weight, and age at which it is dropped, ms.
+ * Workers may become slow and recover. */
 #define DECAY_MS 30000
 #define EXPIRY_MS 120000
-/** Time between two looks at all that was sample, ms, and passes over it: each goes by the beliefs
- * of the one before. */
+/** Interval of updates, ms, and number of passes in each: a pass uses the relative durations that
+ * the one before computed. */
 #define REVIEW_MS 500
 #define PASSES 2
-/** Workers that have to be known before their spread is learned. */
+/** Minimum number of sampled workers, and of further samples on them, from which the variances are
+ * learned. */
 #define SAMPLED_MIN 12
-/** Weight of the workers' spread as it is now against what was learned before. */
+/** Weight of the current variance between workers against the learned one. */
 #define SPREAD_RATE 0.3F
 
-/** Parts of a logarithm of 1 in a worker's pace, and the largest pace. */
+/** Units of a worker's relative duration in a logarithm of 1, and its maximum as a logarithm. */
 #define LOG_PARTS 1000.0F
 #define LOG_MAX 30.0F
 
-/** What a task of a step took. */
+/** Duration of a task of a peer group. */
 struct sample {
 	int32_t worker;
-	/** Logarithm of the time that the whole task takes there, ms. */
+	/** Logarithm of the projected duration of the whole task on the worker, ms. */
 	float log_ms;
 };
 
@@ -84,7 +88,7 @@
 	return (*one > *other) - (*one < *other);
 }
 
-/* What the step's tasks take on a worker like the mean. */
+/* Logarithm of the duration of the group's tasks on a worker of average speed. */
 static float
 group_median (const struct dff_core *core, const struct peer_group *group)
 {
@@ -98,7 +102,7 @@
 	return logs[group->samples->len / 2];
 }
 
-/** What was sample of a worker: differences to the medians of steps, faded by age. */
+/** Sums of a worker's samples: differences to the medians of their peer groups, weighted by age. */
 struct sum {
 	float count;
 	float total;
@@ -120,7 +124,7 @@
 	}
 }
 
-/* Forgets the step that was sample last the longest ago. */
+/* Drops the peer group whose last sample is the oldest. */
 static void
 drop_oldest (struct dff_core *core)
 {
@@ -208,7 +212,7 @@
 	}
 }
 
-/* One pass over all that was sample. */
+/* Computes the relative duration of all workers in one pass over the samples. */
 static void
 update_workers (struct dff_core *core, struct sum *sums)
 {
@@ -229,8 +233,8 @@
 	}
 }
 
-/* Analysis of variance: how far tasks on one worker differ, and by how much more those on different
- * workers do. */
+/* Analysis of variance: how far the durations of tasks on one worker differ, and by how much more
+ * those on different workers do. */
 static void
 update_variances (struct dff_core *core, const struct sum *sums)
 {
@@ -272,7 +276,8 @@
 	core->stats.duration_spread = sqrt (core->worker_variance);
 }
 
-/** Limits of pace for urgent work, tried one after the other, in deviations from the mean. */
+/** Limits of relative duration for urgent work, tried in this order, in standard deviations from
+ * the mean. */
 static const float duration_limits[] = {-0.5F, 0.0F, 0.5F, 1.0F};
 
 bool
--- a/core/resources.c
+++ b/core/resources.c
@@ -1,6 +1,6 @@
 #include "core/core_private.h"
 
-/* Arithmetic on capacity vectors. */
+/* Arithmetic on resource vectors. */
 
 void
 dff_resources_add (struct dff_resources *sum, const struct dff_resources *term, int32_t times)
--- a/core/start.c
+++ b/core/start.c
@@ -1,6 +1,6 @@
 #include "core/core_private.h"
 
-/* Ways in which a queued job may get its place. */
+/* Ways in which a queued job can be started: by a claim, on free capacity, by preemption. */
 
 /** Wait after which urgent work that may not be preempted uses its own team's guarantee, ms. */
 #define OWN_GUARANTEE_DELAY_MS 2000
@@ -26,10 +26,10 @@
 	return true;
 }
 
-/* Whether an urgent job would throw away more work than it is worth. Symptom without this: a small
- * job that somebody waits for stops a wide gang that has run for seconds, and the gang does all of
- * it again; more is lost for those who wait for the gang than is won. A team's right to its own
- * accelerators goes before that, in time. */
+/* Whether an urgent job would lose more work of others than it is worth. Without this check a small
+ * interactive job stops a wide gang that has run for seconds, and the gang repeats all of it: the
+ * users of the gang lose more than is gained. After evict_unlimited_after_ms a team's right to its
+ * own accelerators takes precedence. */
 static bool
 evicts_too_much_work (const struct dff_core *core,
 		      const struct dff_core_job *job,
@@ -46,8 +46,8 @@
 	return lost > options->evict_work_ratio * own;
 }
 
-/* Preemption for borrowing work looks at every occupant, so that it is tried for a few
- * only, and not for work without accelerators. */
+/* Preemption by borrowing work scans every occupant, so it is tried for a few jobs only, and not
+ * for jobs without accelerators. */
 static bool
 place_evicting (struct dff_core *core,
 		struct dff_core_job *job,
@@ -55,7 +55,8 @@
 		int32_t *workers)
 {
 	bool slots_only = dff_core_job_accelerators (job) == 0;
-	/* Those who wait for victims do not count in a spread group yet, so its jobs never do. */
+	/* Reserved jobs do not count in their spread group yet, so jobs of a spread group never
+	 * preempt. */
 	if (job->per_worker > 0)
 		return false;
 	if (!job->urgent && (core->evictions_left <= 0 || slots_only))
@@ -67,7 +68,7 @@
 	       !(job->urgent && evicts_too_much_work (core, job, workers));
 }
 
-/* What did not fit before fits now only if something came free. */
+/* A job that did not fit before fits now only if something came free. */
 static bool
 place_if_freed (struct dff_core *core,
 		const struct dff_core_job *job,
@@ -102,7 +103,7 @@
 				   sign);
 }
 
-/* Free accelerators that are some shape's home can serve when the shape finds another one. */
+/* Places a job on free accelerators of a witness placement if the shape finds another one. */
 static bool
 place_displacing (struct dff_core *core, struct dff_core_job *job, int32_t *workers)
 {
@@ -114,8 +115,9 @@
 	return fits;
 }
 
-/* Its team's guaranteed jobs may come at any moment, so that work which may not be preempted uses
- * the guarantee only when there is no other place for it in the whole pool, or somebody waits. */
+/* Guaranteed jobs of the team may arrive at any moment. Work that may not be preempted therefore
+ * uses the guarantee only when it could be placed nowhere else in the whole pool, or is urgent and
+ * has waited. */
 static bool
 may_use_guarantee (const struct dff_core *core, const struct dff_core_job *job)
 {
@@ -125,7 +127,7 @@
 	return !dff_core_place (core, job, DFF_CORE_VIEW_EMPTY_LESS_WITNESSES, workers);
 }
 
-/* Work that may not be preempted: only where no witness needs the place. */
+/* Starts work that may not be preempted: only where no witness placement needs the capacity. */
 static bool
 start_hard (struct dff_core *core, struct dff_core_job *job)
 {
@@ -139,8 +141,9 @@
 	return true;
 }
 
-/* Jobs of one team that claim pieces of a shape may leave pieces on several workers that no further
- * job fits. The team has a right to them, so that the job gets other accelerators instead. */
+/* Places a covered job outside its shape. Jobs of one team that claim parts of a shape may leave
+ * parts on several workers that no further job fits. The team has a right to them, so the job gets
+ * other accelerators instead. */
 static bool
 start_entitled (struct dff_core *core, struct dff_core_job *job)
 {
--- a/core/tables.c
+++ b/core/tables.c
@@ -95,7 +95,8 @@
 	job->id = spec->id;
 	job->team = dff_core_find_team (core, &spec->team);
 	job->region = dff_core_find_region (core, &spec->region);
-	/* A region without racks today is not "any region": the job waits for its racks. */
+	/* A region without racks at the moment does not mean "any region": the job waits for its
+	 * racks. */
 	if (core->options.retry_without_limit && !dff_name_is_empty (&spec->region))
 		job->region = dff_core_intern_region (core, &spec->region);
 	job->gang = spec->gang;
@@ -231,7 +232,7 @@
 	worker->overloaded = !dff_resources_covered (&unused) || !dff_resources_covered (&unbound);
 }
 
-/* Accelerators that a worker adds to what its rack has free. */
+/* Returns: what a worker contributes to the free accelerators of its rack. */
 static int32_t
 free_accelerators (const struct dff_core_worker *worker)
 {
@@ -268,7 +269,7 @@
 		dff_resources_add (&dff_core_team_at (core, job->team)->used, &job->per_task, 1);
 }
 
-/* Counts the leases of one occupant anew. Returns: whether they are not disjoint from @leased. */
+/* Adds the leases of one occupant to @leased. Returns: whether some were in @leased already. */
 static bool
 gather_leases (const struct dff_core_job *job, int32_t worker, uint64_t *leased)
 {
--- a/core/witness.c
+++ b/core/witness.c
@@ -2,12 +2,12 @@
 
 #include <string.h>
 
-/* Witness packing: every guaranteed shape has a home, a concrete set of accelerators that are free
- * or held by work that may be preempted. Homes are disjoint and count as bound, so that no work
- * that can't be preempted is placed on them. "A team can always reclaim its shape" is then a
- * property of the tables that dff_core_check() verifies, not a hope. */
+/* Witness placement: every guaranteed shape has a concrete set of accelerators that are free or
+ * held by work that may be preempted. Witness placements are disjoint and count as bound, so that
+ * no work that may not be preempted is placed on them. That a team can always reclaim its shape is
+ * thus an invariant of the tables, which dff_core_check() verifies. */
 
-/* Slots of a worker that go with @count of its accelerators, rounded up. */
+/* Returns: slots of a worker that go with @count of its accelerators, rounded up. */
 static int32_t
 slots_with (const struct dff_core_worker *worker, int32_t count)
 {
@@ -37,7 +37,7 @@
 	dff_resources_add (&worker->witnesses, &share, sign);
 }
 
-/* Accelerators of a worker that a shape's home may still take. */
+/* Returns: accelerators of a worker that witness placements may still take. */
 static int32_t
 unbound (const struct dff_core_worker *worker)
 {
@@ -47,7 +47,7 @@
 	struct dff_resources one = dff_core_worker_share (worker, 1);
 	one.slots = 0;
 	int32_t count = dff_resources_fits (&available, &one, worker->capacity.accelerators);
-	/* Where slots are kept for short requests, several accelerators share one slot. */
+	/* Where slots are dedicated to requests, several accelerators share one slot. */
 	while (count > 0 && slots_with (worker, count) > available.slots)
 		count--;
 	return count;
@@ -129,8 +129,8 @@
 	candidate->unbound = 0;
 }
 
-/* Whole workers first: a home made of fragments on many workers could not hold a task that needs
- * several accelerators of one worker. Returns: what is left of @size. */
+/* Takes whole workers first: a witness placement made of fragments on many workers could not hold a
+ * task that needs several accelerators of one worker. Returns: what is left of @size. */
 static int32_t
 take_whole (GArray *candidates, int32_t size, GArray *parts)
 {
@@ -215,8 +215,8 @@
 	return best_room < INT32_MAX;
 }
 
-/* Neighbouring racks from @first on until the shape is whole. @fragments: pieces smaller than a
- * worker count. */
+/* Packs a shape into neighbouring racks @first to @last. @fragments: whether pieces smaller than a
+ * worker may be used. */
 static bool
 pack_window (const struct dff_core *core,
 	     const struct dff_core_shape *shape,
@@ -242,7 +242,7 @@
 	return left == 0;
 }
 
-/* The shortest run of neighbouring racks with available for the shape. */
+/* Packs a shape into the shortest run of neighbouring racks that can hold it. */
 static bool
 pack_in_neighbours (const struct dff_core *core,
 		    const struct dff_core_shape *shape,
@@ -284,7 +284,8 @@
 	return false;
 }
 
-/* @fragments: better a home in pieces, over several racks, than none. */
+/* Finds a witness placement for a shape. @fragments: whether one in pieces over several racks is
+ * accepted; it is better than none. */
 static bool
 pack (struct dff_core *core, struct dff_core_shape *shape, bool fragments)
 {
@@ -326,9 +327,10 @@
 	return copy;
 }
 
-/* Packs the shapes in @displaced, largest first. Returns: false when one has no place. A home in
- * pieces is none here: work that may not be preempted would take a rack from a team bit by bit, and
- * the team's gang, which needs it whole, would wait for that work to end. */
+/* Packs the shapes in @displaced, largest first. Returns: false when one does not fit. A witness
+ * placement in pieces is not accepted here: otherwise work that may not be preempted would take a
+ * rack from a team bit by bit, and the team's gang, which needs the whole rack, would wait for that
+ * work to end. */
 static bool
 pack_displaced (struct dff_core *core, const GArray *displaced)
 {
@@ -340,7 +342,7 @@
 	return true;
 }
 
-/* All give their new places up before any takes its old one back. */
+/* All shapes release their new placements before any takes its former one back. */
 static void
 restore_displaced (struct dff_core *core, const GArray *displaced, const GPtrArray *saved)
 {
@@ -378,8 +380,8 @@
 	return false;
 }
 
-/* A claimed shape stays where its jobs are; only parts that nobody claims and that lie on workers
- * which take no new work are given up. */
+/* A claimed shape stays where its jobs run. Only unclaimed parts on workers that are unusable or
+ * bound beyond their capacity are released. */
 static void
 prune_claimed (struct dff_core *core, struct dff_core_shape *shape)
 {
--- a/include/core/core.h
+++ b/include/core/core.h
@@ -10,86 +10,89 @@
 #include "pool/pool.h"
 
 /*
- * The decision core of one cell: tables of entities and systems that run over them each tick. Pure:
- * input is events and a time, output is commands. No I/O, no global state, no wall clock, no
- * unseeded random number. The only part that may decide who runs where.
+ * The decision core of one cell: tables of entities, and systems that run over them in each tick.
+ * It
+ * is deterministic: events and the time go in, commands come out. It does no I/O, has no global
+ * state, reads no wall clock and draws no unseeded random number. No other part decides which job
+ * runs where.
  *
- * Life of an attempt, with the commands (>) and the events (<) that answer them:
+ * Lifecycle of an attempt, with the commands (>) and the events (<) that answer them:
  *
- *   > RECORD_START      the start intent, with every placement, is to be made durable
- *   < ATTEMPT_RECORDED  it is (or < ATTEMPT_REFUSED: it was not and will not be)
+ *   > RECORD_START      make the start intent, with every placement, durable
+ *   < ATTEMPT_RECORDED  it is durable (or < ATTEMPT_REFUSED: it is not and will not be)
  *   > START_TASK        one for each member; gangs are started held (throttled to nothing)
  *   < TASK_STARTED      the worker holds the member (or < TASK_START_FAILED: proven not started)
- *   > RELEASE_TASK      gangs only, once every member is held: from here on the job may have run
+ *   > RELEASE_TASK      gangs only, once every member is held; from here on the job may have run
  *   < TASK_COMPLETED / TASK_FAILED / TASK_LOST
  *   > CHECKPOINT_TASK   preemption: < TASK_CHECKPOINTED, then
- *   > STOP_TASK         < TASK_STOPPED: stopped, or never seen and refused from now on (tombstone)
- *   > RECORD_END        the outcome is to be made durable; < OUTCOME_RECORDED frees the entry
+ *   > STOP_TASK         < TASK_STOPPED: stopped, or unknown and refused from now on (tombstone)
+ *   > RECORD_OUTCOME    make the outcome durable; < OUTCOME_RECORDED frees the entry
  *
- * Because held members have not run, a gang that fails before RELEASE_TASK is proven not run.
+ * Held members have not run, so a gang that fails before RELEASE_TASK is proven not run.
  */
 
 struct dff_core;
 
 struct dff_core_options {
-	/** Seed of every random choice. */
+	/** Seed of all random choices. */
 	uint64_t seed;
-	/** A member not confirmed this long after START_TASK fails its attempt, ms. */
+	/** Time after START_TASK at which an unconfirmed member fails its attempt, ms. */
 	int32_t start_timeout_ms;
-	/** Time from CHECKPOINT_TASK until STOP_TASK is sent regardless, ms. */
+	/** Time after CHECKPOINT_TASK at which STOP_TASK is sent even without an answer, ms. */
 	int32_t checkpoint_grace_ms;
-	/** Jobs that no worker could hold wait for one, and lost or rejected attempts are repeated
-	 * without limit: the list of workers lags, so that today's answer may be wrong. */
+	/** Jobs that no worker can hold wait for one, and lost or rejected attempts are repeated
+	 * without limit. Set where the list of workers lags behind, so that a job may become
+	 * runnable later. */
 	bool retry_without_limit;
-	/** Points against a job, for workers that ended under it, at which it is given up; 0: it
-	 * never is for that reason. */
+	/** Blame points, for workers that crashed while they ran the job, at which it is ended as
+	 * failed; 0: no limit. */
 	int32_t blame_limit;
-	/** Points at which it is placed where least else runs; 0: it never is for that reason. */
+	/** Blame points at which a job is placed in isolation; 0: never. */
 	int32_t isolation_blame;
-	/** Wait after which a job's score is divided by four, on top of its own estimate, ms; 0:
-	 * what the pool's weights say. */
+	/** Wait, on top of its estimated run time, after which a job's score is divided by four,
+	 * ms; 0: as the pool's weights give it. */
 	double ageing_ms;
-	/** First stay of a worker in quarantine, ms; 0: the default. */
+	/** Length of a worker's first quarantine, ms; 0: the default. */
 	int64_t quarantine_ms;
-	/** Share of its expected run time within which a run's failure counts as the worker's fault
-	 * alone; 0: time does not tell. */
+	/** Share of the expected run time within which a failure alone is enough to blame the
+	 * worker; 0: the time of a failure is not considered. */
 	double early_failure_share;
-	/** How long a job waits for room near its data before it goes elsewhere, ms. */
+	/** Time that a job waits for capacity near its data before it is placed elsewhere, ms. */
 	int64_t locality_wait_ms;
-	/** How long a gang that fits a rack waits for a whole one before it spreads, ms; 0: for
-	 * ever. */
+	/** Time that a gang that fits a rack waits for a whole rack before it is spread over
+	 * several, ms; 0: without limit. */
 	int64_t rack_wait_ms;
-	/** The same for urgent gangs. */
+	/** As rack_wait_ms, for urgent gangs. */
 	int64_t urgent_rack_wait_ms;
-	/** Wait after which a job gets room that is kept from it for the sake of others, as long as
-	 * less than half of the pool is in use, ms; 0: never. */
+	/** Wait after which a job may use capacity that is kept free or reserved for others, while
+	 * at most about half of the pool is in use, ms; 0: never. */
 	int64_t low_load_wait_ms;
-	/** Wait after which racks are kept for a gang, ms. */
+	/** Wait after which racks are reserved for a gang, ms. */
 	int64_t rack_reservation_delay_ms;
-	/** Time past the expected one that they are kept, ms. */
+	/** Time past the expected one after which a rack reservation is released, ms. */
 	int64_t rack_reservation_grace_ms;
-	/** Gangs at once for which racks are kept. */
+	/** Number of gangs that racks are reserved for at a time. */
 	int32_t max_rack_reservations;
-	/** Run time up to which a job without checkpoints is started anew when its worker stalls,
-	 * ms. */
+	/** Run time up to which a job without checkpoints is restarted elsewhere when its worker
+	 * stalls, ms. */
 	int64_t stall_restart_max_ms;
 	/** Run time that is lost when a task with checkpoints is stopped and started again, ms. */
 	int64_t checkpoint_loss_ms;
-	/** Work that an urgent job may throw away to get its place, in times the work that it does
-	 * itself; 0: any. */
+	/** Work that may be lost by preempting for an urgent job, as a multiple of the job's own
+	 * work; 0: no limit. */
 	double evict_work_ratio;
-	/** Wait after which an urgent job whose team has a right to its accelerators throws away
-	 * any, ms. */
+	/** Wait after which that limit does not apply to an urgent job within what its team is
+	 * assured of, ms. */
 	int64_t evict_unlimited_after_ms;
-	/** Time constant with which headroom shrinks again, ms: the room that work of a priority
-	 * leaves free for work before it, see core/headroom.c. 0: none is left. */
+	/** Time constant with which headroom decays, ms; 0: no headroom. Headroom is the capacity
+	 * that work of a priority leaves free for higher priorities, see core/headroom.c. */
 	int64_t headroom_decay_ms;
-	/** Wait after which work of the last priority leaves headroom for the first alone, in times
-	 * its expected run time; 0: never. */
+	/** Wait after which work of the lowest priority leaves headroom for the highest one only,
+	 * as a multiple of its expected run time; 0: never. */
 	double headroom_wait_ratio;
 };
 
-/** Fills in the defaults that docs/decisions/ gives reasons for. */
+/** Fills in the defaults; docs/decisions/ gives the reasons for them. */
 void dff_core_options_init (struct dff_core_options *options);
 
 struct dff_core *dff_core_new (const struct dff_core_options *options);
@@ -101,16 +104,16 @@
 enum dff_worker_state {
 	DFF_WORKER_DOWN,
 	DFF_WORKER_UP,
-	/** Runs what it has; gets nothing new. */
+	/** Keeps running what it has; gets no new work. */
 	DFF_WORKER_LEAVING,
-	/** The same, because its data centre is evacuated: it stays, and gets work again when the
-	 * data centre is taken back. */
+	/** As DFF_WORKER_LEAVING, because its data centre is evacuated: it stays, and gets work
+	 * again when the evacuation is reverted. */
 	DFF_WORKER_EVACUATED,
-	/** The same, because nobody knows what room it has by now. */
+	/** As DFF_WORKER_LEAVING, because its current capacity is not known. */
 	DFF_WORKER_CAPACITY_UNKNOWN,
 };
 
-/** Where one member of a gang runs. */
+/** Placement of one member of a gang. */
 struct dff_placement {
 	struct dff_name worker;
 	/** Bit i: accelerator i of the worker is leased to the member. */
@@ -119,50 +122,53 @@
 
 enum dff_event_type {
 	DFF_EVENT_JOB_SUBMITTED, /**< A job's row is committed. @spec. */
-	DFF_EVENT_JOB_RECOVERED, /**< A row found at take-over. @spec, @recovered. */
+	DFF_EVENT_JOB_RECOVERED, /**< A row was found at a takeover. @spec, @recovered. */
 	DFF_EVENT_JOB_CANCELLED, /**< @job. */
-	/** @job, @blame: what counts against it now for workers that ended under it. Told before
-	 * the loss of the run that it is about. */
+	/** @job, @blame: its blame points for workers that crashed while they ran it. Sent before
+	 * the loss of the run concerned. */
 	DFF_EVENT_JOB_BLAMED,
 	DFF_EVENT_ATTEMPT_RECORDED,
 	DFF_EVENT_ATTEMPT_REFUSED,
 	DFF_EVENT_OUTCOME_RECORDED,
 	DFF_EVENT_TASK_STARTED,
-	DFF_EVENT_TASK_START_FAILED, /**< Proven not started, now or later. */
-	DFF_EVENT_TASK_REJECTED,     /**< The same, for want of room: not the worker's fault. */
+	DFF_EVENT_TASK_START_FAILED, /**< Proven not started: neither now nor later. */
+	DFF_EVENT_TASK_REJECTED,     /**< Proven not started, for lack of capacity: not the worker's
+					fault. */
 	DFF_EVENT_TASK_CHECKPOINTED,
 	DFF_EVENT_TASK_COMPLETED,
-	/** A member has completed, which members of a gang only do together: the others have too,
-	 * whatever was said of them before. */
+	/** A member has completed. Members of a gang only complete together: all others have
+	 * completed too, whatever was reported of them before. */
 	DFF_EVENT_GANG_COMPLETED,
 	DFF_EVENT_TASK_FAILED,
-	DFF_EVENT_TASK_STOPPED,  /**< Proven stopped; @ran tells whether it ever ran. */
-	DFF_EVENT_TASK_LOST,     /**< Its lease has lapsed: it no longer runs, and may have run. */
+	DFF_EVENT_TASK_STOPPED,  /**< Proven stopped; @ran: whether it ever ran. */
+	DFF_EVENT_TASK_LOST,     /**< Its lease has expired: it no longer runs, and may have run. */
 	DFF_EVENT_TASK_PROGRESS, /**< @percent of the task's work is done. */
-	/** @worker, @peer_group, @duration_ms. Told once a run, as soon as its progress tells. */
+	/** @worker, @peer_group, @duration_ms. Sent once for each run, as soon as its progress
+	 * allows a projection. */
 	DFF_EVENT_TASK_DURATION,
 	/** @worker, @worker_state, @leaves_in_ms. */
 	DFF_EVENT_WORKER_STATE,
-	/** The worker has started again: what was seen of it before does not count. @worker. */
+	/** The worker has restarted: earlier observations of it do not count any more. @worker. */
 	DFF_EVENT_WORKER_RESTARTED,
-	/** Tasks on a worker stand still: it goes to quarantine, and what has little to lose runs
-	 * elsewhere. @worker. */
+	/** Tasks on a worker make no progress: the worker is quarantined, and its jobs that lose
+	 * little are restarted elsewhere. @worker. */
 	DFF_EVENT_WORKER_STALLED,
 };
 
-/** State of an attempt found on record at take-over. */
+/** State of an attempt as recorded, found at a takeover. */
 struct dff_recovered_attempt {
-	/** Last attempt whose start intent is durable; 0: never. */
+	/** Last attempt whose start intent is durable; 0: none. */
 	int32_t attempt;
-	/** Whether that attempt is still open (intent durable, no end durable). */
+	/** Whether that attempt is still open: its start intent is durable, its end is not. */
 	bool open;
-	/** Whether a cancellation is on record. */
+	/** Whether a cancellation is recorded. */
 	bool cancelled;
-	/** Elements: struct dff_placement, one a member, of the open attempt. */
+	/** Elements: struct dff_placement, one for each member, of the open attempt. */
 	const GArray *placements;
-	/** Elements: bool: whether the worker said that it runs the member. */
+	/** Elements: bool, one for each member: whether the worker reported that it runs the
+	 * member. */
 	const GArray *running;
-	/** How long ago the attempt was recorded, ms. */
+	/** Time since the attempt was recorded, ms. */
 	int64_t age_ms;
 };
 
@@ -177,14 +183,14 @@
 	const struct dff_recovered_attempt *recovered;
 	struct dff_name worker;
 	enum dff_worker_state worker_state;
-	/** With DFF_WORKER_LEAVING: how long the worker is there still, ms; 0: not known. */
+	/** With DFF_WORKER_LEAVING: time until the worker leaves, ms; 0: not known. */
 	int64_t leaves_in_ms;
 	int32_t blame;
 	bool ran;
 	int32_t percent;
-	/** The tasks of one step, which are alike. */
+	/** Identifies the tasks of one step, which take about equally long. */
 	uint64_t peer_group;
-	/** What the whole task takes on the worker, ms. */
+	/** Projected duration of the whole task on the worker, ms. */
 	int64_t duration_ms;
 };
 
@@ -195,7 +201,7 @@
 	DFF_COMMAND_CHECKPOINT_TASK,
 	DFF_COMMAND_STOP_TASK,
 	DFF_COMMAND_RECORD_OUTCOME, /**< @job, @attempt, @outcome, @reason. */
-	DFF_COMMAND_RECORD_RETRY,   /**< The attempt is over and may be followed by another. */
+	DFF_COMMAND_RECORD_RETRY,   /**< The attempt has ended and may be followed by another. */
 };
 
 /** An output. Members that its type does not name are zero. */
@@ -206,11 +212,11 @@
 	int32_t member;
 	struct dff_placement placement;
 	bool held;
-	/** Elements: struct dff_placement, one a member. Owned by the core, valid until its next
-	 * call. */
+	/** Elements: struct dff_placement, one for each member. Owned by the core, valid until its
+	 * next call. */
 	const GArray *placements;
 	enum dff_outcome outcome;
-	/** Stable code of why an end is or a task is stopped ("never_runnable",
+	/** Stable code of why a job ends or a task is stopped ("never_runnable",
 	 * "attempts_exhausted", "worker_leaving", ...). Static. */
 	const char *reason;
 };
@@ -219,27 +225,27 @@
  * dff_core_set_pool:
  * @pool: borrowed for the call only; the core copies what it needs
  *
- * Puts a pool in force. Running work stays; witnesses are packed again.
+ * Applies a pool. Running work stays; witness placements are packed again.
  */
 void dff_core_set_pool (struct dff_core *core, const struct dff_pool *pool, int64_t now_ms);
 
-/** Whether a job can ever run under the pool in force. */
+/** Whether a job can ever run under the current pool. */
 struct dff_admission {
 	bool admitted;
-	/** Stable code when not: "never_runnable", "unknown_team", "unknown_region", "quota".
-	 * Static. */
+	/** Stable code of why it is not admitted: "never_runnable", "unknown_team",
+	 * "unknown_region", "quota". Static. */
 	const char *reason;
 };
 
-/** Judges a job at submission, before anything is recorded. */
+/** Evaluates a job at submission, before anything is recorded. */
 struct dff_admission dff_core_admit (const struct dff_core *core, const struct dff_job_spec *spec);
 
-/** Takes one event in. Events about jobs or attempts that are not current are ignored. */
+/** Handles one event. Events about jobs or attempts that are not current are ignored. */
 void dff_core_handle_event (struct dff_core *core, const struct dff_event *event, int64_t now_ms);
 
 /**
  * dff_core_tick:
- * @commands: elements: struct dff_command; emptied, then filled in the order to be carried out
+ * @commands: elements: struct dff_command; emptied, then filled in the order of execution
  *
  * Runs every system once.
  */
@@ -248,23 +254,25 @@
 /** Time of the next tick that may have something to do without a new event; INT64_MAX: none. */
 int64_t dff_core_next_wake_ms (const struct dff_core *core);
 
-/** Returns: whether a worker has room for all that it was given: it may have shrunk since. */
+/** Returns: whether the leases of a worker are within its capacity, which may have shrunk since
+ * they were given. */
 bool dff_core_worker_within_capacity (const struct dff_core *core, const struct dff_name *worker);
 
 struct dff_core_stats {
-	/** Jobs by phase; @ended counts all since the core was made, so that the sum is what it was
-	 * given. */
+	/** Jobs by phase. @ended counts all since the core was created, so that the sum is the
+	 * number of jobs that the core was given. */
 	int64_t queued, starting, running, stopping, ended;
 	int64_t reclaims, preemptions, moves, start_failures, retries;
 	int64_t workers_up, workers_quarantined;
-	/** Spread of the workers' paces, as a deviation of logarithms of time. */
+	/** Spread of the workers' relative durations: standard deviation of the logarithm of
+	 * time. */
 	double duration_spread;
-	/** Tasks whose times are kept to tell. */
+	/** Number of task durations kept to compare workers by. */
 	int64_t duration_samples;
 	int64_t accelerators_total, accelerators_free;
-	/** Guaranteed shapes that no longer fit on the workers that are up. */
+	/** Number of guaranteed shapes that do not fit on the workers that are up. */
 	int64_t witnesses_missing;
-	/** Share of free accelerators that the largest adjacent shape cannot use, 0 to 1. */
+	/** Share of free accelerators that the largest guaranteed rack shape cannot use, 0 to 1. */
 	double fragmentation;
 };
 
@@ -285,10 +293,10 @@
 /**
  * dff_core_check:
  *
- * Verifies the invariants: no accelerator leased twice, capacity never exceeded, a witness packing
- * for every unclaimed guarantee that can be packed, every job in one phase.
+ * Verifies the invariants: no accelerator is leased twice, capacity is never exceeded, every
+ * unclaimed guarantee that can be packed has a witness placement, every job is in one phase.
  *
- * Returns: (nullable): the first broken one in words, to be freed with g_free().
+ * Returns: (nullable): a description of the first violated invariant, to be freed with g_free().
  */
 char *dff_core_check (const struct dff_core *core);
 
