--- a/tests/core/core_site.h
+++ b/tests/core/core_site.h
@@ -71,7 +71,7 @@
 
 /* Lets time pass; records what is to start. Returns: "JOB@WORKER,WORKER ..." of the starts. */
 static inline GString *
-site_pass (struct site *site, int64_t ms)
+site_advance (struct site *site, int64_t ms)
 {
 	GString *starts = g_string_new (NULL);
 	site->now_ms += ms;
@@ -95,13 +95,13 @@
 
 /* Has urgent work need whole workers for a moment. */
 static inline void
-site_need_once (struct site *site, int32_t n_workers)
+site_run_urgent_once (struct site *site, int32_t n_workers)
 {
 	struct dff_job_spec spec = fixture_spec ("once", n_workers, 8);
 	spec.region = dff_name_from ("region0");
 	spec.urgent = true;
 	site_submit (site, &spec);
-	g_autoptr (GString) starts = site_pass (site, 0);
+	g_autoptr (GString) starts = site_advance (site, 0);
 	assert_true (g_str_has_prefix (starts->str, "once@"));
 	static const enum dff_event_type ends[] = {
 		DFF_EVENT_JOB_CANCELLED, DFF_EVENT_ATTEMPT_RECORDED, DFF_EVENT_OUTCOME_RECORDED};
@@ -112,7 +112,7 @@
 }
 
 static inline struct dff_core_options
-patient_options (void)
+retry_options (void)
 {
 	struct dff_core_options options;
 	dff_core_options_init (&options);
--- a/tests/core/test-bad-workers.c
+++ b/tests/core/test-bad-workers.c
@@ -78,14 +78,14 @@
 }
 
 static void
-note (GHashTable *table, const char *worker)
+increment (GHashTable *table, const char *worker)
 {
 	int n = count (table, worker) + 1;
 	g_hash_table_replace (table, g_strdup (worker), GINT_TO_POINTER (n));
 }
 
 static void
-tell (struct run *run, enum dff_event_type type, const struct dff_command *command)
+send_event (struct run *run, enum dff_event_type type, const struct dff_command *command)
 {
 	struct dff_event event = {.type = type, .job = command->job, .attempt = command->attempt};
 	dff_core_handle_event (run->core, &event, run->now_ms);
@@ -97,13 +97,13 @@
 	const char *worker = g_hash_table_lookup (run->placed, command->job.data);
 	bool bad_job = g_str_has_prefix (command->job.data, BAD_PREFIX);
 	bool fails = bad_job || g_strcmp0 (worker, run->bad_worker) == 0;
-	note (run->starts, worker);
+	increment (run->starts, worker);
 	if (bad_job)
-		note (run->bad_starts, worker);
-	tell (run, DFF_EVENT_TASK_STARTED, command);
+		increment (run->bad_starts, worker);
+	send_event (run, DFF_EVENT_TASK_STARTED, command);
 	if (g_str_has_prefix (command->job.data, SLOW_PREFIX))
 		return;
-	tell (run, fails ? DFF_EVENT_TASK_FAILED : DFF_EVENT_TASK_COMPLETED, command);
+	send_event (run, fails ? DFF_EVENT_TASK_FAILED : DFF_EVENT_TASK_COMPLETED, command);
 }
 
 static void
@@ -115,7 +115,7 @@
 			run->placed, g_strdup (command->job.data),
 			g_strdup (g_array_index (command->placements, struct dff_placement, 0)
 					  .worker.data));
-		tell (run, DFF_EVENT_ATTEMPT_RECORDED, command);
+		send_event (run, DFF_EVENT_ATTEMPT_RECORDED, command);
 		break;
 	case DFF_COMMAND_START_TASK:
 		start (run, command);
@@ -123,7 +123,7 @@
 	case DFF_COMMAND_RECORD_OUTCOME:
 		run->n_completed += command->outcome == DFF_OUTCOME_COMPLETED;
 		run->n_failed += command->outcome == DFF_OUTCOME_FAILED;
-		tell (run, DFF_EVENT_OUTCOME_RECORDED, command);
+		send_event (run, DFF_EVENT_OUTCOME_RECORDED, command);
 		break;
 	default:
 		break;
@@ -132,7 +132,7 @@
 
 /* Ticks until nothing is commanded any more at this moment. */
 static void
-settle (struct run *run)
+tick_until_idle (struct run *run)
 {
 	g_autoptr (GArray) commands = g_array_new (FALSE, TRUE, sizeof (struct dff_command));
 	do {
@@ -153,13 +153,13 @@
 
 /* A job each second, for as long. */
 static void
-let_jobs_come (struct run *run, int64_t duration_ms)
+submit_jobs_for (struct run *run, int64_t duration_ms)
 {
 	for (int64_t end_ms = run->now_ms + duration_ms; run->now_ms < end_ms;
 	     run->now_ms += SECOND_MS) {
 		g_autofree char *id = g_strdup_printf ("j%d", run->n_jobs++);
 		submit (run, id, 3);
-		settle (run);
+		tick_until_idle (run);
 	}
 }
 
@@ -173,15 +173,15 @@
 	struct run run;
 	begin (&run);
 	run.bad_worker = "w0";
-	let_jobs_come (&run, MINUTE_MS / 2);
+	submit_jobs_for (&run, MINUTE_MS / 2);
 	assert_int_equal (count (run.starts, "w0"), FAILURES_TO_QUARANTINE);
-	let_jobs_come (&run, 10 * MINUTE_MS);
+	submit_jobs_for (&run, 10 * MINUTE_MS);
 	/* One probe after one, two and four minutes more. */
 	assert_in_range (count (run.starts, "w0"), FAILURES_TO_QUARANTINE + 1,
 			 FAILURES_TO_QUARANTINE + 4);
 	assert_int_equal (run.n_failed, 0);
 	run.bad_worker = NULL;
-	let_jobs_come (&run, 20 * MINUTE_MS);
+	submit_jobs_for (&run, 20 * MINUTE_MS);
 	assert_true (count (run.starts, "w0") > 100);
 	end (&run);
 }
@@ -191,7 +191,7 @@
 {
 	for (int64_t end_ms = run->now_ms + duration_ms; run->now_ms < end_ms;
 	     run->now_ms += SECOND_MS)
-		settle (run);
+		tick_until_idle (run);
 }
 
 static int64_t
@@ -211,7 +211,7 @@
 	struct run run;
 	begin (&run);
 	submit (&run, "bad", N_WORKERS);
-	let_jobs_come (&run, 5 * MINUTE_MS);
+	submit_jobs_for (&run, 5 * MINUTE_MS);
 	assert_int_equal (run.n_failed, 1);
 	assert_int_equal (run.n_completed, run.n_jobs);
 	assert_int_equal (g_hash_table_size (run.bad_starts), N_WORKERS);
@@ -232,7 +232,7 @@
 	submit (&run, "bad1", N_WORKERS);
 	pass_time (&run, MINUTE_MS / 2);
 	assert_in_range (workers_quarantined (&run), 0, N_WORKERS / 2);
-	let_jobs_come (&run, 10 * MINUTE_MS);
+	submit_jobs_for (&run, 10 * MINUTE_MS);
 	assert_int_equal (run.n_failed, 2);
 	assert_int_equal (run.n_completed, run.n_jobs);
 	assert_int_equal (workers_quarantined (&run), 0);
@@ -277,7 +277,7 @@
  * several tasks; from some moment on it fails what it starts; what began before that completes
  * there, one task a second. Cause: each of these ends was taken for a sign that it is sound. */
 static void
-test_runs_from_before (void **state)
+test_success_of_run_begun_before_failures (void **state)
 {
 	(void)state;
 	struct run run;
@@ -286,14 +286,14 @@
 		g_autofree char *id = g_strdup_printf (SLOW_PREFIX "%d", i);
 		submit (&run, id, 3);
 	}
-	settle (&run);
+	tick_until_idle (&run);
 	run.bad_worker = "w0";
 	assert_int_equal (count (run.starts, "w0"), N_BEFORE);
 	for (int i = 0; i < N_BEFORE; i++) {
-		let_jobs_come (&run, SECOND_MS);
+		submit_jobs_for (&run, SECOND_MS);
 		complete_slow (&run, i);
 	}
-	let_jobs_come (&run, MINUTE_MS / 2);
+	submit_jobs_for (&run, MINUTE_MS / 2);
 	assert_int_equal (count (run.starts, "w0") - N_BEFORE, FAILURES_TO_QUARANTINE);
 	assert_int_equal (run.n_failed, 0);
 	end (&run);
@@ -304,7 +304,7 @@
  * worker was given a second task before it was set aside. Cause: how soon a run failed was not
  * looked at. A job that fails wherever it runs does not close the pool by that. */
 static void
-test_failures_at_once (void **state)
+test_early_failures (void **state)
 {
 	(void)state;
 	struct run run;
@@ -312,7 +312,7 @@
 	options.early_failure_share = 0.1;
 	begin_with (&run, 1, options);
 	run.bad_worker = "w0";
-	let_jobs_come (&run, MINUTE_MS / 2);
+	submit_jobs_for (&run, MINUTE_MS / 2);
 	assert_int_equal (count (run.starts, "w0"), 1);
 	assert_int_equal (run.n_failed, 0);
 	end (&run);
@@ -327,7 +327,7 @@
 
 /* The same failures half-way through, as of work that is at fault, set no worker aside. */
 static void
-test_failures_along_the_way (void **state)
+test_late_failure (void **state)
 {
 	(void)state;
 	struct run run;
@@ -335,12 +335,12 @@
 	options.early_failure_share = 0.1;
 	begin_with (&run, 1, options);
 	submit (&run, SLOW_PREFIX "0", 3);
-	settle (&run);
+	tick_until_idle (&run);
 	run.now_ms += MINUTE_MS;
 	struct dff_event event = {.type = DFF_EVENT_TASK_FAILED, .attempt = 1};
 	event.job = dff_name_from (SLOW_PREFIX "0");
 	dff_core_handle_event (run.core, &event, run.now_ms);
-	settle (&run);
+	tick_until_idle (&run);
 	assert_int_equal (workers_quarantined (&run), 0);
 	end (&run);
 }
@@ -353,9 +353,9 @@
 		cmocka_unit_test (test_job_that_fails_everywhere),
 		cmocka_unit_test (test_two_jobs_that_fail_everywhere),
 		cmocka_unit_test (test_many_jobs_that_fail_everywhere),
-		cmocka_unit_test (test_runs_from_before),
-		cmocka_unit_test (test_failures_at_once),
-		cmocka_unit_test (test_failures_along_the_way),
+		cmocka_unit_test (test_success_of_run_begun_before_failures),
+		cmocka_unit_test (test_early_failures),
+		cmocka_unit_test (test_late_failure),
 	};
 	return cmocka_run_group_tests_name ("core-bad-workers", tests, NULL, NULL);
 }
--- a/tests/core/test-blamed-jobs.c
+++ b/tests/core/test-blamed-jobs.c
@@ -8,7 +8,7 @@
 #define PER_RACK 3
 #define ACCELERATORS 8
 #define BLAME_LIMIT 5
-#define BLAME_APART 2
+#define ISOLATION_BLAME 2
 /** When a job that has been started is not on trial any more, ms. */
 #define TRIAL_PASSED_MS 2000
 
@@ -26,7 +26,7 @@
 	dff_core_options_init (&options);
 	options.retry_without_limit = true;
 	options.blame_limit = blame_limit;
-	options.isolation_blame = BLAME_APART;
+	options.isolation_blame = ISOLATION_BLAME;
 	*fixture = (struct fixture){
 		.core = dff_core_new (&options),
 		.commands = g_array_new (FALSE, TRUE, sizeof (struct dff_command)),
@@ -58,11 +58,11 @@
 }
 
 static void
-tell (struct fixture *fixture,
-      const char *id,
-      int32_t attempt,
-      int32_t member,
-      enum dff_event_type type)
+send_event (struct fixture *fixture,
+	    const char *id,
+	    int32_t attempt,
+	    int32_t member,
+	    enum dff_event_type type)
 {
 	struct dff_event event = {
 		.type = type, .job = dff_name_from (id), .attempt = attempt, .member = member};
@@ -70,7 +70,7 @@
 }
 
 static void
-blame (struct fixture *fixture, const char *id, int32_t points)
+send_blame (struct fixture *fixture, const char *id, int32_t points)
 {
 	struct dff_event event = {
 		.type = DFF_EVENT_JOB_BLAMED, .job = dff_name_from (id), .blame = points};
@@ -96,15 +96,15 @@
 start_attempt (struct fixture *fixture, const char *id, int32_t attempt, int32_t n_started)
 {
 	assert_non_null (next_command (fixture, id, DFF_COMMAND_RECORD_START));
-	tell (fixture, id, attempt, 0, DFF_EVENT_ATTEMPT_RECORDED);
+	send_event (fixture, id, attempt, 0, DFF_EVENT_ATTEMPT_RECORDED);
 	for (int32_t i = 0; i < n_started; i++)
-		tell (fixture, id, attempt, i, DFF_EVENT_TASK_STARTED);
+		send_event (fixture, id, attempt, i, DFF_EVENT_TASK_STARTED);
 }
 
 /* A job is given up at the limit, at the end of the attempt; whether all of a gang had begun by
  * then, or nothing had, makes no difference. */
 static void
-test_given_up_at_the_limit (void **state)
+test_ended_at_blame_limit (void **state)
 {
 	(void)state;
 	static const struct {
@@ -123,32 +123,33 @@
 		begin (&fixture, cases[i].limit);
 		submit (&fixture, "j", cases[i].gang, ACCELERATORS, 0);
 		start_attempt (&fixture, "j", 1, cases[i].n_started);
-		blame (&fixture, "j", cases[i].blame);
+		send_blame (&fixture, "j", cases[i].blame);
 		for (int32_t j = 0; j < cases[i].gang; j++)
-			tell (&fixture, "j", 1, j, DFF_EVENT_TASK_LOST);
-		const struct dff_command *over =
+			send_event (&fixture, "j", 1, j, DFF_EVENT_TASK_LOST);
+		const struct dff_command *outcome =
 			next_command (&fixture, "j", DFF_COMMAND_RECORD_OUTCOME);
-		assert_int_equal (over != NULL, cases[i].ends);
-		if (over != NULL) {
-			assert_int_equal (over->outcome, DFF_OUTCOME_FAILED);
-			assert_string_equal (over->reason, "workers_crashed");
+		assert_int_equal (outcome != NULL, cases[i].ends);
+		if (outcome != NULL) {
+			assert_int_equal (outcome->outcome, DFF_OUTCOME_FAILED);
+			assert_string_equal (outcome->reason, "workers_crashed");
 		}
 		end (&fixture);
 	}
 }
 
-/* Symptom: after a take-over a job that was to be given up is started once more. Sequence: the
- * process that decides ends once the job's blame is on record, before its end is. */
+/* Symptom: after a take-outcome a job that was to be given up is started once more. Sequence: the
+ * process that decides ends once the job's send_blame is on record, before its end is. */
 static void
-test_not_started_again_after_a_take_over (void **state)
+test_ended_after_takeover (void **state)
 {
 	(void)state;
 	struct fixture fixture;
 	begin (&fixture, BLAME_LIMIT);
 	submit (&fixture, "j", 1, 1, BLAME_LIMIT);
-	const struct dff_command *over = next_command (&fixture, "j", DFF_COMMAND_RECORD_OUTCOME);
-	assert_non_null (over);
-	assert_int_equal (over->outcome, DFF_OUTCOME_FAILED);
+	const struct dff_command *outcome =
+		next_command (&fixture, "j", DFF_COMMAND_RECORD_OUTCOME);
+	assert_non_null (outcome);
+	assert_int_equal (outcome->outcome, DFF_OUTCOME_FAILED);
 	end (&fixture);
 }
 
@@ -174,13 +175,13 @@
 
 /* A job that may have ended its workers goes where least else runs, other jobs where most does. */
 static void
-test_placed_where_least_runs (void **state)
+test_isolated_placement (void **state)
 {
 	(void)state;
 	static const struct {
 		int32_t blame;
 		bool alone;
-	} cases[] = {{0, false}, {BLAME_APART - 1, false}, {BLAME_APART, true}};
+	} cases[] = {{0, false}, {ISOLATION_BLAME - 1, false}, {ISOLATION_BLAME, true}};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct fixture fixture;
 		begin (&fixture, BLAME_LIMIT);
@@ -196,7 +197,7 @@
 
 /* Two such jobs are not tried on one worker at a time. */
 static void
-test_tried_one_at_a_time (void **state)
+test_one_trial_per_worker (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -205,26 +206,26 @@
 		g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 	for (int i = 0; i < N_RACKS * PER_RACK; i++) {
 		g_autofree char *id = g_strdup_printf ("j%d", i);
-		submit (&fixture, id, 1, 1, BLAME_APART);
+		submit (&fixture, id, 1, 1, ISOLATION_BLAME);
 		assert_true (g_hash_table_add (workers, g_strdup (placed_on (&fixture, id))));
 	}
-	submit (&fixture, "more", 1, 1, BLAME_APART);
+	submit (&fixture, "more", 1, 1, ISOLATION_BLAME);
 	assert_null (placed_on (&fixture, "more"));
 	/* Its worker has outlived the first one's start. */
-	tell (&fixture, "j0", 1, 0, DFF_EVENT_ATTEMPT_RECORDED);
-	tell (&fixture, "j0", 1, 0, DFF_EVENT_TASK_STARTED);
+	send_event (&fixture, "j0", 1, 0, DFF_EVENT_ATTEMPT_RECORDED);
+	send_event (&fixture, "j0", 1, 0, DFF_EVENT_TASK_STARTED);
 	fixture.now_ms = TRIAL_PASSED_MS;
 	assert_non_null (placed_on (&fixture, "more"));
 	end (&fixture);
 }
 
 static void
-test_others_keep_off_a_trial (void **state)
+test_other_jobs_avoid_trial (void **state)
 {
 	(void)state;
 	struct fixture fixture;
 	begin (&fixture, BLAME_LIMIT);
-	submit (&fixture, "tried", 1, 1, BLAME_APART);
+	submit (&fixture, "tried", 1, 1, ISOLATION_BLAME);
 	g_autofree char *tried_on = g_strdup (placed_on (&fixture, "tried"));
 	for (int i = 0; i < N_RACKS * PER_RACK - 1; i++) {
 		g_autofree char *id = g_strdup_printf ("j%d", i);
@@ -239,16 +240,16 @@
 
 /* What is taken back does not count. */
 static void
-test_blame_that_is_taken_back (void **state)
+test_withdrawn_blame (void **state)
 {
 	(void)state;
 	struct fixture fixture;
 	begin (&fixture, BLAME_LIMIT);
 	submit (&fixture, "j", 1, 1, 0);
 	start_attempt (&fixture, "j", 1, 1);
-	blame (&fixture, "j", BLAME_LIMIT);
-	blame (&fixture, "j", BLAME_LIMIT - 1);
-	tell (&fixture, "j", 1, 0, DFF_EVENT_TASK_LOST);
+	send_blame (&fixture, "j", BLAME_LIMIT);
+	send_blame (&fixture, "j", BLAME_LIMIT - 1);
+	send_event (&fixture, "j", 1, 0, DFF_EVENT_TASK_LOST);
 	assert_non_null (next_command (&fixture, "j", DFF_COMMAND_RECORD_START));
 	end (&fixture);
 }
@@ -257,12 +258,12 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_given_up_at_the_limit),
-		cmocka_unit_test (test_not_started_again_after_a_take_over),
-		cmocka_unit_test (test_blame_that_is_taken_back),
-		cmocka_unit_test (test_placed_where_least_runs),
-		cmocka_unit_test (test_tried_one_at_a_time),
-		cmocka_unit_test (test_others_keep_off_a_trial),
+		cmocka_unit_test (test_ended_at_blame_limit),
+		cmocka_unit_test (test_ended_after_takeover),
+		cmocka_unit_test (test_withdrawn_blame),
+		cmocka_unit_test (test_isolated_placement),
+		cmocka_unit_test (test_one_trial_per_worker),
+		cmocka_unit_test (test_other_jobs_avoid_trial),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/core/test-core-golden.c
+++ b/tests/core/test-core-golden.c
@@ -142,7 +142,7 @@
 }
 
 static void
-take_submit (struct session *session, const json_t *line)
+apply_submit (struct session *session, const json_t *line)
 {
 	struct dff_job_spec spec =
 		fixture_spec (json_string_value (json_object_get (line, "id")),
@@ -174,11 +174,11 @@
 };
 
 static void
-take_line (struct session *session, const json_t *line)
+apply_line (struct session *session, const json_t *line)
 {
 	const char *kind = json_string_value (json_object_get (line, "event"));
 	if (g_strcmp0 (kind, "submit") == 0) {
-		take_submit (session, line);
+		apply_submit (session, line);
 		return;
 	}
 	for (size_t i = 0; i < G_N_ELEMENTS (named_events); i++) {
@@ -227,7 +227,7 @@
 		int64_t at_ms = integer (line, "t", 0);
 		run_until (session, at_ms, commands);
 		session->now_ms = at_ms;
-		take_line (session, line);
+		apply_line (session, line);
 		json_decref (line);
 		tick (session, commands);
 	}
--- a/tests/core/test-declared-times.c
+++ b/tests/core/test-declared-times.c
@@ -8,7 +8,7 @@
 #define MINUTE_MS INT64_C (60000)
 #define HOUR_MS (60 * MINUTE_MS)
 /** Jobs after which a service is known. */
-#define KNOWN_AFTER 10
+#define LEARNING_JOBS 10
 
 struct run {
 	struct dff_core *core;
@@ -49,7 +49,7 @@
 }
 
 static void
-tell (struct run *run, enum dff_event_type type, const char *id)
+send_event (struct run *run, enum dff_event_type type, const char *id)
 {
 	struct dff_event event = {.type = type, .job = dff_name_from (id), .attempt = 1};
 	dff_core_handle_event (run->core, &event, run->now_ms);
@@ -58,7 +58,7 @@
 
 /** Returns: whether the last tick gave such a command for the job. */
 static bool
-was_told (const struct run *run, enum dff_command_type type, const char *id)
+was_commanded (const struct run *run, enum dff_command_type type, const char *id)
 {
 	for (guint i = 0; i < run->commands->len; i++) {
 		const struct dff_command *command =
@@ -73,9 +73,9 @@
 static void
 start (struct run *run, const char *id)
 {
-	tell (run, DFF_EVENT_ATTEMPT_RECORDED, id);
-	assert_true (was_told (run, DFF_COMMAND_START_TASK, id));
-	tell (run, DFF_EVENT_TASK_STARTED, id);
+	send_event (run, DFF_EVENT_ATTEMPT_RECORDED, id);
+	assert_true (was_commanded (run, DFF_COMMAND_START_TASK, id));
+	send_event (run, DFF_EVENT_TASK_STARTED, id);
 }
 
 static void
@@ -83,7 +83,7 @@
 {
 	start (run, id);
 	run->now_ms += run_ms;
-	tell (run, DFF_EVENT_TASK_COMPLETED, id);
+	send_event (run, DFF_EVENT_TASK_COMPLETED, id);
 }
 
 /** Two jobs wait behind a third; each declares what its service always declares. Returns: whether
@@ -97,21 +97,21 @@
 	submit (run, "archived", "archive", MINUTE_MS);
 	submit (run, "drafted", "drafting", 10 * MINUTE_MS);
 	run->now_ms += MINUTE_MS / 4;
-	tell (run, DFF_EVENT_TASK_COMPLETED, "blocker");
-	bool first = was_told (run, DFF_COMMAND_RECORD_START, "archived");
-	assert_int_not_equal (first, was_told (run, DFF_COMMAND_RECORD_START, "drafted"));
+	send_event (run, DFF_EVENT_TASK_COMPLETED, "blocker");
+	bool first = was_commanded (run, DFF_COMMAND_RECORD_START, "archived");
+	assert_int_not_equal (first, was_commanded (run, DFF_COMMAND_RECORD_START, "drafted"));
 	return first;
 }
 
 static void
 let_service_run (struct run *run, const char *service, int64_t declared_ms, int64_t actual_ms)
 {
-	for (int i = 0; i < KNOWN_AFTER; i++) {
+	for (int i = 0; i < LEARNING_JOBS; i++) {
 		g_autofree char *id = g_strdup_printf ("%s-%d", service, i);
 		submit (run, id, service, declared_ms);
 		dff_core_tick (run->core, run->now_ms, run->commands);
 		run_to_end (run, id, actual_ms);
-		tell (run, DFF_EVENT_OUTCOME_RECORDED, id);
+		send_event (run, DFF_EVENT_OUTCOME_RECORDED, id);
 	}
 }
 
@@ -119,7 +119,7 @@
  * declares a minute for every job, each takes two hours; another one's ten minutes are true. Cause:
  * declared times were believed for ever. */
 static void
-test_false_times_are_learned (void **state)
+test_wrong_declared_times_are_corrected (void **state)
 {
 	(void)state;
 	struct run run;
@@ -137,7 +137,7 @@
  * be checkpointed declares a minute and has run for two hours. Cause: what is left was taken for
  * the estimate less the time it ran, which is nothing. */
 static void
-test_job_that_outlives_its_estimate_gives_way (void **state)
+test_overdue_job_is_preempted (void **state)
 {
 	(void)state;
 	struct run run;
@@ -151,7 +151,7 @@
 	for (int i = 0; i < 60 && !checkpointed; i++) {
 		run.now_ms += 1000;
 		dff_core_tick (run.core, run.now_ms, run.commands);
-		checkpointed = was_told (&run, DFF_COMMAND_CHECKPOINT_TASK, "endless");
+		checkpointed = was_commanded (&run, DFF_COMMAND_CHECKPOINT_TASK, "endless");
 	}
 	assert_true (checkpointed);
 	end (&run);
@@ -161,8 +161,8 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_false_times_are_learned),
-		cmocka_unit_test (test_job_that_outlives_its_estimate_gives_way),
+		cmocka_unit_test (test_wrong_declared_times_are_corrected),
+		cmocka_unit_test (test_overdue_job_is_preempted),
 	};
 	return cmocka_run_group_tests_name ("core-declared-times", tests, NULL, NULL);
 }
--- a/tests/core/test-evict-bound.c
+++ b/tests/core/test-evict-bound.c
@@ -3,11 +3,11 @@
 /* How much of others' work an urgent job may throw away to get its place. The pool's four workers
  * are held by a gang that does not save what it does. */
 
-#define EVICT_WORK_TIMES 4.0
-#define ANY_AFTER_MS 1200
+#define EVICT_WORK_RATIO 4.0
+#define UNLIMITED_AFTER_MS 1200
 
 static void
-tell (struct site *site, const char *job, enum dff_event_type type, int32_t member)
+send_event (struct site *site, const char *job, enum dff_event_type type, int32_t member)
 {
 	struct dff_event event = {.type = type,
 				  .job = dff_name_from (job),
@@ -25,11 +25,11 @@
 	spec.checkpoint = false;
 	spec.priority = 1;
 	site_submit (site, &spec);
-	g_autoptr (GString) starts = site_pass (site, 0);
+	g_autoptr (GString) starts = site_advance (site, 0);
 	assert_true (g_str_has_prefix (starts->str, "gang@"));
-	tell (site, "gang", DFF_EVENT_ATTEMPT_RECORDED, 0);
+	send_event (site, "gang", DFF_EVENT_ATTEMPT_RECORDED, 0);
 	for (int32_t i = 0; i < N_WORKERS; i++)
-		tell (site, "gang", DFF_EVENT_TASK_STARTED, i);
+		send_event (site, "gang", DFF_EVENT_TASK_STARTED, i);
 }
 
 static bool
@@ -47,7 +47,7 @@
  * Sequence: one has run for seconds on many workers, and an urgent job of one task comes. Cause:
  * how much is lost for how little was not asked. */
 static void
-test_work_thrown_away (void **state)
+test_lost_work_limit (void **state)
 {
 	(void)state;
 	static const struct {
@@ -72,9 +72,9 @@
 		{1, 1000, 6000, 1300, true, true},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
-		struct dff_core_options options = patient_options ();
-		options.evict_work_ratio = EVICT_WORK_TIMES;
-		options.evict_unlimited_after_ms = ANY_AFTER_MS;
+		struct dff_core_options options = retry_options ();
+		options.evict_work_ratio = EVICT_WORK_RATIO;
+		options.evict_unlimited_after_ms = UNLIMITED_AFTER_MS;
 		struct site site;
 		site_open (&site, &options);
 		g_array_index (site.pool.teams, struct dff_team, 0).assured_accelerators =
@@ -89,11 +89,11 @@
 		urgent.urgent = true;
 		urgent.declared_ms = cases[i].estimate_ms;
 		site_submit (&site, &urgent);
-		g_autoptr (GString) at_once = site_pass (&site, 0);
+		g_autoptr (GString) at_once = site_advance (&site, 0);
 		bool stopped = is_stopped (&site);
 		if (cases[i].waited_ms > 0) {
 			assert_false (stopped);
-			g_autoptr (GString) later = site_pass (&site, cases[i].waited_ms);
+			g_autoptr (GString) later = site_advance (&site, cases[i].waited_ms);
 			stopped = is_stopped (&site);
 		}
 		if (stopped != cases[i].stops)
@@ -105,6 +105,6 @@
 int
 main (void)
 {
-	const struct CMUnitTest tests[] = {cmocka_unit_test (test_work_thrown_away)};
+	const struct CMUnitTest tests[] = {cmocka_unit_test (test_lost_work_limit)};
 	return cmocka_run_group_tests_name ("core-evict-bound", tests, NULL, NULL);
 }
--- a/tests/core/test-headroom.c
+++ b/tests/core/test-headroom.c
@@ -6,7 +6,7 @@
 static struct dff_core_options
 headroom_options (void)
 {
-	struct dff_core_options options = patient_options ();
+	struct dff_core_options options = retry_options ();
 	options.low_load_wait_ms = 0;
 	options.headroom_decay_ms = 10000;
 	return options;
@@ -23,7 +23,7 @@
 		spec.priority = priority;
 		site_submit (site, &spec);
 	}
-	g_autoptr (GString) starts = site_pass (site, 0);
+	g_autoptr (GString) starts = site_advance (site, 0);
 	g_auto (GStrv) placed = g_strsplit (starts->str, " ", -1);
 	return starts->len > 0 ? (int32_t)g_strv_length (placed) : 0;
 }
@@ -32,7 +32,7 @@
  * ends, and bulk work takes what is idle before the next comes. Cause: nothing remembered what was
  * needed a moment ago. */
 static void
-test_room_that_was_needed (void **state)
+test_headroom_follows_demand (void **state)
 {
 	(void)state;
 	static const struct {
@@ -56,7 +56,7 @@
 			struct site site;
 			site_open (&site, &options);
 			if (cases[i].needed > 0)
-				site_need_once (&site, cases[i].needed);
+				site_run_urgent_once (&site, cases[i].needed);
 			site.now_ms += cases[i].ago_ms;
 			assert_int_equal (begin_tasks (&site, 4, priority, 8),
 					  cases[i].begun[priority]);
@@ -67,7 +67,7 @@
 
 /* What gangs need is left free by bulk work, and not by themselves. */
 static void
-test_room_of_each_priority (void **state)
+test_headroom_per_priority (void **state)
 {
 	(void)state;
 	struct dff_core_options options = headroom_options ();
@@ -82,24 +82,24 @@
 /* Symptom: bulk work waits beside an idle pool. Sequence: urgent work has needed all of it, and
  * comes no more. Cause: what is left free was left for as long as it is remembered. */
 static void
-test_idle_pool (void **state)
+test_headroom_under_low_load (void **state)
 {
 	(void)state;
 	static const struct {
-		int64_t calm_wait_ms;
+		int64_t low_load_wait_ms;
 		int32_t begun;
 	} cases[] = {{0, 0}, {1000, 1}};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct dff_core_options options = headroom_options ();
 		options.headroom_decay_ms = 1000000;
-		options.low_load_wait_ms = cases[i].calm_wait_ms;
+		options.low_load_wait_ms = cases[i].low_load_wait_ms;
 		struct site site;
 		site_open (&site, &options);
-		site_need_once (&site, 4);
+		site_run_urgent_once (&site, 4);
 		/* Two fit beside what is left free: half of the pool is idle, until a third
 		 * begins. */
 		assert_int_equal (begin_tasks (&site, 4, 2, 8), 2);
-		g_autoptr (GString) later = site_pass (&site, 1100);
+		g_autoptr (GString) later = site_advance (&site, 1100);
 		g_auto (GStrv) placed = g_strsplit (later->str, "@", -1);
 		int32_t n_later = later->len > 0 ? (int32_t)g_strv_length (placed) - 1 : 0;
 		assert_int_equal (n_later, cases[i].begun);
@@ -111,11 +111,11 @@
  * a rack whole and cannot have one yet; bulk work leaves them its room until its own time is up.
  * Cause: it left free what waited before it for as long as that waited. */
 static void
-test_bulk_that_has_waited (void **state)
+test_headroom_after_wait (void **state)
 {
 	(void)state;
 	static const struct {
-		double patience_times;
+		double wait_ratio;
 		int64_t later_ms;
 		int32_t begun;
 	} cases[] = {
@@ -127,13 +127,13 @@
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct dff_core_options options = headroom_options ();
 		options.headroom_decay_ms = 1000000;
-		options.headroom_wait_ratio = cases[i].patience_times;
+		options.headroom_wait_ratio = cases[i].wait_ratio;
 		struct site site;
 		site_open (&site, &options);
 		assert_int_equal (begin_tasks (&site, 2, 1, 8), 2);
 		/* Of the two workers left, 0.7 of what runs is one. */
 		assert_int_equal (begin_tasks (&site, 2, 2, 8), 1);
-		g_autoptr (GString) later = site_pass (&site, cases[i].later_ms);
+		g_autoptr (GString) later = site_advance (&site, cases[i].later_ms);
 		g_auto (GStrv) placed = g_strsplit (later->str, "@", -1);
 		int32_t n_later = later->len > 0 ? (int32_t)g_strv_length (placed) - 1 : 0;
 		assert_int_equal (n_later, cases[i].begun);
@@ -145,10 +145,10 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_room_that_was_needed),
-		cmocka_unit_test (test_room_of_each_priority),
-		cmocka_unit_test (test_idle_pool),
-		cmocka_unit_test (test_bulk_that_has_waited),
+		cmocka_unit_test (test_headroom_follows_demand),
+		cmocka_unit_test (test_headroom_per_priority),
+		cmocka_unit_test (test_headroom_under_low_load),
+		cmocka_unit_test (test_headroom_after_wait),
 	};
 	return cmocka_run_group_tests_name ("core-headroom", tests, NULL, NULL);
 }
--- a/tests/core/test-leaving-workers.c
+++ b/tests/core/test-leaving-workers.c
@@ -9,7 +9,7 @@
 };
 
 static void
-tell (struct run *run, const struct dff_event *event)
+send_event (struct run *run, const struct dff_event *event)
 {
 	dff_core_handle_event (run->core, event, run->now_ms);
 }
@@ -32,12 +32,12 @@
 	default:
 		return;
 	}
-	tell (run, &event);
+	send_event (run, &event);
 }
 
 /* Returns: stops that the core asked for, for the reason that a worker leaves. */
 static int
-settle (struct run *run)
+tick_and_answer (struct run *run)
 {
 	int n_stops = 0;
 	for (int i = 0; i < 6; i++) {
@@ -72,8 +72,8 @@
 	fixture_worker_state (run->core, "w0", DFF_WORKER_UP);
 	fixture_worker_state (run->core, "w1", DFF_WORKER_UP);
 	struct dff_event event = {.type = DFF_EVENT_JOB_SUBMITTED, .spec = spec};
-	tell (run, &event);
-	assert_int_equal (settle (run), 0);
+	send_event (run, &event);
+	assert_int_equal (tick_and_answer (run), 0);
 }
 
 static void
@@ -93,19 +93,19 @@
 					  .worker = dff_name_from (workers[i]),
 					  .worker_state = DFF_WORKER_LEAVING,
 					  .leaves_in_ms = leaves_in_ms};
-		tell (run, &event);
+		send_event (run, &event);
 	}
 }
 
 static void
-test_who_stays (void **state)
+test_preemption_at_notice (void **state)
 {
 	(void)state;
 	static const struct {
 		int64_t declared_ms;
 		int64_t leaves_in_ms;
 		int32_t gang;
-		/** Of the work at the notice, 500 ms after its start; 0: not told. */
+		/** Of the work at the notice, 500 ms after its start; 0: not progress. */
 		int32_t percent;
 		int stops;
 		bool checkpoint;
@@ -131,22 +131,22 @@
 		spec.declared_ms = cases[i].declared_ms;
 		run_open (&run, &spec);
 		run.now_ms += 500;
-		struct dff_event told = {.type = DFF_EVENT_TASK_PROGRESS,
-					 .job = spec.id,
-					 .attempt = 1,
-					 .percent = cases[i].percent};
+		struct dff_event progress = {.type = DFF_EVENT_TASK_PROGRESS,
+					     .job = spec.id,
+					     .attempt = 1,
+					     .percent = cases[i].percent};
 		if (cases[i].percent > 0)
-			tell (&run, &told);
+			send_event (&run, &progress);
 		leave (&run, cases[i].leaves_in_ms);
-		assert_int_equal (settle (&run), cases[i].stops);
+		assert_int_equal (tick_and_answer (&run), cases[i].stops);
 		run_close (&run);
 	}
 }
 
-/* Symptom: a task is lost with a worker that told in time that it leaves. Sequence: the task is
+/* Symptom: a task is lost with a worker that progress in time that it leaves. Sequence: the task is
  * declared to take less than it does. Cause: it was judged at the notice only. */
 static void
-test_judged_again_by_progress (void **state)
+test_preemption_by_progress (void **state)
 {
 	(void)state;
 	struct run run;
@@ -154,12 +154,12 @@
 	spec.declared_ms = 1000;
 	run_open (&run, &spec);
 	leave (&run, 7000);
-	assert_int_equal (settle (&run), 0);
+	assert_int_equal (tick_and_answer (&run), 0);
 	run.now_ms += 3000;
-	struct dff_event told = {
+	struct dff_event progress = {
 		.type = DFF_EVENT_TASK_PROGRESS, .job = spec.id, .attempt = 1, .percent = 10};
-	tell (&run, &told);
-	assert_int_equal (settle (&run), 1);
+	send_event (&run, &progress);
+	assert_int_equal (tick_and_answer (&run), 1);
 	run_close (&run);
 }
 
@@ -167,8 +167,8 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_who_stays),
-		cmocka_unit_test (test_judged_again_by_progress),
+		cmocka_unit_test (test_preemption_at_notice),
+		cmocka_unit_test (test_preemption_by_progress),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/core/test-pace.c
+++ b/tests/core/test-pace.c
@@ -17,7 +17,7 @@
 #define GANGS 40
 #define MEMBERS 3
 
-struct pace_case {
+struct duration_case {
 	const char *name;
 	/** Time that tasks take on the workers, in turn. */
 	double times[3];
@@ -65,24 +65,24 @@
 }
 
 static void
-tell_pace (struct pool *pool, int worker, uint64_t step, double whole_ms)
+send_duration (struct pool *pool, int worker, uint64_t step, double duration_ms)
 {
 	struct dff_event event = {.type = DFF_EVENT_TASK_DURATION,
 				  .worker = dff_name_printf ("w%d", worker),
 				  .peer_group = step,
-				  .duration_ms = (int64_t)whole_ms};
+				  .duration_ms = (int64_t)duration_ms};
 	dff_core_handle_event (pool->core, &event, pool->now_ms);
 }
 
 static void
-pass (struct pool *pool, int64_t ms)
+advance (struct pool *pool, int64_t ms)
 {
 	pool->now_ms += ms;
 	dff_core_tick (pool->core, pool->now_ms, pool->commands);
 }
 
 static void
-see_steps (struct pool *pool, const struct pace_case *at)
+send_steps (struct pool *pool, const struct duration_case *at)
 {
 	g_autoptr (GRand) rand = g_rand_new_with_seed (7);
 	double spread = at->uneven > 0.0 ? at->uneven : UNEVEN;
@@ -91,10 +91,11 @@
 		for (int i = 0; i < WORKERS; i++) {
 			double uneven = g_rand_double_range (rand, -spread, spread);
 			bool tail = at->tail > 0 && g_rand_int_range (rand, 0, at->tail) == 0;
-			tell_pace (pool, i, (uint64_t)step,
-				   step_ms * exp (uneven) * at->times[i % 3] * (tail ? 7.0 : 1.0));
+			send_duration (pool, i, (uint64_t)step,
+				       step_ms * exp (uneven) * at->times[i % 3] *
+					       (tail ? 7.0 : 1.0));
 		}
-		pass (pool, 1000);
+		advance (pool, 1000);
 	}
 }
 
@@ -107,7 +108,7 @@
 	spec.urgent = true;
 	struct dff_event submitted = {.type = DFF_EVENT_JOB_SUBMITTED, .spec = &spec};
 	dff_core_handle_event (pool->core, &submitted, pool->now_ms);
-	pass (pool, 20);
+	advance (pool, 20);
 	assert_int_equal (pool->commands->len, 1);
 	const struct dff_command *start = &g_array_index (pool->commands, struct dff_command, 0);
 	assert_int_equal (start->type, DFF_COMMAND_RECORD_START);
@@ -119,11 +120,11 @@
 		struct dff_event event = {.type = ends[i], .job = spec.id, .attempt = 1};
 		dff_core_handle_event (pool->core, &event, pool->now_ms);
 	}
-	pass (pool, 20);
+	advance (pool, 20);
 }
 
 static double
-worst_time (const struct pace_case *at, const struct dff_name names[MEMBERS])
+worst_time (const struct duration_case *at, const struct dff_name names[MEMBERS])
 {
 	double worst = 0.0;
 	for (int i = 0; i < MEMBERS; i++)
@@ -135,26 +136,26 @@
  * placed by room alone, so that most of them meet a slow worker; and against workers that are alike
  * being taken for unlike. */
 static void
-test_gangs_by_pace (void **state)
+test_gangs_avoid_slow_workers (void **state)
 {
-	const struct pace_case *at = *state;
-	struct pool pool, unseen;
+	const struct duration_case *at = *state;
+	struct pool pool, baseline;
 	open_pool (&pool);
-	open_pool (&unseen);
-	see_steps (&pool, at);
+	open_pool (&baseline);
+	send_steps (&pool, at);
 	for (int i = 0; i < GANGS; i++) {
 		struct dff_name names[MEMBERS], same[MEMBERS];
 		place_gang (&pool, i, names);
-		place_gang (&unseen, i, same);
+		place_gang (&baseline, i, same);
 		assert_true (worst_time (at, names) <= at->worst);
 		for (int j = 0; at->unchanged && j < MEMBERS; j++)
 			assert_string_equal (names[j].data, same[j].data);
 	}
 	close_pool (&pool);
-	close_pool (&unseen);
+	close_pool (&baseline);
 }
 
-static const struct pace_case cases[] = {
+static const struct duration_case cases[] = {
 	{.name = "a third is slow", .times = {0.6, 1.0, 1.6}, .worst = 1.0},
 	{.name = "a third is slow, with tails", .times = {0.6, 1.0, 1.6}, .worst = 1.0, .tail = 30},
 	{.name = "a third is a little quicker", .times = {0.8, 1.0, 1.25}, .worst = 1.0},
@@ -174,47 +175,47 @@
 
 /* Guards against a worker's next life being believed slow for what the one before took. */
 static void
-test_renewed_worker (void **state)
+test_restarted_worker (void **state)
 {
 	(void)state;
-	static const struct pace_case unlike = {.times = {0.6, 1.0, 1.6}};
-	struct pool pool, unseen;
+	static const struct duration_case unlike = {.times = {0.6, 1.0, 1.6}};
+	struct pool pool, baseline;
 	open_pool (&pool);
-	open_pool (&unseen);
-	see_steps (&pool, &unlike);
+	open_pool (&baseline);
+	send_steps (&pool, &unlike);
 	for (int i = 0; i < WORKERS; i++) {
 		struct dff_event event = {.type = DFF_EVENT_WORKER_RESTARTED,
 					  .worker = dff_name_printf ("w%d", i)};
 		dff_core_handle_event (pool.core, &event, pool.now_ms);
 	}
-	pass (&pool, 1000);
+	advance (&pool, 1000);
 	for (int i = 0; i < GANGS; i++) {
 		struct dff_name names[MEMBERS], same[MEMBERS];
 		place_gang (&pool, i, names);
-		place_gang (&unseen, i, same);
+		place_gang (&baseline, i, same);
 		for (int j = 0; j < MEMBERS; j++)
 			assert_string_equal (names[j].data, same[j].data);
 	}
 	close_pool (&pool);
-	close_pool (&unseen);
+	close_pool (&baseline);
 }
 
 /* Guards against steps without number being remembered for months. */
 static void
-test_memory_is_bounded (void **state)
+test_samples_are_bounded (void **state)
 {
 	(void)state;
 	struct pool pool;
 	open_pool (&pool);
 	for (uint64_t step = 0; step < 4000; step++) {
 		for (int i = 0; i < WORKERS; i++)
-			tell_pace (&pool, i, step, TASK_MS);
+			send_duration (&pool, i, step, TASK_MS);
 	}
 	struct dff_core_stats stats;
 	dff_core_get_stats (pool.core, &stats);
 	assert_in_range (stats.duration_samples, 1, 10000);
-	pass (&pool, 1000000);
-	pass (&pool, 1000);
+	advance (&pool, 1000000);
+	advance (&pool, 1000);
 	dff_core_get_stats (pool.core, &stats);
 	assert_int_equal (stats.duration_samples, 0);
 	close_pool (&pool);
@@ -224,12 +225,12 @@
 main (void)
 {
 	struct CMUnitTest tests[G_N_ELEMENTS (cases) + 2] = {
-		cmocka_unit_test (test_renewed_worker),
-		cmocka_unit_test (test_memory_is_bounded),
+		cmocka_unit_test (test_restarted_worker),
+		cmocka_unit_test (test_samples_are_bounded),
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		tests[2 + i] = (struct CMUnitTest){.name = cases[i].name,
-						   .test_func = test_gangs_by_pace,
+						   .test_func = test_gangs_avoid_slow_workers,
 						   .initial_state = (void *)&cases[i]};
 	}
 	return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/core/test-property.c
+++ b/tests/core/test-property.c
@@ -64,7 +64,7 @@
 	GPtrArray *order;
 	GPtrArray *tasks;
 	enum dff_worker_state states[N_WORKERS];
-	bool calm;
+	bool fault_free;
 	int64_t events;
 	/** Jobs that the core of the moment was given. */
 	int64_t accepted;
@@ -84,7 +84,7 @@
 static bool
 chance (struct world *world, double probability)
 {
-	return !world->calm && g_rand_double (world->rand) < probability;
+	return !world->fault_free && g_rand_double (world->rand) < probability;
 }
 
 static void
@@ -96,7 +96,8 @@
 }
 
 static void
-tell (struct world *world, const struct task *task, enum dff_event_type type, bool ran, int delay)
+send_event (
+	struct world *world, const struct task *task, enum dff_event_type type, bool ran, int delay)
 {
 	struct arrival arrival = {.event = {.type = type,
 					    .job = task->job,
@@ -144,7 +145,7 @@
 		return;
 	if (chance (world, 0.04)) {
 		task->ended = true;
-		tell (world, task, DFF_EVENT_TASK_START_FAILED, false, 200);
+		send_event (world, task, DFF_EVENT_TASK_START_FAILED, false, 200);
 		return;
 	}
 	for (guint i = 0; i < world->tasks->len; i++) {
@@ -155,7 +156,7 @@
 	}
 	task->alive = true;
 	if (!chance (world, 0.03))
-		tell (world, task, DFF_EVENT_TASK_STARTED, false, 300);
+		send_event (world, task, DFF_EVENT_TASK_STARTED, false, 300);
 	if (!task->held)
 		task_runs (world, task);
 }
@@ -168,8 +169,8 @@
 	task->alive = false;
 	task->ended = true;
 	task->completed = !chance (world, 0.08);
-	tell (world, task, task->completed ? DFF_EVENT_TASK_COMPLETED : DFF_EVENT_TASK_FAILED, true,
-	      300);
+	send_event (world, task, task->completed ? DFF_EVENT_TASK_COMPLETED : DFF_EVENT_TASK_FAILED,
+		    true, 300);
 }
 
 static void
@@ -180,13 +181,13 @@
 		return;
 	/* A worker that saw the task end says so again; one that did not see it refuses it. */
 	if (task->completed) {
-		tell (world, task, DFF_EVENT_TASK_COMPLETED, true, 300);
+		send_event (world, task, DFF_EVENT_TASK_COMPLETED, true, 300);
 		return;
 	}
 	task->tombstone = true;
 	task->alive = false;
 	task->ended = true;
-	tell (world, task, DFF_EVENT_TASK_STOPPED, task->ran, 300);
+	send_event (world, task, DFF_EVENT_TASK_STOPPED, task->ran, 300);
 }
 
 static void
@@ -269,7 +270,7 @@
 }
 
 static void
-carry_out (struct world *world, const struct dff_command *command)
+execute (struct world *world, const struct dff_command *command)
 {
 	struct row *row = g_hash_table_lookup (world->rows, &command->job);
 	switch (command->type) {
@@ -284,8 +285,8 @@
 		return;
 	case DFF_COMMAND_CHECKPOINT_TASK:
 		if (!chance (world, 0.2))
-			tell (world, find_task (world, command), DFF_EVENT_TASK_CHECKPOINTED, false,
-			      3000);
+			send_event (world, find_task (world, command), DFF_EVENT_TASK_CHECKPOINTED,
+				    false, 3000);
 		return;
 	case DFF_COMMAND_STOP_TASK:
 		if (find_task (world, command) != NULL)
@@ -345,7 +346,7 @@
 	dff_core_tick (world->core, world->now_ms, commands);
 	check_releases (world, commands);
 	for (guint i = 0; i < commands->len; i++)
-		carry_out (world, &g_array_index (commands, struct dff_command, i));
+		execute (world, &g_array_index (commands, struct dff_command, i));
 	check_accounts (world);
 	world->events++;
 }
@@ -365,7 +366,7 @@
 		task->alive = false;
 		task->ended = true;
 		task->tombstone = true;
-		tell (world, task, DFF_EVENT_TASK_LOST, false, 8000);
+		send_event (world, task, DFF_EVENT_TASK_LOST, false, 8000);
 	}
 }
 
@@ -427,7 +428,7 @@
 }
 
 static void
-gather (struct world *world)
+add_stats (struct world *world)
 {
 	struct dff_core_stats stats;
 	dff_core_get_stats (world->core, &stats);
@@ -451,7 +452,7 @@
 static void
 take_over (struct world *world)
 {
-	gather (world);
+	add_stats (world);
 	dff_core_free (world->core);
 	world->core = new_core ();
 	world->accepted = 0;
@@ -472,7 +473,7 @@
 /* A task of an open attempt whose start never left the former holder: the worker answers a stop
  * all the same, and a dead worker's lease lapses. */
 static void
-adopt_unsent (struct world *world)
+add_unsent_tasks (struct world *world)
 {
 	for (guint i = 0; i < world->order->len; i++) {
 		const struct row *row = g_ptr_array_index (world->order, i);
@@ -491,13 +492,13 @@
 				g_ptr_array_add (world->tasks, task);
 			}
 			if (task->tombstone || world->states[task->worker] == DFF_WORKER_DOWN)
-				tell (world, task, DFF_EVENT_TASK_LOST, false, 8000);
+				send_event (world, task, DFF_EVENT_TASK_LOST, false, 8000);
 		}
 	}
 }
 
 static void
-disturb (struct world *world)
+inject_faults (struct world *world)
 {
 	if (chance (world, 0.02))
 		cancel (world, 30);
@@ -514,7 +515,7 @@
 		dff_core_set_pool (world->core, &world->pools[world->pool], world->now_ms);
 	}
 	if (chance (world, 0.006)) {
-		adopt_unsent (world);
+		add_unsent_tasks (world);
 		take_over (world);
 	}
 }
@@ -605,12 +606,12 @@
 		submit (&world, i);
 		tick (&world, commands);
 		for (int j = g_rand_int_range (world.rand, 0, 12); j > 0; j--) {
-			disturb (&world);
+			inject_faults (&world);
 			advance (&world, commands);
 		}
 	}
 	/* The faults end, every worker is back: whatever was accepted has to come to an end. */
-	world.calm = true;
+	world.fault_free = true;
 	world.pool = 0;
 	dff_core_set_pool (world.core, &world.pools[0], world.now_ms);
 	for (int i = 0; i < N_WORKERS; i++)
@@ -622,7 +623,7 @@
 		if (!row->ended)
 			fail_msg ("seed %u: job without end: %s", seed, row->spec.id.data);
 	}
-	gather (&world);
+	add_stats (&world);
 	assert_true (world.seen.preemptions > 0 && world.seen.retries > 0);
 	totals->reclaims += world.seen.reclaims;
 	totals->start_failures += world.seen.start_failures;
--- a/tests/core/test-quarantine.c
+++ b/tests/core/test-quarantine.c
@@ -131,7 +131,7 @@
 /* Symptom: a gang that needs every worker waits for ever. Sequence: a worker fails two jobs, is
  * mended, and nothing but the gang waits. Cause: only a small job could be the probe. */
 static void
-test_gang_alone_gets_the_worker_back (void **state)
+test_worker_returns_without_probe (void **state)
 {
 	static const bool idempotent[] = {true, false};
 	struct fixture *fixture = *state;
@@ -149,7 +149,7 @@
 /* Symptom: a worker that fails everything is given one gang after the other. Sequence: it takes
  * part again and fails the gang. Cause: two failures were asked for, and the time did not grow. */
 static void
-test_failure_on_trial_doubles_the_time (void **state)
+test_failure_on_trial_doubles_quarantine (void **state)
 {
 	struct fixture *fixture = *state;
 	int64_t end_ms = QUARANTINE_MS + PROBE_WAIT_MS;
@@ -197,7 +197,7 @@
 /* Symptom: a probe that takes long frees the worker for everything else. Sequence: a small job
  * probes the worker past the wait. Cause: the wait went on while the probe ran. */
 static void
-test_probe_is_waited_for (void **state)
+test_long_probe (void **state)
 {
 	struct fixture *fixture = *state;
 	int64_t end_ms = QUARANTINE_MS + PROBE_WAIT_MS;
@@ -221,12 +221,12 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown (test_gang_alone_gets_the_worker_back, setup,
+		cmocka_unit_test_setup_teardown (test_worker_returns_without_probe, setup,
 						 teardown),
-		cmocka_unit_test_setup_teardown (test_failure_on_trial_doubles_the_time, setup,
+		cmocka_unit_test_setup_teardown (test_failure_on_trial_doubles_quarantine, setup,
 						 teardown),
 		cmocka_unit_test_setup_teardown (test_one_attempt_on_trial, setup, teardown),
-		cmocka_unit_test_setup_teardown (test_probe_is_waited_for, setup, teardown),
+		cmocka_unit_test_setup_teardown (test_long_probe, setup, teardown),
 	};
 	return cmocka_run_group_tests_name ("quarantine", tests, NULL, NULL);
 }
--- a/tests/core/test-request-slots.c
+++ b/tests/core/test-request-slots.c
@@ -6,7 +6,7 @@
 struct slots_case {
 	int32_t services;
 	int32_t request_slots;
-	bool sets_aside;
+	bool dedicated;
 	/** Of the eight slots of the only worker, those that jobs get. */
 	int job_slots;
 };
@@ -21,7 +21,7 @@
 	fixture_pool_init (&pool, 1, 1, 0);
 	fixture_pool_add_team (&pool, "a", 0, 0);
 	struct dff_service service = {.request_slots = test->request_slots,
-				      .dedicated_request_slots = test->sets_aside};
+				      .dedicated_request_slots = test->dedicated};
 	for (int32_t i = 0; i < test->services; i++)
 		g_array_append_val (pool.services, service);
 	dff_core_set_pool (core, &pool, 0);
--- a/tests/core/test-starving-gang.c
+++ b/tests/core/test-starving-gang.c
@@ -36,7 +36,7 @@
 }
 
 static void
-tell (struct run *run, enum dff_event_type type, const struct dff_name *job, int member)
+send_event (struct run *run, enum dff_event_type type, const struct dff_name *job, int member)
 {
 	struct dff_event event = {.type = type, .job = *job, .attempt = 1, .member = member};
 	dff_core_handle_event (run->core, &event, run->now_ms);
@@ -62,16 +62,16 @@
 	bool gang = strcmp (command->job.data, "gang") == 0;
 	switch (command->type) {
 	case DFF_COMMAND_RECORD_START:
-		tell (run, DFF_EVENT_ATTEMPT_RECORDED, &command->job, 0);
+		send_event (run, DFF_EVENT_ATTEMPT_RECORDED, &command->job, 0);
 		break;
 	case DFF_COMMAND_START_TASK:
-		tell (run, DFF_EVENT_TASK_STARTED, &command->job, command->member);
+		send_event (run, DFF_EVENT_TASK_STARTED, &command->job, command->member);
 		run->gang_runs = run->gang_runs || gang;
 		if (!gang)
 			plan_end (run, &command->job);
 		break;
 	case DFF_COMMAND_RECORD_OUTCOME:
-		tell (run, DFF_EVENT_OUTCOME_RECORDED, &command->job, 0);
+		send_event (run, DFF_EVENT_OUTCOME_RECORDED, &command->job, 0);
 		break;
 	default:
 		break;
@@ -79,7 +79,7 @@
 }
 
 static void
-settle (struct run *run)
+tick_until_idle (struct run *run)
 {
 	g_autoptr (GArray) commands = g_array_new (FALSE, TRUE, sizeof (struct dff_command));
 	do {
@@ -99,17 +99,17 @@
 	if (ended[0] != '\0') {
 		const struct dff_name job = dff_name_from (ended);
 		ended[0] = '\0';
-		tell (run, DFF_EVENT_TASK_COMPLETED, &job, 0);
+		send_event (run, DFF_EVENT_TASK_COMPLETED, &job, 0);
 	}
 	submit_small (run);
-	settle (run);
+	tick_until_idle (run);
 }
 
 /* Symptom: a petition summary misses its council session. Sequence: a gang of a whole rack waits;
  * small jobs that may not be preempted come one by one, each takes what the one before left. Cause:
  * the rack is never free as a whole at any moment, and nobody keeps it. */
 static void
-test_gang_does_not_wait_for_ever (void **state)
+test_gang_gets_a_rack (void **state)
 {
 	(void)state;
 	struct dff_core_options options;
@@ -124,7 +124,7 @@
 	fixture_worker_state (run.core, "w1", DFF_WORKER_UP);
 	for (int i = 0; i < 2 * N_ACCELERATORS; i++)
 		submit_small (&run);
-	settle (&run);
+	tick_until_idle (&run);
 	struct dff_job_spec gang = fixture_spec ("gang", 2, N_ACCELERATORS / 2);
 	gang.adjacency = DFF_ADJACENCY_RACK;
 	struct dff_event event = {.type = DFF_EVENT_JOB_SUBMITTED, .spec = &gang};
@@ -140,6 +140,6 @@
 int
 main (void)
 {
-	const struct CMUnitTest tests[] = {cmocka_unit_test (test_gang_does_not_wait_for_ever)};
+	const struct CMUnitTest tests[] = {cmocka_unit_test (test_gang_gets_a_rack)};
 	return cmocka_run_group_tests_name ("core-starving-gang", tests, NULL, NULL);
 }
--- a/tests/core/test-wants.c
+++ b/tests/core/test-wants.c
@@ -7,7 +7,7 @@
 test_label (void **state)
 {
 	(void)state;
-	struct dff_core_options options = patient_options ();
+	struct dff_core_options options = retry_options ();
 	struct site site;
 	site_open (&site, &options);
 	struct dff_job_spec spec = fixture_spec ("j", 1, 1);
@@ -16,7 +16,7 @@
 	spec.id = dff_name_from ("k");
 	spec.label = dff_name_from ("none-has-it");
 	site_submit (&site, &spec);
-	g_autoptr (GString) starts = site_pass (&site, 0);
+	g_autoptr (GString) starts = site_advance (&site, 0);
 	assert_string_equal (starts->str, "j@w1");
 	site_close (&site);
 }
@@ -25,7 +25,7 @@
 test_spread_group (void **state)
 {
 	(void)state;
-	struct dff_core_options options = patient_options ();
+	struct dff_core_options options = retry_options ();
 	struct site site;
 	site_open (&site, &options);
 	for (int i = 0; i < N_WORKERS + 1; i++) {
@@ -35,7 +35,7 @@
 		spec.per_worker = 1;
 		site_submit (&site, &spec);
 	}
-	g_autoptr (GString) starts = site_pass (&site, 0);
+	g_autoptr (GString) starts = site_advance (&site, 0);
 	g_auto (GStrv) placed = g_strsplit (starts->str, " ", -1);
 	assert_int_equal (g_strv_length (placed), N_WORKERS);
 	for (int i = 0; i < N_WORKERS; i++)
@@ -50,21 +50,21 @@
 test_data_rack (void **state)
 {
 	(void)state;
-	struct dff_core_options options = patient_options ();
+	struct dff_core_options options = retry_options ();
 	options.locality_wait_ms = 5000;
 	struct site site;
 	site_open (&site, &options);
 	struct dff_job_spec spec = fixture_spec ("near", 2, 8);
 	spec.data_rack = dff_name_from ("r1");
 	site_submit (&site, &spec);
-	g_autoptr (GString) near = site_pass (&site, 0);
+	g_autoptr (GString) near = site_advance (&site, 0);
 	assert_string_equal (near->str, "near@w2,w3");
 	spec = fixture_spec ("late", 1, 1);
 	spec.data_rack = dff_name_from ("r1");
 	site_submit (&site, &spec);
-	g_autoptr (GString) none = site_pass (&site, 0);
+	g_autoptr (GString) none = site_advance (&site, 0);
 	assert_string_equal (none->str, "");
-	g_autoptr (GString) elsewhere = site_pass (&site, 5000);
+	g_autoptr (GString) elsewhere = site_advance (&site, 5000);
 	assert_true (g_str_has_prefix (elsewhere->str, "late@w"));
 	site_close (&site);
 }
@@ -86,7 +86,7 @@
 	static const enum dff_worker_state states[] = {DFF_WORKER_EVACUATED, DFF_WORKER_LEAVING,
 						       DFF_WORKER_DOWN};
 	for (size_t i = 0; i < G_N_ELEMENTS (states); i++) {
-		struct dff_core_options options = patient_options ();
+		struct dff_core_options options = retry_options ();
 		options.locality_wait_ms = 5000;
 		struct site site;
 		site_open (&site, &options);
@@ -94,14 +94,14 @@
 		struct dff_job_spec spec = fixture_spec ("far", 1, 1);
 		spec.data_rack = dff_name_from ("r1");
 		site_submit (&site, &spec);
-		g_autoptr (GString) elsewhere = site_pass (&site, 0);
+		g_autoptr (GString) elsewhere = site_advance (&site, 0);
 		assert_true (g_str_has_prefix (elsewhere->str, "far@w"));
 		/* Taken back: the next one is near its data again. */
 		set_states (&site, "w2", "w3", DFF_WORKER_UP);
 		spec = fixture_spec ("near", 1, 1);
 		spec.data_rack = dff_name_from ("r1");
 		site_submit (&site, &spec);
-		g_autoptr (GString) near = site_pass (&site, 0);
+		g_autoptr (GString) near = site_advance (&site, 0);
 		assert_true (g_str_has_prefix (near->str, "near@w2") ||
 			     g_str_has_prefix (near->str, "near@w3"));
 		site_close (&site);
@@ -113,7 +113,7 @@
  * urgent work. Cause: the gang waited for a rack that would only have held it with all its workers.
  */
 static void
-test_gang_of_a_lost_rack (void **state)
+test_gang_in_rack_without_worker (void **state)
 {
 	(void)state;
 	static const struct {
@@ -127,12 +127,12 @@
 		{NULL, 0, 0},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
-		struct dff_core_options options = patient_options ();
+		struct dff_core_options options = retry_options ();
 		options.headroom_decay_ms = 60000;
 		struct site site;
 		site_open (&site, &options);
 		if (cases[i].urgent > 0)
-			site_need_once (&site, cases[i].urgent);
+			site_run_urgent_once (&site, cases[i].urgent);
 		if (cases[i].lost != NULL) {
 			fixture_worker_state (site.core, cases[i].lost, DFF_WORKER_DOWN);
 			fixture_worker_state (site.core, "w2", DFF_WORKER_DOWN);
@@ -141,9 +141,9 @@
 		spec.region = dff_name_from ("region0");
 		spec.priority = 1;
 		site_submit (&site, &spec);
-		g_autoptr (GString) at_once = site_pass (&site, 0);
+		g_autoptr (GString) at_once = site_advance (&site, 0);
 		assert_int_equal (at_once->len > 0, cases[i].waits_ms == 0);
-		g_autoptr (GString) later = site_pass (&site, cases[i].waits_ms);
+		g_autoptr (GString) later = site_advance (&site, cases[i].waits_ms);
 		const GString *starts = at_once->len > 0 ? at_once : later;
 		assert_true (g_str_has_prefix (starts->str, "gang@"));
 		site_close (&site);
@@ -166,7 +166,7 @@
 		{0, 8, false},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
-		struct dff_core_options options = patient_options ();
+		struct dff_core_options options = retry_options ();
 		struct site site;
 		site_open (&site, &options);
 		fixture_pool_add_team (&site.pool, "b", 0, 0);
@@ -178,7 +178,7 @@
 		other.adjacency = DFF_ADJACENCY_NONE;
 		other.urgent = true;
 		site_submit (&site, &other);
-		g_autoptr (GString) filled = site_pass (&site, 0);
+		g_autoptr (GString) filled = site_advance (&site, 0);
 		assert_true (g_str_has_prefix (filled->str, "other@"));
 		struct dff_event recorded = {
 			.type = DFF_EVENT_ATTEMPT_RECORDED, .job = other.id, .attempt = 1};
@@ -187,7 +187,7 @@
 		claim.adjacency = DFF_ADJACENCY_NONE;
 		claim.urgent = true;
 		site_submit (&site, &claim);
-		g_autoptr (GString) none = site_pass (&site, 10);
+		g_autoptr (GString) none = site_advance (&site, 10);
 		assert_string_equal (none->str, "");
 		struct dff_core_stats stats;
 		dff_core_get_stats (site.core, &stats);
@@ -197,7 +197,7 @@
 }
 
 static void
-tell (struct site *site, const char *job, enum dff_event_type type, int32_t percent)
+send_event (struct site *site, const char *job, enum dff_event_type type, int32_t percent)
 {
 	struct dff_event event = {
 		.type = type, .job = dff_name_from (job), .attempt = 1, .percent = percent};
@@ -205,10 +205,10 @@
 }
 
 /* Symptom: gangs are stopped within a second of their end, and begin again. Cause: what gives way
- * was chosen by how long it had run, from estimates that are far off; workers tell how far each
- * task is. */
+ * was chosen by how long it had run, from estimates that are far off; workers send_event how far
+ * each task is. */
 static void
-test_what_ends_soon_is_not_stopped (void **state)
+test_run_that_ends_soon_is_not_preempted (void **state)
 {
 	(void)state;
 	static const struct {
@@ -221,7 +221,7 @@
 		{95, "old"},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
-		struct dff_core_options options = patient_options ();
+		struct dff_core_options options = retry_options ();
 		struct site site;
 		site_open (&site, &options);
 		static const char *const names[] = {"old", "young"};
@@ -229,21 +229,21 @@
 			struct dff_job_spec spec = fixture_spec (names[j], 2, 8);
 			spec.checkpoint = false;
 			site_submit (&site, &spec);
-			g_autoptr (GString) starts = site_pass (&site, 0);
-			tell (&site, names[j], DFF_EVENT_ATTEMPT_RECORDED, 0);
+			g_autoptr (GString) starts = site_advance (&site, 0);
+			send_event (&site, names[j], DFF_EVENT_ATTEMPT_RECORDED, 0);
 			struct dff_event started = {
 				.type = DFF_EVENT_TASK_STARTED, .job = spec.id, .attempt = 1};
 			dff_core_handle_event (site.core, &started, site.now_ms);
 			started.member = 1;
 			dff_core_handle_event (site.core, &started, site.now_ms);
-			g_autoptr (GString) none = site_pass (&site, j == 0 ? 2000 : 4000);
+			g_autoptr (GString) none = site_advance (&site, j == 0 ? 2000 : 4000);
 		}
-		tell (&site, "old", DFF_EVENT_TASK_PROGRESS, 50);
-		tell (&site, "young", DFF_EVENT_TASK_PROGRESS, cases[i].percent);
+		send_event (&site, "old", DFF_EVENT_TASK_PROGRESS, 50);
+		send_event (&site, "young", DFF_EVENT_TASK_PROGRESS, cases[i].percent);
 		struct dff_job_spec urgent = fixture_spec ("urgent", 2, 8);
 		urgent.urgent = true;
 		site_submit (&site, &urgent);
-		g_autoptr (GString) none = site_pass (&site, 0);
+		g_autoptr (GString) none = site_advance (&site, 0);
 		assert_string_equal (none->str, "");
 		struct dff_name stopped = dff_name_from (cases[i].stopped);
 		assert_int_equal (dff_core_job_phase (site.core, &stopped), DFF_JOB_PHASE_STOPPING);
@@ -257,13 +257,13 @@
 test_rejections (void **state)
 {
 	(void)state;
-	struct dff_core_options options = patient_options ();
+	struct dff_core_options options = retry_options ();
 	struct site site;
 	site_open (&site, &options);
 	struct dff_job_spec spec = fixture_spec ("j", 1, 8);
 	site_submit (&site, &spec);
 	for (int32_t attempt = 1; attempt <= 20; attempt++) {
-		g_autoptr (GString) starts = site_pass (&site, 1000);
+		g_autoptr (GString) starts = site_advance (&site, 1000);
 		assert_true (g_str_has_prefix (starts->str, "j@"));
 		struct dff_event event = {
 			.type = DFF_EVENT_ATTEMPT_RECORDED, .job = spec.id, .attempt = attempt};
@@ -286,9 +286,9 @@
 		cmocka_unit_test (test_spread_group),
 		cmocka_unit_test (test_data_rack),
 		cmocka_unit_test (test_data_rack_is_closed),
-		cmocka_unit_test (test_gang_of_a_lost_rack),
+		cmocka_unit_test (test_gang_in_rack_without_worker),
 		cmocka_unit_test (test_assured_team),
-		cmocka_unit_test (test_what_ends_soon_is_not_stopped),
+		cmocka_unit_test (test_run_that_ends_soon_is_not_preempted),
 		cmocka_unit_test (test_rejections),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
