--- a/tests/core/core_fixture.h
+++ b/tests/core/core_fixture.h
@@ -26,7 +26,8 @@
 	g_array_unref (rack->workers);
 }
 
-/** @n_racks racks "r0".. of @per_rack workers "w0".. with 8 slots and @accelerators each. */
+/** Initialises a pool of @n_racks racks "r0".. with @per_rack workers each, "w0".. with 8 slots and
+ * @accelerators each. */
 static inline void
 fixture_pool_init (struct dff_pool *pool, int n_racks, int per_rack, int accelerators)
 {
@@ -56,7 +57,7 @@
 	}
 }
 
-/** Adds a team; @gangs 0: without a guarantee. */
+/** Adds a team; with @gangs 0 it has no guarantee. */
 static inline void
 fixture_pool_add_team (struct dff_pool *pool, const char *name, int gangs, int accelerators)
 {
@@ -81,7 +82,7 @@
 	g_array_unref (pool->operators);
 }
 
-/** A job of team "a" that may be repeated; tests change what they need. */
+/** Returns: the spec of an idempotent job of team "a"; tests change the fields they need. */
 static inline struct dff_job_spec
 fixture_spec (const char *id, int gang, int accelerators)
 {
--- a/tests/core/core_site.h
+++ b/tests/core/core_site.h
@@ -5,13 +5,13 @@
 
 #include "core_fixture.h"
 
-/* A core with a small pool, and what it starts as time passes. */
+/* A core with a small pool, and helpers that report what it starts as time passes. */
 
 /** Two racks of two workers with eight accelerators each. */
 #define N_RACKS 2
 #define PER_RACK 2
 #define N_WORKERS (N_RACKS * PER_RACK)
-/** Priorities that the core tells apart. */
+/** Number of distinct priorities in the core. */
 #define DFF_CORE_TEST_PRIORITIES 3
 
 static const char *const worker_names[N_WORKERS] = {"w0", "w1", "w2", "w3"};
@@ -69,7 +69,8 @@
 	dff_core_handle_event (site->core, &event, site->now_ms);
 }
 
-/* Lets time pass; records what is to start. Returns: "JOB@WORKER,WORKER ..." of the starts. */
+/* Advances the time and ticks once. Returns: the starts to be recorded, as "JOB@WORKER,WORKER
+ * ...". */
 static inline GString *
 site_advance (struct site *site, int64_t ms)
 {
@@ -93,7 +94,7 @@
 	return starts;
 }
 
-/* Has urgent work need whole workers for a moment. */
+/* Runs urgent work on @n_workers whole workers for a moment, so that headroom is left for it. */
 static inline void
 site_run_urgent_once (struct site *site, int32_t n_workers)
 {
--- a/tests/core/test-bad-workers.c
+++ b/tests/core/test-bad-workers.c
@@ -1,18 +1,18 @@
 #include "core_fixture.h"
 
-/* Workers that fail everything, and jobs that fail everywhere: four workers with one accelerator
- * each, whose commands are answered at once. */
+/* Workers on which every job fails, and jobs that fail on every worker. Four workers with one
+ * accelerator each; commands are answered at once. */
 
 #define N_WORKERS 4
-/** Jobs whose name begins so fail wherever they start. */
+/** Jobs whose name has this prefix fail wherever they start. */
 #define BAD_PREFIX "bad"
-/** Jobs whose name begins so run until they are told to be done. */
+/** Jobs whose name has this prefix run until the test completes them. */
 #define SLOW_PREFIX "slow"
 #define SECOND_MS INT64_C (1000)
 #define MINUTE_MS (60 * SECOND_MS)
-/** Tasks that run on the worker that fails later on, one on each of its accelerators. */
+/** Number of tasks that run on the worker before it becomes faulty, one on each accelerator. */
 #define N_BEFORE 8
-/** Different jobs that fail on a worker before it is set aside. */
+/** Number of different jobs that fail on a worker before it is quarantined. */
 #define FAILURES_TO_QUARANTINE 2
 
 struct run {
@@ -20,11 +20,11 @@
 	struct dff_pool pool;
 	int64_t now_ms;
 	int n_jobs;
-	/** Fails all that starts there; NULL: none does. */
+	/** Worker on which every started task fails; NULL: none. */
 	const char *bad_worker;
-	/** Worker of each job's attempt that is on its way. Key: job, value: worker. */
+	/** Worker of the current attempt of each job. Key: job, value: worker. */
 	GHashTable *placed;
-	/** Starts, by worker; and by those of them that were of bad jobs. */
+	/** Number of starts by worker, and of starts of bad jobs by worker. */
 	GHashTable *starts;
 	GHashTable *bad_starts;
 	int n_completed;
@@ -130,7 +130,7 @@
 	}
 }
 
-/* Ticks until nothing is commanded any more at this moment. */
+/* Ticks until the core gives no more commands at the current time. */
 static void
 tick_until_idle (struct run *run)
 {
@@ -151,7 +151,7 @@
 	dff_core_handle_event (run->core, &event, run->now_ms);
 }
 
-/* A job each second, for as long. */
+/* Submits one job a second for @duration_ms. */
 static void
 submit_jobs_for (struct run *run, int64_t duration_ms)
 {
@@ -163,9 +163,9 @@
 	}
 }
 
-/* Symptom: half of the jobs fail, because a worker that fails at once is always free again first.
- * Sequence: a worker fails everything for ten minutes, then it is mended. Cause: nobody counted
- * failures by worker; or the worker was never tried again. */
+/* Guards against a worker that fails at once being always the first one free, so that half of all
+ * jobs fail on it: its failures have to be counted. And against a repaired worker that is never
+ * tried again: it fails every job for ten minutes, then recovers. */
 static void
 test_worker_that_fails_everything (void **state)
 {
@@ -176,7 +176,7 @@
 	submit_jobs_for (&run, MINUTE_MS / 2);
 	assert_int_equal (count (run.starts, "w0"), FAILURES_TO_QUARANTINE);
 	submit_jobs_for (&run, 10 * MINUTE_MS);
-	/* One probe after one, two and four minutes more. */
+	/* One probe each after one, two and four more minutes. */
 	assert_in_range (count (run.starts, "w0"), FAILURES_TO_QUARANTINE + 1,
 			 FAILURES_TO_QUARANTINE + 4);
 	assert_int_equal (run.n_failed, 0);
@@ -202,8 +202,9 @@
 	return stats.workers_quarantined;
 }
 
-/* Symptom: healthy workers are set aside one after the other. Sequence: a job fails wherever it is
- * started, other jobs run well in between. Cause: each of its failures was blamed on a worker. */
+/* Guards against quarantining healthy workers one after the other: a job fails wherever it is
+ * started while other jobs succeed in between, so its failures must not be blamed on the
+ * workers. */
 static void
 test_job_that_fails_everywhere (void **state)
 {
@@ -219,9 +220,9 @@
 	end (&run);
 }
 
-/* Symptom: a pool is closed by two bad jobs. Sequence: at night both fail on every worker, and
- * nothing else runs that would clear a worker. Cause: the failures of a job count against every
- * worker it comes to, also when it has failed on others before. */
+/* Guards against two bad jobs closing a pool: both fail on every worker and no other job runs that
+ * would clear a worker. The failures of a job must not count against a worker once the job has
+ * failed on others. */
 static void
 test_two_jobs_that_fail_everywhere (void **state)
 {
@@ -239,10 +240,10 @@
 	end (&run);
 }
 
-/* Symptom: one team's batch closes the region, and another team's guaranteed gang waits for a
- * minute and longer. Sequence: more jobs than there are workers fail at once, wherever they run.
- * Cause: each worker saw two different jobs fail and was set aside. Found with real processes: 64
- * jobs, 16 workers, all of them in quarantine within 2 s. */
+/* Guards against one team's batch closing the region, so that another team's guaranteed gang waits
+ * for a minute or longer. More jobs than there are workers fail at once wherever they run, so each
+ * worker sees two different jobs fail. Found with real processes: 64 jobs put all of 16 workers
+ * into quarantine within 2 s. */
 static void
 test_many_jobs_that_fail_everywhere (void **state)
 {
@@ -272,10 +273,10 @@
 	dff_core_handle_event (run->core, &event, run->now_ms);
 }
 
-/* Symptom: a worker that begins to fail what it starts is given dozens of tasks in a few seconds,
- * and a third of the urgent gangs meet one such worker in each of their two runs. Sequence: it runs
- * several tasks; from some moment on it fails what it starts; what began before that completes
- * there, one task a second. Cause: each of these ends was taken for a sign that it is sound. */
+/* Guards against a faulty worker getting dozens of tasks in a few seconds, so that a third of the
+ * urgent gangs meet one such worker in both of their attempts. The worker runs several tasks and
+ * then fails what it starts, while tasks that began earlier complete there, one a second. These
+ * completions must not count as a sign of health. */
 static void
 test_success_of_run_begun_before_failures (void **state)
 {
@@ -299,10 +300,10 @@
 	end (&run);
 }
 
-/* Symptom: one urgent gang in nine fails, as it has two runs and meets a worker that fails all it
- * starts in both. Sequence: a worker begins to fail what it starts, within moments; each such
- * worker was given a second task before it was set aside. Cause: how soon a run failed was not
- * looked at. A job that fails wherever it runs does not close the pool by that. */
+/* Guards against an urgent gang, which has two attempts, meeting a faulty worker in both: one gang
+ * in nine failed that way. The worker fails what it starts within moments; an early failure has to
+ * quarantine it without a second one. A job that fails early wherever it runs must not close the
+ * pool by that. */
 static void
 test_early_failures (void **state)
 {
@@ -325,7 +326,7 @@
 	end (&run);
 }
 
-/* The same failures half-way through, as of work that is at fault, set no worker aside. */
+/* Failures half-way through the run, as caused by the work itself, quarantine no worker. */
 static void
 test_late_failure (void **state)
 {
--- a/tests/core/test-blamed-jobs.c
+++ b/tests/core/test-blamed-jobs.c
@@ -2,14 +2,14 @@
 
 #include <string.h>
 
-/* Jobs that are blamed for the ends of their workers. */
+/* Jobs that get blame points for crashes of their workers. */
 
 #define N_RACKS 2
 #define PER_RACK 3
 #define ACCELERATORS 8
 #define BLAME_LIMIT 5
 #define ISOLATION_BLAME 2
-/** When a job that has been started is not on trial any more, ms. */
+/** Time after a job's start at which it is no longer on trial, ms. */
 #define TRIAL_PASSED_MS 2000
 
 struct fixture {
@@ -77,7 +77,7 @@
 	dff_core_handle_event (fixture->core, &event, fixture->now_ms);
 }
 
-/* Returns: (nullable): the first command of a type about a job, in the next tick. */
+/* Ticks. Returns: (nullable): the first command of @type about the job. */
 static const struct dff_command *
 next_command (struct fixture *fixture, const char *id, enum dff_command_type type)
 {
@@ -91,7 +91,7 @@
 	return NULL;
 }
 
-/* Has the next attempt of a job be recorded, and so many of its members be started. */
+/* Records the next attempt of a job and starts @n_started of its members. */
 static void
 start_attempt (struct fixture *fixture, const char *id, int32_t attempt, int32_t n_started)
 {
@@ -101,8 +101,8 @@
 		send_event (fixture, id, attempt, i, DFF_EVENT_TASK_STARTED);
 }
 
-/* A job is given up at the limit, at the end of the attempt; whether all of a gang had begun by
- * then, or nothing had, makes no difference. */
+/* A job is ended at the blame limit when its attempt ends, regardless of how many members of the
+ * gang had started. */
 static void
 test_ended_at_blame_limit (void **state)
 {
@@ -137,8 +137,8 @@
 	}
 }
 
-/* Symptom: after a take-outcome a job that was to be given up is started once more. Sequence: the
- * process that decides ends once the job's send_blame is on record, before its end is. */
+/* Guards against starting a job once more after a takeover: the holder fails after the job's blame
+ * is recorded and before its outcome is. */
 static void
 test_ended_after_takeover (void **state)
 {
@@ -162,7 +162,7 @@
 		       : NULL;
 }
 
-/* Has a job of so many accelerators run on each of the first workers. */
+/* Runs a job with @accelerators on each of the first @n_workers workers. */
 static void
 fill_workers (struct fixture *fixture, int32_t n_workers, int32_t accelerators)
 {
@@ -173,7 +173,7 @@
 	}
 }
 
-/* A job that may have ended its workers goes where least else runs, other jobs where most does. */
+/* A job in isolation is placed where least else runs, other jobs where most does. */
 static void
 test_isolated_placement (void **state)
 {
@@ -195,7 +195,7 @@
 	}
 }
 
-/* Two such jobs are not tried on one worker at a time. */
+/* Two isolated jobs are not tried on one worker at the same time. */
 static void
 test_one_trial_per_worker (void **state)
 {
@@ -211,7 +211,7 @@
 	}
 	submit (&fixture, "more", 1, 1, ISOLATION_BLAME);
 	assert_null (placed_on (&fixture, "more"));
-	/* Its worker has outlived the first one's start. */
+	/* The worker has survived the start of its first isolated job. */
 	send_event (&fixture, "j0", 1, 0, DFF_EVENT_ATTEMPT_RECORDED);
 	send_event (&fixture, "j0", 1, 0, DFF_EVENT_TASK_STARTED);
 	fixture.now_ms = TRIAL_PASSED_MS;
@@ -232,13 +232,13 @@
 		submit (&fixture, id, 1, ACCELERATORS, 0);
 		assert_string_not_equal (placed_on (&fixture, id), tried_on);
 	}
-	/* Where there is no other place, it is better than none. */
+	/* Where there is no other place, a worker with a trial is better than none. */
 	submit (&fixture, "last", 1, 1, 0);
 	assert_string_equal (placed_on (&fixture, "last"), tried_on);
 	end (&fixture);
 }
 
-/* What is taken back does not count. */
+/* Blame points that are withdrawn do not count. */
 static void
 test_withdrawn_blame (void **state)
 {
--- a/tests/core/test-core-golden.c
+++ b/tests/core/test-core-golden.c
@@ -4,10 +4,8 @@
 #include <string.h>
 
 /* Golden sessions: lines of events in, the core's commands out, compared as whole files. Workers
- * and store answer every command after a constant time, so that a session file says only what
- * happens from outside. With DFF_GOLDEN_WRITE set the expected files are written anew, to be read
- * in review.
- */
+ * and store answer every command after a constant time, so that a session file contains external
+ * events only. With DFF_GOLDEN_WRITE set the expected files are rewritten, for review. */
 
 #define ANSWER_MS 100
 #define GOLDEN_DIR "tests/core/golden"
@@ -16,7 +14,7 @@
 	struct dff_core *core;
 	struct dff_pool pool;
 	int64_t now_ms;
-	/** Answers to come, in order of time. Elements: struct answer. */
+	/** Pending answers, in order of time. Elements: struct answer. */
 	GArray *answers;
 	GString *out;
 };
@@ -196,7 +194,8 @@
 	fail_msg ("unknown event: %s", kind);
 }
 
-/* Two racks of two workers with four accelerators each. Team a owns a rack, team b nothing. */
+/* Two racks of two workers with four accelerators each. Team a is guaranteed a whole rack, team b
+ * nothing. */
 static void
 session_init (struct session *session)
 {
--- a/tests/core/test-declared-times.c
+++ b/tests/core/test-declared-times.c
@@ -2,12 +2,12 @@
 
 #include <string.h>
 
-/* Declared run times that are far off, on one worker with one accelerator: which job goes next
- * shows what the core expects. */
+/* Declared run times that are far off, on one worker with one accelerator. Which job is placed next
+ * shows the run times that the core expects. */
 
 #define MINUTE_MS INT64_C (60000)
 #define HOUR_MS (60 * MINUTE_MS)
-/** Jobs after which a service is known. */
+/** Number of jobs after which the run times of a service are learned. */
 #define LEARNING_JOBS 10
 
 struct run {
@@ -56,7 +56,7 @@
 	dff_core_tick (run->core, run->now_ms, run->commands);
 }
 
-/** Returns: whether the last tick gave such a command for the job. */
+/** Returns: whether the last tick gave a command of @type for the job. */
 static bool
 was_commanded (const struct run *run, enum dff_command_type type, const char *id)
 {
@@ -69,7 +69,7 @@
 	return false;
 }
 
-/** From its record to its running. */
+/** Records and starts an attempt. */
 static void
 start (struct run *run, const char *id)
 {
@@ -86,8 +86,8 @@
 	send_event (run, DFF_EVENT_TASK_COMPLETED, id);
 }
 
-/** Two jobs wait behind a third; each declares what its service always declares. Returns: whether
- * the one of service "archive" goes first. */
+/** Queues two jobs behind a third; each declares what its service always declares. Returns: whether
+ * the job of service "archive" is placed first. */
 static bool
 archive_goes_first (struct run *run)
 {
@@ -115,9 +115,8 @@
 	}
 }
 
-/* Symptom: drafts wait behind jobs that claim to take a minute and take hours. Sequence: a service
- * declares a minute for every job, each takes two hours; another one's ten minutes are true. Cause:
- * declared times were believed for ever. */
+/* Guards against using declared times for ever: a service that declares a minute for jobs of two
+ * hours would be placed before one whose ten minutes are true. */
 static void
 test_wrong_declared_times_are_corrected (void **state)
 {
@@ -133,9 +132,9 @@
 	end (&run);
 }
 
-/* Symptom: a short job waits behind one that should have ended long ago. Sequence: a job that can
- * be checkpointed declares a minute and has run for two hours. Cause: what is left was taken for
- * the estimate less the time it ran, which is nothing. */
+/* Guards against estimating the remaining time as the estimate less the time run, which is nothing
+ * for a job that has outlived its estimate: a short job would wait behind a job with checkpoints
+ * that declared a minute and has run for two hours. */
 static void
 test_overdue_job_is_preempted (void **state)
 {
--- a/tests/core/test-evict-bound.c
+++ b/tests/core/test-evict-bound.c
@@ -1,7 +1,7 @@
 #include "core_site.h"
 
-/* How much of others' work an urgent job may throw away to get its place. The pool's four workers
- * are held by a gang that does not save what it does. */
+/* Limit of the work that may be lost by preempting for an urgent job. The pool's four workers are
+ * held by a gang without checkpoints. */
 
 #define EVICT_WORK_RATIO 4.0
 #define UNLIMITED_AFTER_MS 1200
@@ -43,9 +43,8 @@
 	return false;
 }
 
-/* Symptom: gangs that take seconds are stopped again and again, and few of them end in time.
- * Sequence: one has run for seconds on many workers, and an urgent job of one task comes. Cause:
- * how much is lost for how little was not asked. */
+/* Guards against stopping a gang that has run for seconds on many workers for an urgent job of one
+ * task: such gangs are stopped again and again, and few end in time. */
 static void
 test_lost_work_limit (void **state)
 {
@@ -54,20 +53,21 @@
 		/** Accelerators and run time of the urgent job. */
 		int32_t accelerators;
 		int32_t estimate_ms;
-		/** How long the gang has run, and the urgent job waited. */
+		/** Time that the gang has run, and that the urgent job has waited. */
 		int32_t ran_ms;
 		int32_t waited_ms;
 		bool assured;
 		bool stops;
 	} cases[] = {
-		/* As much of its own as the gang, of which a second counts at least. */
+		/* The urgent job's own work equals the gang's; the gang's run time counts as a
+		 * second at least. */
 		{32, 1000, 1000, 0, false, true},
 		{32, 1000, 6000, 0, false, false},
 		{32, 4000, 6000, 0, false, true},
 		{1, 1000, 0, 0, false, false},
 		{1, 1000, 6000, 0, false, false},
 		{1, 1000, 6000, 60000, false, false},
-		/* What is its team's own it gets, in time. */
+		/* A job within what its team is assured of is started after a wait. */
 		{1, 1000, 6000, 0, true, false},
 		{1, 1000, 6000, 1300, true, true},
 	};
--- a/tests/core/test-headroom.c
+++ b/tests/core/test-headroom.c
@@ -1,7 +1,7 @@
 #include "core_site.h"
 
-/* Room that work leaves free for what goes before it: how much, for how long, and when it is taken
- * all the same. The pool has four workers of eight accelerators. */
+/* Headroom that work leaves free for higher priorities: how much, for how long, and when it is used
+ * nevertheless. The pool has four workers of eight accelerators. */
 
 static struct dff_core_options
 headroom_options (void)
@@ -12,7 +12,7 @@
 	return options;
 }
 
-/* Submits @count single tasks of a priority. Returns: how many of them begin. */
+/* Submits @count single tasks of a priority. Returns: how many of them are started. */
 static int32_t
 begin_tasks (struct site *site, int32_t count, int32_t priority, int32_t accelerators)
 {
@@ -28,22 +28,22 @@
 	return starts->len > 0 ? (int32_t)g_strv_length (placed) : 0;
 }
 
-/* Symptom: urgent work finds the pool full each time, and stops what has just begun. Sequence: it
- * ends, and bulk work takes what is idle before the next comes. Cause: nothing remembered what was
- * needed a moment ago. */
+/* Guards against urgent work finding the pool full each time and stopping what has just begun:
+ * between two bursts of urgent work, bulk work must not take all that is idle. */
 static void
 test_headroom_follows_demand (void **state)
 {
 	(void)state;
 	static const struct {
-		/** Whole workers that urgent work has needed, and how long ago. */
+		/** Number of whole workers that urgent work has used, and time since then. */
 		int32_t needed;
 		int32_t ago_ms;
-		/** Of four whole workers asked for by each priority. */
+		/** Number of tasks started, of four whole-worker tasks submitted by each
+		 * priority. */
 		int32_t begun[DFF_CORE_TEST_PRIORITIES];
 	} cases[] = {
 		{0, 0, {4, 4, 4}},
-		/* Seven tenths of it is less than the next whole worker. */
+		/* Seven tenths of one worker is less than a whole worker: nothing is left free. */
 		{1, 0, {4, 4, 4}},
 		{2, 0, {4, 3, 3}},
 		{4, 0, {4, 2, 2}},
@@ -65,7 +65,7 @@
 	}
 }
 
-/* What gangs need is left free by bulk work, and not by themselves. */
+/* The demand of gangs is left free by bulk work, and not by the gangs themselves. */
 static void
 test_headroom_per_priority (void **state)
 {
@@ -74,13 +74,13 @@
 	struct site site;
 	site_open (&site, &options);
 	assert_int_equal (begin_tasks (&site, 2, 1, 8), 2);
-	/* Of the two workers left, 0.7 of what runs is one. */
+	/* Of the two workers left, 0.7 of the demand of the running gangs is one. */
 	assert_int_equal (begin_tasks (&site, 2, 2, 8), 1);
 	site_close (&site);
 }
 
-/* Symptom: bulk work waits beside an idle pool. Sequence: urgent work has needed all of it, and
- * comes no more. Cause: what is left free was left for as long as it is remembered. */
+/* Guards against bulk work waiting while the pool is idle: urgent work has needed the whole pool,
+ * and headroom decays slowly after it. */
 static void
 test_headroom_under_low_load (void **state)
 {
@@ -96,8 +96,8 @@
 		struct site site;
 		site_open (&site, &options);
 		site_run_urgent_once (&site, 4);
-		/* Two fit beside what is left free: half of the pool is idle, until a third
-		 * begins. */
+		/* Two tasks fit outside the headroom. Half of the pool is idle then, until a third
+		 * starts. */
 		assert_int_equal (begin_tasks (&site, 4, 2, 8), 2);
 		g_autoptr (GString) later = site_advance (&site, 1100);
 		g_auto (GStrv) placed = g_strsplit (later->str, "@", -1);
@@ -107,9 +107,8 @@
 	}
 }
 
-/* Symptom: a whole kind of request is never served on a loaded day. Sequence: gangs wait that need
- * a rack whole and cannot have one yet; bulk work leaves them its room until its own time is up.
- * Cause: it left free what waited before it for as long as that waited. */
+/* Guards against starvation of bulk work on a loaded day: gangs that wait for a whole rack keep
+ * headroom in demand for as long as they wait, until the bulk work's deadline passes. */
 static void
 test_headroom_after_wait (void **state)
 {
@@ -120,7 +119,7 @@
 		int32_t begun;
 	} cases[] = {
 		{0.0, 100000, 0},
-		/* Runs are expected to take a minute. */
+		/* Tasks have an expected run time of a minute. */
 		{1.0, 50000, 0},
 		{1.0, 70000, 1},
 	};
@@ -131,7 +130,7 @@
 		struct site site;
 		site_open (&site, &options);
 		assert_int_equal (begin_tasks (&site, 2, 1, 8), 2);
-		/* Of the two workers left, 0.7 of what runs is one. */
+		/* Of the two workers left, 0.7 of the demand of the running gangs is one. */
 		assert_int_equal (begin_tasks (&site, 2, 2, 8), 1);
 		g_autoptr (GString) later = site_advance (&site, cases[i].later_ms);
 		g_auto (GStrv) placed = g_strsplit (later->str, "@", -1);
--- a/tests/core/test-leaving-workers.c
+++ b/tests/core/test-leaving-workers.c
@@ -1,6 +1,7 @@
 #include "core_fixture.h"
 
-/* What runs on a worker that leaves: it stays where it ends in time, else it is stopped at once. */
+/* Tasks on a worker that leaves: a task that ends in time continues, any other is stopped at
+ * once. */
 
 struct run {
 	struct dff_core *core;
@@ -35,7 +36,7 @@
 	send_event (run, &event);
 }
 
-/* Returns: stops that the core asked for, for the reason that a worker leaves. */
+/* Returns: number of tasks that the core stops because a worker leaves. */
 static int
 tick_and_answer (struct run *run)
 {
@@ -83,7 +84,7 @@
 	dff_core_free (run->core);
 }
 
-/* Both workers leave, so that it does not matter which one has the job. */
+/* Both workers leave, so that it does not matter which one runs the job. */
 static void
 leave (struct run *run, int64_t leaves_in_ms)
 {
@@ -105,23 +106,24 @@
 		int64_t declared_ms;
 		int64_t leaves_in_ms;
 		int32_t gang;
-		/** Of the work at the notice, 500 ms after its start; 0: not progress. */
+		/** Progress reported 500 ms after the start, when the worker reports that it
+		 * leaves; 0: none. */
 		int32_t percent;
 		int stops;
 		bool checkpoint;
 	} cases[] = {
 		{60000, 1800, 1, 0, 1, false},
 		{60000, 1800, 1, 0, 1, true},
-		/* All of a gang, once. */
+		/* All members of a gang, once each. */
 		{60000, 1800, 2, 0, 2, false},
-		/* 500 ms are left. */
+		/* 500 ms remain. */
 		{60000, 1800, 1, 50, 0, false},
 		{60000, 1800, 1, 50, 0, true},
 		{60000, 1800, 2, 50, 0, false},
-		/* 4.5 s are left. */
+		/* 4.5 s remain. */
 		{1000, 1800, 1, 10, 1, false},
 		{60000, 7000, 1, 10, 0, false},
-		/* Nobody knows when it leaves. */
+		/* The time until the worker leaves is not known. */
 		{60000, 0, 1, 0, 0, false},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
@@ -143,8 +145,9 @@
 	}
 }
 
-/* Symptom: a task is lost with a worker that progress in time that it leaves. Sequence: the task is
- * declared to take less than it does. Cause: it was judged at the notice only. */
+/* Guards against losing a task with a worker that reported in time that it leaves: the task
+ * declares less than it takes, so it has to be evaluated again when progress is reported, not only
+ * at the notice. */
 static void
 test_preemption_by_progress (void **state)
 {
--- a/tests/core/test-lifecycle.c
+++ b/tests/core/test-lifecycle.c
@@ -1,7 +1,7 @@
 #include "core_fixture.h"
 
-/* Scripts of one job on one rack of two workers: each step is an event or the commands that the
- * next tick must give, written as letters. */
+/* Scripts of one job on one rack of two workers. Each step is an event, or the commands that the
+ * next tick must give, one letter each. */
 
 enum step_kind {
 	DFF_STEP_END,
@@ -17,8 +17,8 @@
 	enum dff_event_type event;
 	int member;
 	bool ran;
-	/** One letter a command: R(ecord start) S(tart) G(o) C(heckpoint) T(stop) E(nd) Y(retry).
-	 */
+	/** One letter for each command: R(ecord start) S(tart) G(o) C(heckpoint) T(stop) E(nd)
+	 * Y(retry). */
 	const char *commands;
 	enum dff_outcome outcome;
 	int wait_ms;
@@ -54,14 +54,14 @@
 	 .gang = 1,
 	 .steps = {EXPECT ("R"), EVENT (ATTEMPT_RECORDED, 0), EXPECT ("S"), EVENT (TASK_STARTED, 0),
 		   EXPECT (""), EVENT (TASK_COMPLETED, 0), OUTCOME (COMPLETED)}},
-	{.name = "a gang is let go only when every member is held",
+	{.name = "a gang is released only when every member is held",
 	 .gang = 2,
 	 .steps = {EXPECT ("R"), EVENT (ATTEMPT_RECORDED, 0), EXPECT ("SS"),
 		   EVENT (TASK_STARTED, 1), EXPECT (""), EVENT (TASK_STARTED, 0), EXPECT ("GG"),
 		   EVENT (TASK_COMPLETED, 0), EXPECT (""), EVENT (TASK_COMPLETED, 1),
 		   OUTCOME (COMPLETED)}},
-	/* Symptom: part of a gang runs alone. Sequence: one member starts, the other is refused.
-	 * Cause: the held member was not stopped. */
+	/* Guards against part of a gang running alone: one member starts and the other is refused,
+	 * so the held member has to be stopped. */
 	{.name = "a gang with a refused member is stopped and placed again",
 	 .gang = 2,
 	 .steps = {EXPECT ("R"),
@@ -74,13 +74,13 @@
 		   EXPECT ("Y"),
 		   {.kind = DFF_STEP_WAIT, .wait_ms = 1000},
 		   EXPECT ("R")}},
-	/* Symptom: a letter is drafted twice. Sequence: the worker of a started task dies. Cause: a
-	 * lost task was taken for one that never ran. */
+	/* Guards against running non-idempotent work twice, such as drafting a letter: a task lost
+	 * with its worker may have run. */
 	{.name = "a lost non-idempotent task is unknown",
 	 .gang = 1,
 	 .steps = {EXPECT ("R"), EVENT (ATTEMPT_RECORDED, 0), EXPECT ("S"), EVENT (TASK_STARTED, 0),
 		   EVENT (TASK_LOST, 0), OUTCOME (UNKNOWN)}},
-	/* Symptom: the same. Sequence: the start's answer is lost, then the worker is. */
+	/* As above: the answer to the start is lost, then the worker is. */
 	{.name = "a non-idempotent task lost before its answer is unknown",
 	 .gang = 1,
 	 .steps = {EXPECT ("R"), EVENT (ATTEMPT_RECORDED, 0), EXPECT ("S"), EVENT (TASK_LOST, 0),
@@ -135,17 +135,17 @@
 		   EXPECT ("T"),
 		   {.kind = DFF_STEP_WAIT, .wait_ms = 5000},
 		   EXPECT ("T")}},
-	/* Symptom: a start reaches a worker that is gone. Sequence: the worker goes down between
-	 * the decision and its record. Cause: the placement was not looked at again. */
+	/* Guards against a start sent to a worker that went down between the decision and its
+	 * record: the placement has to be checked again. */
 	{.name = "a worker that went away before the start",
 	 .gang = 2,
 	 .steps = {EXPECT ("R"),
 		   {.kind = DFF_STEP_WORKER_DOWN},
 		   EVENT (ATTEMPT_RECORDED, 0),
 		   EXPECT ("Y")}},
-	/* Symptom: a gang is started once more than its attempts allow. Sequence: one member fails
-	 * while the start of another has no answer. Cause: the gang was taken for held still. */
-	{.name = "a member that says that it ran has run, held or not",
+	/* Guards against starting a gang once more than its attempts allow: one member fails while
+	 * the start of another has no answer, and the gang looks as if it were still held. */
+	{.name = "a failed member that reports that it ran has run, held or not",
 	 .gang = 2,
 	 .steps = {EXPECT ("R"),
 		   EVENT (ATTEMPT_RECORDED, 0),
--- a/tests/core/test-pace.c
+++ b/tests/core/test-pace.c
@@ -3,31 +3,32 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* Workers of unlike speed in a nearly idle pool: single tasks go everywhere and tell how long they
- * take; urgent gangs then come one at a time. A gang takes as long as its slowest member. */
+/* Workers of different speed in a nearly idle pool. Single tasks run on all workers and report
+ * their durations; then urgent gangs are placed one at a time. A gang takes as long as its slowest
+ * member. */
 
 #define RACKS 6
 #define PER_RACK 6
 #define WORKERS (RACKS * PER_RACK)
-/** Steps of single tasks that are seen, one task a worker each. */
+/** Number of steps of single tasks that report, with one task on each worker. */
 #define STEPS 6
 #define TASK_MS 8000.0
-/** Tasks of a step are between a third shorter and a third longer than the mean. */
+/** Spread of a step's tasks: durations are up to about a third shorter or longer than the mean. */
 #define UNEVEN 0.3
 #define GANGS 40
 #define MEMBERS 3
 
 struct duration_case {
 	const char *name;
-	/** Time that tasks take on the workers, in turn. */
+	/** Relative duration of tasks on the workers, in turn. */
 	double times[3];
-	/** Time of the slowest worker that a gang may meet. */
+	/** Relative duration of the slowest worker that a gang may get. */
 	double worst;
-	/** As UNEVEN; 0: that. */
+	/** Spread of a step's tasks, as UNEVEN; 0: UNEVEN. */
 	double uneven;
-	/** Of a step's tasks, one in so many takes seven times as long; 0: none. */
+	/** One in this many tasks of a step takes seven times as long; 0: none. */
 	int tail;
-	/** Whether gangs are to be placed as if nothing had been seen. */
+	/** Whether gangs have to be placed as without any reports. */
 	bool unchanged;
 };
 
@@ -132,9 +133,9 @@
 	return worst;
 }
 
-/* The load: a few slow workers in every rack, room everywhere. Guards against urgent gangs being
- * placed by room alone, so that most of them meet a slow worker; and against workers that are alike
- * being taken for unlike. */
+/* The load: a few slow workers in every rack, and free capacity everywhere. Guards against placing
+ * urgent gangs by capacity alone, so that most get a slow worker, and against treating workers of
+ * equal speed as different. */
 static void
 test_gangs_avoid_slow_workers (void **state)
 {
@@ -173,7 +174,7 @@
 	{.name = "nearly alike", .times = {1.0, 1.0, 1.1}, .worst = 1.1, .unchanged = true},
 };
 
-/* Guards against a worker's next life being believed slow for what the one before took. */
+/* Guards against treating a restarted worker as slow because of its former incarnation. */
 static void
 test_restarted_worker (void **state)
 {
@@ -200,7 +201,7 @@
 	close_pool (&baseline);
 }
 
-/* Guards against steps without number being remembered for months. */
+/* Guards against samples of an unlimited number of steps being kept for months. */
 static void
 test_samples_are_bounded (void **state)
 {
--- a/tests/core/test-property.c
+++ b/tests/core/test-property.c
@@ -1,8 +1,8 @@
 #include "core_fixture.h"
 
-/* Random sessions with fixed seeds. A world of workers and a store answers the core's commands
- * late, twice, wrongly or not at all, and knows what truly ran. After every tick the core's own
- * invariants and the promises to callers are checked against that truth. */
+/* Random sessions with fixed seeds. A simulated environment of workers and a store answers the
+ * core's commands late, twice, wrongly or not at all, and records what really ran. After every tick
+ * the core's invariants and the guarantees to callers are checked against that record. */
 
 #define N_RACKS 6
 #define PER_RACK 4
@@ -11,7 +11,7 @@
 #define N_JOBS 260
 #define SEEDS 24
 
-/** What truly happened to one member of one attempt. */
+/** What really happened to one member of one attempt. */
 struct task {
 	struct dff_name job;
 	int32_t attempt;
@@ -23,11 +23,11 @@
 	bool alive;
 	bool ran;
 	bool completed;
-	/** Whether its end was told, so that a repeated stop is answered the same. */
+	/** Whether its end was reported, so that a repeated stop gets the same answer. */
 	bool ended;
 };
 
-/** What the store knows of one job, and what was seen of it. */
+/** What the store holds of one job, and what was observed of it. */
 struct row {
 	struct dff_job_spec spec;
 	int32_t attempt;
@@ -66,9 +66,9 @@
 	enum dff_worker_state states[N_WORKERS];
 	bool fault_free;
 	int64_t events;
-	/** Jobs that the core of the moment was given. */
+	/** Number of jobs given to the current core. */
 	int64_t accepted;
-	/** What the cores came across, so that sessions which test nothing are noticed. */
+	/** Sums over all cores, to detect sessions that test nothing. */
 	struct dff_core_stats seen;
 };
 
@@ -105,7 +105,7 @@
 					    .member = task->member,
 					    .ran = ran}};
 	arrive (world, &arrival, delay);
-	/* Repeated, and now and then so late that the job is several attempts further. */
+	/* Events are repeated, and sometimes so late that the job is several attempts further. */
 	if (chance (world, 0.05))
 		arrive (world, &arrival, 30000);
 }
@@ -179,7 +179,8 @@
 	struct task *task = find_task (world, command);
 	if (chance (world, 0.1) || world->states[task->worker] == DFF_WORKER_DOWN)
 		return;
-	/* A worker that saw the task end says so again; one that did not see it refuses it. */
+	/* A worker on which the task completed reports that again; one that did not receive the
+	 * start refuses it from now on. */
 	if (task->completed) {
 		send_event (world, task, DFF_EVENT_TASK_COMPLETED, true, 300);
 		return;
@@ -210,7 +211,8 @@
 	arrive (world, &answer, 300);
 }
 
-/* Symptom: a letter is drafted twice, or a start is sent that no record covers. */
+/* Guards against starting non-idempotent work twice, and against a start without a durable
+ * record. */
 static void
 on_start_command (struct world *world, const struct dff_command *command)
 {
@@ -301,7 +303,7 @@
 	}
 }
 
-/* No part of a gang is let go alone: releases come for the whole gang in one tick. */
+/* Gangs are released whole: the releases of all members come in one tick. */
 static void
 check_releases (struct world *world, const GArray *commands)
 {
@@ -447,8 +449,9 @@
 	return dff_core_new (&options);
 }
 
-/* Symptom: a take-over restarts what runs, or loses a job. The new holder knows only the rows and
- * what the workers say. A member that no worker has seen is refused by a tombstone. */
+/* Guards against a takeover that restarts what runs or loses a job. The new holder knows only the
+ * rows and the workers' reports. A start that has not reached its worker is refused by a
+ * tombstone. */
 static void
 take_over (struct world *world)
 {
@@ -470,8 +473,8 @@
 	}
 }
 
-/* A task of an open attempt whose start never left the former holder: the worker answers a stop
- * all the same, and a dead worker's lease lapses. */
+/* Adds the tasks of open attempts whose start the former holder never sent: the worker answers a
+ * stop nevertheless, and the lease of a dead worker expires. */
 static void
 add_unsent_tasks (struct world *world)
 {
@@ -537,7 +540,7 @@
 	}
 }
 
-/* Goes to the next arrival or wake-up. Returns: false when nothing is to come. */
+/* Advances to the next arrival or wake-up. Returns: false when there is none. */
 static bool
 advance (struct world *world, GArray *commands)
 {
@@ -610,7 +613,7 @@
 			advance (&world, commands);
 		}
 	}
-	/* The faults end, every worker is back: whatever was accepted has to come to an end. */
+	/* The faults end and every worker is up again: every accepted job has to end. */
 	world.fault_free = true;
 	world.pool = 0;
 	dff_core_set_pool (world.core, &world.pools[0], world.now_ms);
--- a/tests/core/test-quarantine.c
+++ b/tests/core/test-quarantine.c
@@ -1,7 +1,7 @@
 #include "core_fixture.h"
 
-/* Workers in quarantine: who probes them, and when they take part again. One rack of two workers
- * with 8 accelerators each; w0 fails, w1 does not. */
+/* Workers in quarantine: which jobs probe them, and when they get work again. One rack of two
+ * workers with 8 accelerators each; jobs fail on w0 and not on w1. */
 
 #define QUARANTINE_MS INT64_C (60000)
 #define PROBE_WAIT_MS INT64_C (30000)
@@ -58,7 +58,7 @@
 	dff_core_handle_event (fixture->core, &event, fixture->now_ms);
 }
 
-/* Ticks at the time @at_ms. Returns: the number of starts that are to be recorded. */
+/* Ticks at @at_ms. Returns: the number of starts to be recorded. */
 static int
 starts_at (struct fixture *fixture, int64_t at_ms)
 {
@@ -76,7 +76,7 @@
 	return starts;
 }
 
-/* Starts every member of an attempt that is to be recorded. */
+/* Records an attempt and starts every member. */
 static void
 start (struct fixture *fixture, const char *id, int attempt, int gang)
 {
@@ -87,7 +87,7 @@
 	starts_at (fixture, fixture->now_ms);
 }
 
-/* Two jobs fail on w0; then w1 comes up. */
+/* Lets two jobs fail on w0, then brings w1 up. */
 static void
 quarantine_w0 (struct fixture *fixture)
 {
@@ -107,7 +107,7 @@
 	starts_at (fixture, 0);
 }
 
-/* Returns: the member of the last recorded start that is on w0. */
+/* Returns: the member on w0 of the last start to be recorded. */
 static int
 member_on_w0 (const struct fixture *fixture)
 {
@@ -128,8 +128,8 @@
 	return -1;
 }
 
-/* Symptom: a gang that needs every worker waits for ever. Sequence: a worker fails two jobs, is
- * mended, and nothing but the gang waits. Cause: only a small job could be the probe. */
+/* Guards against a gang that needs every worker waiting for ever: a worker fails two jobs and is
+ * repaired, only the gang is queued, and no small job arrives to probe the worker. */
 static void
 test_worker_returns_without_probe (void **state)
 {
@@ -146,8 +146,8 @@
 	assert_int_equal (starts_at (fixture, end_ms), 1);
 }
 
-/* Symptom: a worker that fails everything is given one gang after the other. Sequence: it takes
- * part again and fails the gang. Cause: two failures were asked for, and the time did not grow. */
+/* Guards against a worker that fails everything getting one gang after the other: on trial one
+ * failure is enough, and the time in quarantine doubles. */
 static void
 test_failure_on_trial_doubles_quarantine (void **state)
 {
@@ -169,8 +169,8 @@
 	assert_int_equal (starts_at (fixture, probing_ms + PROBE_WAIT_MS), 1);
 }
 
-/* Symptom: a worker that fails everything takes as many jobs as it has room for. Sequence: it takes
- * part again while jobs wait that cannot be repeated. Cause: it was taken for proven. */
+/* Guards against a worker that fails everything getting as many non-idempotent jobs as fit when it
+ * returns without a probe: on trial it gets one attempt at a time. */
 static void
 test_one_attempt_on_trial (void **state)
 {
@@ -194,8 +194,8 @@
 	assert_int_equal (starts_at (fixture, end_ms + 2000), 2);
 }
 
-/* Symptom: a probe that takes long frees the worker for everything else. Sequence: a small job
- * probes the worker past the wait. Cause: the wait went on while the probe ran. */
+/* Guards against returning a worker to all work while its probe takes longer than the wait for a
+ * probe. */
 static void
 test_long_probe (void **state)
 {
--- a/tests/core/test-reclaim.c
+++ b/tests/core/test-reclaim.c
@@ -1,13 +1,13 @@
 #include "core_fixture.h"
 
-/* Every team claims its whole guarantee at once, in pools that other work has filled. Store and
- * workers answer within a step; of the checkpoints asked for, half are never answered. */
+/* Every team claims its whole guarantee at once, in pools filled with other work. Store and workers
+ * answer within a step; half of the requested checkpoints are never answered. */
 
 #define SEEDS 60
 #define FILL_STEP_MS 500
 #define FILL_MS INT64_C (600000)
 #define STEP_MS 100
-/** Grace of a checkpoint, and a few answers. */
+/** Grace period of a checkpoint, and the time of a few answers. */
 #define RECLAIM_MS INT64_C (3500)
 #define FILL_JOBS 120
 
@@ -20,11 +20,11 @@
 	int n_workers;
 	int n_accelerators;
 	int n_jobs;
-	/** Claims submitted, and those whose start is on record. */
+	/** Number of claims submitted, and of claims whose start is to be recorded. */
 	int n_claims;
 	int n_claimed;
 	int64_t preempted;
-	/** Answers for the next step. Elements: struct dff_event. */
+	/** Answers delivered in the next step. Elements: struct dff_event. */
 	GArray *answers;
 };
 
@@ -34,7 +34,7 @@
 	return g_rand_int_range (run->rand, begin, end);
 }
 
-/* Team a is guaranteed every second rack whole, team b half of each of the others. */
+/* Team a is guaranteed every second rack as a whole, team b half of each of the others. */
 static void
 begin (struct run *run, uint32_t seed)
 {
@@ -50,7 +50,7 @@
 	fixture_pool_add_team (&run->pool, "a", run->n_racks / 2, rack);
 	fixture_pool_add_team (&run->pool, "b", run->n_racks / 2, rack / 2);
 	fixture_pool_add_team (&run->pool, "c", 0, 0);
-	/* Some slots are kept for short requests: a worker may have fewer than accelerators. */
+	/* Some slots are dedicated to requests: a worker may have fewer slots than accelerators. */
 	const struct dff_service service = {.request_slots = (int32_t)(seed % 5),
 					    .dedicated_request_slots = true};
 	g_array_append_val (run->pool.services, service);
@@ -77,7 +77,8 @@
 	dff_core_handle_event (run->core, &event, run->now_ms);
 }
 
-/* Work of any team that may be preempted; what may not is team c's, which is guaranteed nothing. */
+/* Submits preemptible work of any team. Work that may not be preempted is of team c, which has no
+ * guarantee. */
 static void
 submit_filler (struct run *run)
 {
@@ -168,10 +169,10 @@
 		step (run, FILL_STEP_MS, commands);
 }
 
-/* Symptom: a team's guaranteed gang waits for others' work to end. Sequence: racks fill with
- * borrowing work of all kinds, some of it not to be preempted; then every team claims all it is
- * guaranteed, at once; half of the checkpoints asked for never end. Cause: work that may not be
- * preempted stands where a guarantee needs the place, or borrowing work is not made to go. */
+/* Guards against a team's guaranteed gang waiting for other work to end. Racks fill with borrowing
+ * work of all kinds, some of it not preemptible. Then every team claims its whole guarantee at
+ * once, and half of the checkpoints never complete. Work that may not be preempted must not stand
+ * on a witness placement, and borrowing work has to be preempted. */
 static void
 test_every_guarantee_is_reclaimed_in_time (void **state)
 {
@@ -195,7 +196,7 @@
 		preempted += run.preempted;
 		end (&run);
 	}
-	/* Else nothing was in the way. */
+	/* Otherwise no claim had to preempt anything and the test showed nothing. */
 	assert_true (preempted > SEEDS);
 }
 
--- a/tests/core/test-request-slots.c
+++ b/tests/core/test-request-slots.c
@@ -1,13 +1,13 @@
 #include "core_fixture.h"
 
-/* Symptom: short requests are refused with 429 by every worker of their grants. Sequence: a burst
- * of small jobs. Cause: the slots that services keep for short requests were given to jobs. */
+/* Guards against jobs taking the slots that services dedicate to requests: after a burst of small
+ * jobs every worker in a request's grants would refuse it with 429. */
 
 struct slots_case {
 	int32_t services;
 	int32_t request_slots;
 	bool dedicated;
-	/** Of the eight slots of the only worker, those that jobs get. */
+	/** Number of slots for jobs, of the eight slots of the only worker. */
 	int job_slots;
 };
 
--- a/tests/core/test-starving-gang.c
+++ b/tests/core/test-starving-gang.c
@@ -2,12 +2,12 @@
 
 #include <string.h>
 
-/* A gang that needs a rack whole, in a stream of small jobs that may not be preempted: one rack of
+/* A gang that needs a whole rack, and a stream of small jobs that may not be preempted. One rack of
  * two workers with four accelerators each. */
 
 #define N_ACCELERATORS 8
 #define STEP_MS INT64_C (1800000)
-/** A small job runs this many steps; one ends at each step. */
+/** Run time of a small job, in steps. One small job ends at each step. */
 #define SMALL_STEPS N_ACCELERATORS
 /** Three days. */
 #define LIMIT_STEPS 144
@@ -16,7 +16,7 @@
 	struct dff_core *core;
 	int64_t now_ms;
 	int n_small;
-	/** Small job that ends at each step, modulo; "": none. */
+	/** Small job that ends at each step, modulo SMALL_STEPS; "": none. */
 	char ends[SMALL_STEPS][16];
 	int step;
 	bool gang_runs;
@@ -42,7 +42,8 @@
 	dff_core_handle_event (run->core, &event, run->now_ms);
 }
 
-/* The first ones end one by one, so that the rack is never whole by itself. */
+/* Spreads the ends of the first jobs over the steps, so that the rack never becomes free as a whole
+ * by itself. */
 static void
 plan_end (struct run *run, const struct dff_name *job)
 {
@@ -89,7 +90,7 @@
 	} while (commands->len > 0);
 }
 
-/* Half an hour: a small job ends, another one comes. */
+/* Half an hour: a small job ends and another one arrives. */
 static void
 step (struct run *run)
 {
@@ -105,9 +106,9 @@
 	tick_until_idle (run);
 }
 
-/* Symptom: a petition summary misses its council session. Sequence: a gang of a whole rack waits;
- * small jobs that may not be preempted come one by one, each takes what the one before left. Cause:
- * the rack is never free as a whole at any moment, and nobody keeps it. */
+/* Guards against a gang of a whole rack waiting for ever, as a petition summary that misses its
+ * council session: each small job takes what the one before left, so without a reservation the rack
+ * is never free as a whole. */
 static void
 test_gang_gets_a_rack (void **state)
 {
--- a/tests/core/test-wants.c
+++ b/tests/core/test-wants.c
@@ -1,6 +1,6 @@
 #include "core_site.h"
 
-/* What a job asks of single workers and racks, and what it gets once it has waited: labels, spread
+/* What a job asks of single workers and racks, and what it gets after a wait: labels, spread
  * groups, the rack of its data, racks that have lost a worker. */
 
 static void
@@ -43,9 +43,8 @@
 	site_close (&site);
 }
 
-/* Symptom: a task waits for room near its data beside an idle pool. Sequence: the data's rack is
- * full and nothing ends or arrives. Cause: the queue was looked at only when something came free.
- */
+/* Guards against a task waiting for capacity near its data while the pool is idle: the rack of the
+ * data is full and no event occurs, so the queue has to be run by time too. */
 static void
 test_data_rack (void **state)
 {
@@ -76,9 +75,9 @@
 	fixture_worker_state (site->core, second, state);
 }
 
-/* Symptom: for seconds of an evacuation work waits for a rack that takes nothing, beside an idle
- * pool. Sequence: its data centre is evacuated, or all its workers leave; a job's data is there.
- * Cause: the wait for room near the data did not look at whether any can come. */
+/* Guards against a job waiting, during an evacuation, for a rack that accepts no work while the
+ * pool is idle: the data centre of its data is evacuated, or all workers of the rack leave, and no
+ * capacity can come free there. */
 static void
 test_data_rack_is_closed (void **state)
 {
@@ -96,7 +95,7 @@
 		site_submit (&site, &spec);
 		g_autoptr (GString) elsewhere = site_advance (&site, 0);
 		assert_true (g_str_has_prefix (elsewhere->str, "far@w"));
-		/* Taken back: the next one is near its data again. */
+		/* The evacuation is reverted: the next job is placed near its data again. */
 		set_states (&site, "w2", "w3", DFF_WORKER_UP);
 		spec = fixture_spec ("near", 1, 1);
 		spec.data_rack = dff_name_from ("r1");
@@ -108,17 +107,17 @@
 	}
 }
 
-/* Symptom: at the end of a day a gang of eight whole workers does not run beside a pool of which
- * most is free. Sequence: one worker of each rack that could hold it has left, or is left free for
- * urgent work. Cause: the gang waited for a rack that would only have held it with all its workers.
- */
+/* Guards against a gang of whole workers that does not run although most of the pool is free: one
+ * worker of each rack that could hold the gang has left, or is kept free for urgent work, so a rack
+ * would hold the gang only with all its workers. Seen at the end of a day with a gang of eight
+ * workers. */
 static void
 test_gang_in_rack_without_worker (void **state)
 {
 	(void)state;
 	static const struct {
 		const char *lost;
-		/** Whole workers that urgent work has needed. */
+		/** Number of whole workers that urgent work has used. */
 		int32_t urgent;
 		int64_t waits_ms;
 	} cases[] = {
@@ -150,14 +149,14 @@
 	}
 }
 
-/* Symptom: see dff_core_may_evict(). Sequence: another team's urgent work has filled the pool. */
+/* See dff_core_may_evict(): another team's urgent work has filled the pool. */
 static void
 test_assured_team (void **state)
 {
 	(void)state;
 	static const struct {
 		int32_t assured;
-		/** Accelerators that team "a" claims, on one worker each. */
+		/** Accelerators that team "a" claims, on one worker for each eight. */
 		int32_t claimed;
 		bool starts;
 	} cases[] = {
@@ -204,16 +203,16 @@
 	dff_core_handle_event (site->core, &event, site->now_ms);
 }
 
-/* Symptom: gangs are stopped within a second of their end, and begin again. Cause: what gives way
- * was chosen by how long it had run, from estimates that are far off; workers send_event how far
- * each task is. */
+/* Guards against stopping gangs within a second of their end, so that they begin again: the victim
+ * must not be chosen by run time and estimates alone, which are far off, but by the progress that
+ * workers report. */
 static void
 test_run_that_ends_soon_is_not_preempted (void **state)
 {
 	(void)state;
 	static const struct {
-		/** Progress of the younger job, which has run for 4 s; of the older, for 6 s: half.
-		 */
+		/** Progress of the younger job, which has run for 4 s. The older one has run for 6
+		 * s and reports half. */
 		int32_t percent;
 		const char *stopped;
 	} cases[] = {
@@ -251,8 +250,8 @@
 	}
 }
 
-/* Symptom: workers that rejected starts for want of room go to quarantine, and jobs give up after
- * eight rejections. Cause: a rejection for want of room was taken for a failure of the worker. */
+/* Guards against treating a rejection for lack of capacity as a failure of the worker: workers
+ * would be quarantined, and jobs be ended after eight rejections. */
 static void
 test_rejections (void **state)
 {
