--- a/core/core_tables.h
+++ b/core/core_tables.h
@@ -29,7 +29,7 @@
 #define DFF_CORE_EVICTIONS_MAX 8
 /** Interval at which the queue is reviewed even if no capacity came free, ms. */
 #define DFF_CORE_REVIEW_MS 1000
-/** Number of workers kept for a job as those on which it has failed. */
+/** Maximum number of workers remembered for a job as those on which it has failed. */
 #define DFF_CORE_AVOIDED_MAX 4
 
 /** Number of distinct priorities; the last one stands for all lower ones. */
--- a/core/lifecycle.c
+++ b/core/lifecycle.c
@@ -306,10 +306,10 @@
 		return true;
 	case DFF_EVENT_TASK_FAILED:
 		*state = DFF_CORE_MEMBER_FAILED;
-		/* If one member fails while the answer to another member's start is late, the gang
-		 * looks as if it had not begun, although at some workers a gang begins by itself.
-		 * Its failure must count nevertheless, or the gang is started once more than its
-		 * attempts allow: @event->ran reports it. */
+		/* While the answer to one member's start is late, the gang looks as if it had not
+		 * begun, and failures of such a gang do not count as attempts. At some workers a
+		 * gang begins by itself, so event->ran is considered too. Otherwise the gang is
+		 * started once more than its attempts allow. */
 		*ran = job->gang == 1 || job->released || event->ran;
 		return true;
 	case DFF_EVENT_TASK_STOPPED:
--- a/core/order.c
+++ b/core/order.c
@@ -22,7 +22,7 @@
 	if (job->state == DFF_CORE_QUEUED)
 		waited_ms += (double)(core->now_ms - job->queued_ms);
 	double age = 1.0 + waited_ms / (core->policy.ageing_ms + (double)job->estimate_ms);
-	/* A job that has never run rises until it has run for the first time. */
+	/* The score of a job that has never run improves with its wait until it first runs. */
 	if (!job->ever_ran && job->state == DFF_CORE_QUEUED)
 		age += waited_ms / core->policy.first_turn_ms;
 	return remaining_ms * pow (width, core->policy.width_power) / (age * age * job->weight);
--- a/include/core/core.h
+++ b/include/core/core.h
@@ -81,7 +81,7 @@
 	/** Work that may be lost by preempting for an urgent job, as a multiple of the job's own
 	 * work; 0: no limit. */
 	double evict_work_ratio;
-	/** Wait after which that limit does not apply to an urgent job within what its team is
+	/** Wait after which evict_work_ratio does not limit an urgent job within what its team is
 	 * assured of, ms. */
 	int64_t evict_unlimited_after_ms;
 	/** Time constant with which headroom decays, ms; 0: no headroom. Headroom is the capacity
