--- a/core/check.c
+++ b/core/check.c
@@ -77,8 +77,7 @@
 	return NULL;
 }
 
-/* Adds up what a job holds besides its leases: reservations, and resources that may not be
- * preempted. */
+/* Adds up what a job holds besides leases: reservations and resources that may not be preempted. */
 static void
 tally_holds (const struct dff_core *core, const struct dff_core_job *job, struct tally *tallies)
 {
@@ -99,8 +98,7 @@
 	}
 }
 
-/* Witness placements are disjoint if the resources they bind add up, and complete if their parts
- * do. */
+/* Witness placements are disjoint if what they bind adds up, and complete if their parts do. */
 static char *
 check_shape (const struct dff_core *core, const struct dff_core_shape *shape, struct tally *tallies)
 {
--- a/core/claim.c
+++ b/core/claim.c
@@ -210,8 +210,7 @@
 	dff_core_shape_set_parts (search->core, shape, former);
 }
 
-/* Tries the witness placements of other unclaimed shapes of the same size. After a swap both shapes
- * still have one. */
+/* Tries swaps with other unclaimed shapes of the same size: both keep a witness placement. */
 static void
 consider_swaps (struct claim_search *search, int32_t shape_index)
 {
--- a/core/core_private.h
+++ b/core/core_private.h
@@ -17,8 +17,7 @@
 struct dff_resources dff_resources_min (const struct dff_resources *a,
 					const struct dff_resources *b);
 
-/** Returns: how many times @need fits into @available, at most @limit; 0 when it does not fit
- * once. */
+/** Returns: how many times @need fits into @available, from 0 to @limit. */
 int32_t dff_resources_fits (const struct dff_resources *available,
 			    const struct dff_resources *need,
 			    int32_t limit);
@@ -33,8 +32,7 @@
 /** Returns: the index of the worker named @name; DFF_CORE_NONE when there is none. */
 int32_t dff_core_find_worker (const struct dff_core *core, const struct dff_name *name);
 
-/** Returns: the index of the worker named @name. A new worker is added without a rack, as the pool
- * has not declared it. */
+/** Returns: the index of the worker named @name. A new worker is added, undeclared. */
 int32_t dff_core_intern_worker (struct dff_core *core, const struct dff_name *name);
 
 int32_t dff_core_find_team (const struct dff_core *core, const struct dff_name *name);
@@ -77,8 +75,7 @@
 
 void dff_core_unlease (struct dff_core *core, struct dff_core_job *job, int32_t member);
 
-/** Updates whether the leases or the bound resources of a worker exceed its capacity, as after a
- * pool change. */
+/** Updates whether leases or bound resources exceed the capacity, as after a pool change. */
 void dff_core_worker_update_overload (struct dff_core_worker *worker);
 
 /** Recomputes the sums kept for a rack. */
@@ -112,8 +109,7 @@
 struct dff_command *
 dff_core_emit (struct dff_core *core, enum dff_command_type type, const struct dff_core_job *job);
 
-/** Changes a job's state. Every change goes through this function, which keeps counters and queues
- * consistent. */
+/** Changes a job's state. All changes go through here, to keep counters and queues consistent. */
 void dff_core_set_state (struct dff_core *core,
 			 struct dff_core_job *job,
 			 enum dff_core_state state,
@@ -171,15 +167,13 @@
 		       enum dff_outcome outcome,
 		       const char *reason);
 
-/** Whether a job's blame points have reached the limit: too many workers crashed while they ran
- * it. */
+/** Whether blame points have reached the limit: too many workers crashed while they ran the job. */
 bool dff_core_job_exceeds_blame_limit (const struct dff_core *core, const struct dff_core_job *job);
 
 /** Ends a job that exceeds the blame limit and holds no attempt. */
 void dff_core_job_end_blamed (struct dff_core *core, struct dff_core_job *job);
 
-/** Ends a job that holds no attempt: with outcome not_run when no part of it ever ran, else
- * failed. */
+/** Ends a job without an attempt: as not_run when no part of it ever ran, else as failed. */
 void dff_core_job_give_up (struct dff_core *core, struct dff_core_job *job, const char *reason);
 
 /* core.c */
@@ -235,8 +229,7 @@
 
 /* rack_reservation.c */
 
-/** Reserves a run of neighbouring racks for a waiting gang. Returns: whether racks were newly
- * reserved. */
+/** Reserves neighbouring racks for a waiting gang. Returns: whether racks were newly reserved. */
 bool dff_core_reserve_racks (struct dff_core *core, struct dff_core_job *job);
 
 /** System: releases rack reservations that have expired. */
@@ -252,8 +245,7 @@
 
 /* headroom.c */
 
-/** Adds a job's accelerators to the demand of its priority, @times 1, or removes them, @times
- * -1. */
+/** Adds a job's accelerators to the demand of its priority; @times is 1, or -1 to remove them. */
 void dff_core_headroom_count (struct dff_core *core, const struct dff_core_job *job, int32_t times);
 
 /** Ranks the workers by the order in which they are used; the last are kept free first. Called
@@ -263,7 +255,7 @@
 /** System: updates the headroom of all regions from the demand of the priorities. */
 void dff_core_run_headroom (struct dff_core *core);
 
-/** Returns: the priority whose headroom a job has to leave free: its own, or a higher one after a
+/** Returns: the priority whose headroom a job leaves free: its own, or a higher one after a
  * wait. */
 int32_t dff_core_headroom_level (const struct dff_core *core, const struct dff_core_job *job);
 
@@ -311,8 +303,7 @@
 
 void dff_core_note_failure (struct dff_core *core, struct dff_core_job *job, int32_t worker);
 
-/** Puts a worker into quarantine whatever its history, unless too many workers are there
- * already. */
+/** Quarantines a worker whatever its history, unless too many workers are quarantined already. */
 void dff_core_worker_try_quarantine (struct dff_core *core, int32_t worker);
 
 /** Handles a restart of a worker: resets its health and its relative duration. */
@@ -324,8 +315,7 @@
 /** Whether a job has failed on a worker before and should be placed on another. */
 bool dff_core_job_avoids (const struct dff_core_job *job, int32_t worker);
 
-/** Whether a worker is back from quarantine without a success since. It gets one attempt at a
- * time. */
+/** Whether a worker, back from quarantine, has no success yet. It gets one attempt at a time. */
 bool dff_core_worker_on_trial (const struct dff_core_worker *worker);
 
 /** System: moves workers whose quarantine has elapsed to probing, and workers that got no probe in
@@ -463,8 +453,7 @@
 	int32_t worker;
 	/** Number of members it can hold. */
 	int32_t fits;
-	/** Accelerators left besides. Of workers with equal cost, the one with fewest is filled
-	 * first. */
+	/** Accelerators left besides. Of equal workers, the one with fewest is filled first. */
 	int32_t accelerators_left;
 	/** Work lost when it holds @fits members, core-ms. */
 	int64_t cost;
@@ -488,8 +477,7 @@
 /** Returns: work lost by preempting a job, core-ms. */
 int64_t dff_core_lost_work (const struct dff_core *core, const struct dff_core_job *job);
 
-/** Returns: work lost when a job is placed on @workers, core-ms; INT64_MAX: it cannot be placed
- * there. */
+/** Returns: work lost by placing a job on @workers, core-ms; INT64_MAX: it does not fit there. */
 int64_t dff_core_total_evict_cost (const struct dff_core *core,
 				   const struct dff_core_job *job,
 				   const int32_t *workers);
@@ -501,8 +489,7 @@
 			     const struct dff_core_job *job,
 			     int32_t times);
 
-/** Assigns workers to a job: starts it when they are free, else preempts the victims and reserves
- * the workers. */
+/** Assigns workers to a job: starts it when they are free, else preempts and reserves. */
 void dff_core_take (struct dff_core *core,
 		    struct dff_core_job *job,
 		    const int32_t *workers,
--- a/core/core_tables.h
+++ b/core/core_tables.h
@@ -11,16 +11,14 @@
 
 /** Time after which an unanswered STOP_TASK is sent again, ms. */
 #define DFF_CORE_STOP_REPEAT_MS 5000
-/** Backoff before a job is placed again after its record was refused, ms: doubles up to the
- * maximum. */
+/** Backoff before a job is placed again after a refused record, ms: doubles up to a limit. */
 #define DFF_CORE_RETRY_MIN_MS 250
 #define DFF_CORE_RETRY_MAX_MS 15000
 /** Number of attempts that end proven not started before the job is ended. */
 #define DFF_CORE_START_FAILURES_MAX 8
 /** Time after which a reservation is cancelled when its victims have not ended, ms. */
 #define DFF_CORE_RESERVE_MAX_MS 15000
-/** Number of attempts lost with their worker before the job is ended, on top of its own
- * max_attempts. */
+/** Attempts lost with their worker before the job is ended, on top of its own max_attempts. */
 #define DFF_CORE_LOSSES_MAX 5
 
 /** Number of workers that may be scanned for victims between two reviews, and number of placements
@@ -73,8 +71,8 @@
 	guint last_failed;
 	/** Number of quarantines since it was last healthy. */
 	int32_t quarantines;
-	/** Whether its leases or bound resources exceed its capacity: the pool shrank, or recovered
-	 * rows claim too much. */
+	/** Whether more is used than the capacity: the pool shrank, or recovered rows claim too
+	 * much. */
 	bool overloaded;
 	/** Whether recovered rows claim the same accelerators. */
 	bool overlapping;
@@ -128,8 +126,7 @@
 	int32_t claimed;
 };
 
-/** One guaranteed gang and its witness placement: the accelerators on which it can be claimed
- * now. */
+/** One guaranteed gang and its witness placement: where it can be claimed now. */
 struct dff_core_shape {
 	int32_t team;
 	/** Region it has to be in; DFF_CORE_NONE: any. */
@@ -195,8 +192,7 @@
 struct dff_core_member {
 	int32_t worker;
 	enum dff_core_member_state state;
-	/** Whether it counts in the bound resources of its worker, or in a part of the claimed
-	 * shape. */
+	/** Whether it counts in its worker's bound resources, or in a part of the claimed shape. */
 	bool bound;
 	/** Whether it may have run. */
 	bool ran;
@@ -319,8 +315,7 @@
 	int64_t score_ms;
 	int64_t submitted_ms;
 	int64_t started_ms;
-	/** Deadline of the state: start timeout, checkpoint grace, repetition of a stop,
-	 * backoff. */
+	/** Deadline of the state: start timeout, checkpoint grace, repeated stop, backoff. */
 	int64_t deadline_ms;
 	/** (nullable): one for each member, while an attempt or reservation exists. */
 	struct dff_core_member *members;
@@ -366,13 +361,11 @@
 struct dff_core_policy {
 	/** Exponent of a job's accelerators in its score. */
 	double width_power;
-	/** Wait, on top of its estimated run time, after which a job's score is divided by four,
-	 * ms. */
+	/** Wait, on top of its estimate, after which a job's score is divided by four, ms. */
 	double ageing_ms;
 	/** Wait after which the score of a job that never ran is lowered by as much again, ms. */
 	double first_turn_ms;
-	/** Run time up to which a job without checkpoints may be preempted for a gang with reserved
-	 * racks, ms. */
+	/** Longest run that a job without checkpoints loses to a gang with reserved racks, ms. */
 	double displace_loss_ms;
 	/** Whether jobs are moved to free whole pieces of racks. */
 	bool moves_jobs;
@@ -417,8 +410,7 @@
 	GArray *pending;
 	/** Whether something may be placed that could not be placed before. */
 	bool dirty;
-	/** Whether shapes may have lost their witness placement, or may find one that they
-	 * lacked. */
+	/** Whether shapes may have lost their witness placement, or may find a missing one. */
 	bool witness_dirty;
 	/** Time of the next review of the queue, which runs even when nothing has changed. */
 	int64_t review_ms;
--- a/core/lifecycle.c
+++ b/core/lifecycle.c
@@ -6,8 +6,7 @@
  * the time until the task began. */
 #define PROGRESS_MIN 8
 
-/* The state machine of attempts. Commands are collected in core->pending; the next tick returns
- * them. */
+/* The state machine of attempts. The next tick returns the commands in core->pending. */
 
 struct dff_command *
 dff_core_emit (struct dff_core *core, enum dff_command_type type, const struct dff_core_job *job)
@@ -290,8 +289,7 @@
 	dff_core_attempt_stop (core, job, DFF_CORE_STOP_PREEMPTED);
 }
 
-/* Converts an event to the end of a member. @ran: (out): whether the member may have run by
- * then. */
+/* Converts an event to a member's end. @ran: (out): whether the member may have run by then. */
 static bool
 member_end_of_event (const struct dff_core_job *job,
 		     const struct dff_core_member *member,
--- a/core/order.c
+++ b/core/order.c
@@ -138,8 +138,7 @@
 	return dff_core_class_key_hash (&shape);
 }
 
-/* Whether a job may use capacity, under low load, that a younger one of the same shape may not use
- * yet. */
+/* Whether a job may use capacity, under low load, that a younger one like it may not yet. */
 static bool
 has_waited_for_low_load (const struct dff_core *core, const struct dff_core_job *job)
 {
@@ -161,8 +160,7 @@
 	return true;
 }
 
-/* Only gangs that need about a whole rack get a reservation: smaller ones find a place without
- * one. */
+/* Only gangs of about a whole rack get a reservation: smaller ones find a place without one. */
 static bool
 needs_rack_reservation (const struct dff_core *core, const struct dff_core_job *job)
 {
--- a/core/place.c
+++ b/core/place.c
@@ -8,8 +8,8 @@
 #define ACCELERATOR_FIRST (1 << 12)
 /** Makes the order of racks count before that of the workers in them. */
 #define RACK_FIRST (1 << 20)
-/** Share of the pool in use up to which the load counts as low: half, and a little for changes
- * while a job is placed. */
+/** Share of the pool in use up to which the load is low: half, and a little for concurrent
+ * changes. */
 #define LOW_LOAD_SHARE 0.53
 /** Sorts racks in which a job would break a whole piece after all others. */
 #define BREAKS_WHOLE_PIECE 1000000
@@ -168,8 +168,7 @@
 			continue;
 		struct dff_resources available =
 			dff_core_worker_available (core, worker, job, view);
-		/* Accelerators count first, so that a task without any avoids workers that have
-		 * some left. */
+		/* Accelerators first: a task without any avoids workers that have some left. */
 		int32_t left = available.accelerators * ACCELERATOR_FIRST + available.slots;
 		struct candidate candidate = {
 			.worker = index,
--- a/core/quarantine.c
+++ b/core/quarantine.c
@@ -8,11 +8,9 @@
 
 /** Number of different jobs in a row that have to fail on a worker. */
 #define STREAK_LIMIT 2
-/** Number of failures on other workers after which a job's failures do not count against a
- * worker. */
+/** Failures on other workers after which a job's failures do not count against a worker. */
 #define JOB_BLAME_LIMIT 2
-/** At most one in this many of the workers that are up is in quarantine at a time, but always
- * one. */
+/** At most one in this many of the workers that are up may be in quarantine, but always one. */
 #define QUARANTINED_SHARE 4
 #define QUARANTINE_MIN_MS 60000
 #define QUARANTINE_MAX_MS 1800000
--- a/core/queue.c
+++ b/core/queue.c
@@ -85,8 +85,7 @@
 	struct dff_core_class *queue_class = class_for (core, job);
 	job->queue_class = queue_class;
 	core->dirty = true;
-	/* Nearly every job is the newest; one that returns after an attempt is usually the
-	 * oldest. */
+	/* Nearly every job is the newest; one that returns is usually the oldest. */
 	GList *before = queue_class->jobs.head;
 	if (before != NULL && dff_core_compare_age (before->data, job) <= 0) {
 		GList *after = queue_class->jobs.tail;
--- a/core/reclaim.c
+++ b/core/reclaim.c
@@ -8,8 +8,7 @@
 #define OVERTAKE_MIN_RUN_MS 30000
 /** Number of preemptions after which that run time does not grow any more. */
 #define OVERTAKE_STEPS 10
-/** A gang with reserved racks preempts jobs that are at least this many times narrower than
- * itself. */
+/** A gang with reserved racks preempts jobs at least this many times narrower than itself. */
 #define DISPLACE_WIDTH_RATIO 4
 /** Remaining run time below which a run costs ENDS_SOON_FACTOR times as much to stop, ms. A stop
  * takes about as long. */
@@ -76,8 +75,7 @@
 	return job->preempted || job->cancelled || job->state == DFF_CORE_STOPPING;
 }
 
-/* An accelerator counts as many cores as there are for each accelerator in the pool, a slot as
- * one. */
+/* An accelerator counts as many cores as the pool has for each, a slot as one. */
 int64_t
 dff_core_job_footprint (const struct dff_core *core, const struct dff_core_job *job)
 {
@@ -149,8 +147,7 @@
 	}
 }
 
-/* Adds to @victims until @times members fit. Returns: work lost, core-ms; INT64_MAX: they never
- * fit. */
+/* Adds @victims until @times members fit. Returns: work lost, core-ms; INT64_MAX: never. */
 static int64_t
 find_victims (const struct dff_core *core,
 	      const struct dff_core_worker *worker,
@@ -292,8 +289,7 @@
 	return count;
 }
 
-/* Whether every member fits on what is not leased, and with @less_reserved not reserved for others
- * either. */
+/* Whether every member fits on what is not leased, and, with @less_reserved, not reserved. */
 static bool
 fits_now (const struct dff_core *core, const struct dff_core_job *job, bool less_reserved)
 {
--- a/core/recover.c
+++ b/core/recover.c
@@ -77,8 +77,7 @@
 	struct dff_core_job *job = dff_core_job_add (core, spec);
 	job->attempt = recovered->attempt;
 	job->cancelled = recovered->cancelled;
-	/* An earlier attempt of idempotent work may have run, so the outcome can no longer be "not
-	 * run". */
+	/* An earlier attempt of idempotent work may have run: the outcome cannot be "not run". */
 	job->ever_ran = recovered->attempt > 0 && job->idempotent;
 	if (recovered->open && recovered_is_complete (job, recovered)) {
 		resume_attempt (core, job, recovered);
--- a/core/relative_duration.c
+++ b/core/relative_duration.c
@@ -21,8 +21,7 @@
 /** Largest difference to the median that counts: some tasks take several times as long as others,
  * which their workers do not cause. */
 #define DIFFERENCE_MAX 0.8
-/** Standard deviation of the workers' relative durations, in logarithms, up to which they count as
- * equally fast. */
+/** Standard deviation of relative durations up to which workers count as equally fast. */
 #define ALIKE_SPREAD 0.15
 /** Number of samples that a peer group needs before its workers are compared. */
 #define GROUP_MIN 3
@@ -37,8 +36,7 @@
  * the one before computed. */
 #define REVIEW_MS 500
 #define PASSES 2
-/** Minimum number of sampled workers, and of further samples on them, from which the variances are
- * learned. */
+/** Least number of sampled workers, and of further samples on them, to learn the variances from. */
 #define SAMPLED_MIN 12
 /** Weight of the current variance between workers against the learned one. */
 #define SPREAD_RATE 0.3F
@@ -276,8 +274,7 @@
 	core->stats.duration_spread = sqrt (core->worker_variance);
 }
 
-/** Limits of relative duration for urgent work, tried in this order, in standard deviations from
- * the mean. */
+/** Limits of relative duration for urgent work, in this order, in deviations from the mean. */
 static const float duration_limits[] = {-0.5F, 0.0F, 0.5F, 1.0F};
 
 bool
--- a/core/start.c
+++ b/core/start.c
@@ -55,8 +55,7 @@
 		int32_t *workers)
 {
 	bool slots_only = dff_core_job_accelerators (job) == 0;
-	/* Reserved jobs do not count in their spread group yet, so jobs of a spread group never
-	 * preempt. */
+	/* Reserved jobs do not count in a spread group yet, so the jobs of one never preempt. */
 	if (job->per_worker > 0)
 		return false;
 	if (!job->urgent && (core->evictions_left <= 0 || slots_only))
--- a/core/tables.c
+++ b/core/tables.c
@@ -95,8 +95,7 @@
 	job->id = spec->id;
 	job->team = dff_core_find_team (core, &spec->team);
 	job->region = dff_core_find_region (core, &spec->region);
-	/* A region without racks at the moment does not mean "any region": the job waits for its
-	 * racks. */
+	/* A region without racks now does not mean "any region": the job waits for its racks. */
 	if (core->options.retry_without_limit && !dff_name_is_empty (&spec->region))
 		job->region = dff_core_intern_region (core, &spec->region);
 	job->gang = spec->gang;
--- a/include/core/core.h
+++ b/include/core/core.h
@@ -44,8 +44,8 @@
 	 * without limit. Set where the list of workers lags behind, so that a job may become
 	 * runnable later. */
 	bool retry_without_limit;
-	/** Blame points, for workers that crashed while they ran the job, at which it is ended as
-	 * failed; 0: no limit. */
+	/** Blame points, for crashed workers of the job, at which it ends as failed; 0: no
+	 * limit. */
 	int32_t blame_limit;
 	/** Blame points at which a job is placed in isolation; 0: never. */
 	int32_t isolation_blame;
@@ -73,16 +73,16 @@
 	int64_t rack_reservation_grace_ms;
 	/** Number of gangs that racks are reserved for at a time. */
 	int32_t max_rack_reservations;
-	/** Run time up to which a job without checkpoints is restarted elsewhere when its worker
-	 * stalls, ms. */
+	/** Longest run of a job without checkpoints that is restarted when its worker stalls,
+	 * ms. */
 	int64_t stall_restart_max_ms;
 	/** Run time that is lost when a task with checkpoints is stopped and started again, ms. */
 	int64_t checkpoint_loss_ms;
 	/** Work that may be lost by preempting for an urgent job, as a multiple of the job's own
 	 * work; 0: no limit. */
 	double evict_work_ratio;
-	/** Wait after which evict_work_ratio does not limit an urgent job within what its team is
-	 * assured of, ms. */
+	/** Wait after which evict_work_ratio does not apply to an urgent job within what its team
+	 * is assured of, ms. */
 	int64_t evict_unlimited_after_ms;
 	/** Time constant with which headroom decays, ms; 0: no headroom. Headroom is the capacity
 	 * that work of a priority leaves free for higher priorities, see core/headroom.c. */
@@ -143,8 +143,7 @@
 	DFF_EVENT_TASK_STOPPED,  /**< Proven stopped; @ran: whether it ever ran. */
 	DFF_EVENT_TASK_LOST,     /**< Its lease has expired: it no longer runs, and may have run. */
 	DFF_EVENT_TASK_PROGRESS, /**< @percent of the task's work is done. */
-	/** @worker, @peer_group, @duration_ms. Sent once for each run, as soon as its progress
-	 * allows a projection. */
+	/** @worker, @peer_group, @duration_ms. Sent once a run, when progress allows it. */
 	DFF_EVENT_TASK_DURATION,
 	/** @worker, @worker_state, @leaves_in_ms. */
 	DFF_EVENT_WORKER_STATE,
@@ -165,8 +164,7 @@
 	bool cancelled;
 	/** Elements: struct dff_placement, one for each member, of the open attempt. */
 	const GArray *placements;
-	/** Elements: bool, one for each member: whether the worker reported that it runs the
-	 * member. */
+	/** Elements: bool, one for each member: whether the worker reported it running. */
 	const GArray *running;
 	/** Time since the attempt was recorded, ms. */
 	int64_t age_ms;
@@ -254,8 +252,7 @@
 /** Time of the next tick that may have something to do without a new event; INT64_MAX: none. */
 int64_t dff_core_next_wake_ms (const struct dff_core *core);
 
-/** Returns: whether the leases of a worker are within its capacity, which may have shrunk since
- * they were given. */
+/** Returns: whether a worker's leases are within its capacity, which may have shrunk since. */
 bool dff_core_worker_within_capacity (const struct dff_core *core, const struct dff_name *worker);
 
 struct dff_core_stats {
@@ -264,8 +261,7 @@
 	int64_t queued, starting, running, stopping, ended;
 	int64_t reclaims, preemptions, moves, start_failures, retries;
 	int64_t workers_up, workers_quarantined;
-	/** Spread of the workers' relative durations: standard deviation of the logarithm of
-	 * time. */
+	/** Standard deviation of the workers' relative durations, as logarithms. */
 	double duration_spread;
 	/** Number of task durations kept to compare workers by. */
 	int64_t duration_samples;
--- a/include/core/job.h
+++ b/include/core/job.h
@@ -7,8 +7,7 @@
 #include "common/str.h"
 #include "pool/pool.h"
 
-/* What a job asks for and which outcomes it can have. Shared by the decision core, the cell and the
- * entry. */
+/* What a job asks for, and its outcomes. Shared by the decision core, the cell and the entry. */
 
 enum dff_adjacency {
 	/** Tasks may be placed anywhere in one region. */
@@ -60,8 +59,7 @@
 	int64_t declared_ms;
 	/** Maximum number of attempts; 1 for work that is not idempotent. */
 	int32_t max_attempts;
-	/** Recorded blame points, for workers that crashed while they ran it: see
-	 * dff_core_options. */
+	/** Recorded blame points, for workers that crashed under it: see dff_core_options. */
 	int32_t blame;
 	/** Label that each worker must have; empty: none. */
 	struct dff_name label;
@@ -71,7 +69,7 @@
 	struct dff_name spread_group;
 	/** Maximum number of tasks of the spread group on one worker; 0: no limit. */
 	int32_t per_worker;
-	/** Value of finishing early relative to other jobs, per accelerator second; 0 counts as
+	/** Value of finishing early, relative to other jobs, an accelerator second; 0 counts as
 	 * 1. */
 	double weight;
 };
