--- a/core/lifecycle.c
+++ b/core/lifecycle.c
@@ -2,10 +2,11 @@
 
 #include <string.h>
 
-/** Progress that tells something of the whole, percent: less is mostly the time until it began. */
+/** Progress from which the total duration is projected, percent. A smaller one consists mostly of
+ * the time until the task began. */
 #define PROGRESS_MIN 8
 
-/* The state machine of attempts. Commands go to core->pending and leave with the next tick. */
+/* The state machine of attempts. The next tick returns the commands in core->pending. */
 
 struct dff_command *
 dff_core_emit (struct dff_core *core, enum dff_command_type type, const struct dff_core_job *job)
@@ -39,12 +40,12 @@
 	static const char *const reasons[] = {
 		[DFF_CORE_STOP_NONE] = "none",
 		[DFF_CORE_STOP_CANCELLED] = "cancelled",
-		[DFF_CORE_STOP_MEMBER] = "member_ended",
+		[DFF_CORE_STOP_MEMBER_ENDED] = "member_ended",
 		[DFF_CORE_STOP_START_TIMEOUT] = "start_timeout",
 		[DFF_CORE_STOP_RECOVERY] = "recovered_in_part",
 	};
 	static const char *const preempt_reasons[] = {
-		[DFF_CORE_PREEMPT_ROOM] = "room",
+		[DFF_CORE_PREEMPT_CAPACITY] = "room",
 		[DFF_CORE_PREEMPT_DEFRAG] = "defragmentation",
 		[DFF_CORE_PREEMPT_WORKER_STALLED] = "worker_stalled",
 		[DFF_CORE_PREEMPT_WORKER_LEAVING] = "worker_leaving",
@@ -190,7 +191,8 @@
 every_worker_answers (const struct dff_core *core, const struct dff_core_job *job)
 {
 	for (int32_t i = 0; i < job->gang; i++) {
-		if (!dff_core_worker_answers (dff_core_worker_at (core, job->members[i].worker)))
+		if (!dff_core_worker_accepts_starts (
+			    dff_core_worker_at (core, job->members[i].worker)))
 			return false;
 	}
 	return true;
@@ -202,11 +204,11 @@
 	if (job->state != DFF_CORE_RECORDING)
 		return;
 	job->refusals = 0;
-	/* A worker may have gone between decision and record. Nothing was sent yet, so no member
-	 * is sent at all and the attempt is proven not run. */
+	/* A worker may have gone down between decision and record. Nothing was sent yet, so no
+	 * member is sent at all and the attempt is proven not run. */
 	if (job->cancelled || job->preempted || !every_worker_answers (core, job)) {
 		close_unsent (core, job);
-		dff_core_attempt_over (core, job);
+		dff_core_attempt_finish (core, job);
 		return;
 	}
 	dff_core_set_state (core, job, DFF_CORE_STARTING,
@@ -228,8 +230,8 @@
 		dff_core_job_end (core, job, DFF_OUTCOME_CANCELLED, "cancelled");
 		return;
 	}
-	/* A store that refuses one record refuses the next: without a back-off the same job would
-	 * be placed and refused at every tick and keep its workers from others. */
+	/* A store that refuses one record probably refuses the next. Without a backoff the same job
+	 * would be placed and refused at every tick and keep its workers from others. */
 	int64_t wait_ms = (int64_t)DFF_CORE_RETRY_MIN_MS << MIN (job->refusals, 6);
 	job->refusals++;
 	dff_core_delay (core, job, MIN (wait_ms, DFF_CORE_RETRY_MAX_MS));
@@ -287,7 +289,7 @@
 	dff_core_attempt_stop (core, job, DFF_CORE_STOP_PREEMPTED);
 }
 
-/* What a worker says about an end, and whether the member may have run by then. */
+/* Converts an event to a member's end. @ran: (out): whether the member may have run by then. */
 static bool
 member_end_of_event (const struct dff_core_job *job,
 		     const struct dff_core_member *member,
@@ -302,10 +304,10 @@
 		return true;
 	case DFF_EVENT_TASK_FAILED:
 		*state = DFF_CORE_MEMBER_FAILED;
-		/* Symptom: a gang is started once more than its attempts allow. Sequence: the
-		 * answer to one member's start is late, and another member fails meanwhile. Cause:
-		 * the gang was taken for one that had not begun, whose failures do not count;
-		 * workers at which a gang begins by itself know better. */
+		/* While the answer to one member's start is late, the gang looks as if it had not
+		 * begun, and failures of such a gang do not count as attempts. At some workers a
+		 * gang begins by itself, so event->ran is considered too. Otherwise the gang is
+		 * started once more than its attempts allow. */
 		*ran = job->gang == 1 || job->released || event->ran;
 		return true;
 	case DFF_EVENT_TASK_STOPPED:
@@ -326,33 +328,33 @@
 	}
 }
 
-/* One member's end decides about the others: a gang runs whole or not at all. */
+/* The end of one member may end the others: a gang runs whole or not at all. */
 static void
 after_member_end (struct dff_core *core, struct dff_core_job *job, bool completed)
 {
 	if (job->n_open == 0) {
-		dff_core_attempt_over (core, job);
+		dff_core_attempt_finish (core, job);
 		return;
 	}
 	if (!completed && job->state != DFF_CORE_STOPPING)
-		dff_core_attempt_stop (core, job, DFF_CORE_STOP_MEMBER);
+		dff_core_attempt_stop (core, job, DFF_CORE_STOP_MEMBER_ENDED);
 }
 
-/* An end may be heard before the start is. */
+/* The end of a task may be received before its start. */
 static int64_t
-begun_ms (const struct dff_core *core, const struct dff_core_job *job)
+start_ms (const struct dff_core *core, const struct dff_core_job *job)
 {
 	return job->state == DFF_CORE_STARTING ? core->now_ms : job->started_ms;
 }
 
 static void
-note_health (struct dff_core *core,
-	     struct dff_core_job *job,
-	     int32_t worker,
-	     enum dff_core_member_state state)
+update_health (struct dff_core *core,
+	       struct dff_core_job *job,
+	       int32_t worker,
+	       enum dff_core_member_state state)
 {
 	if (state == DFF_CORE_MEMBER_COMPLETED)
-		dff_core_note_success (core, worker, begun_ms (core, job));
+		dff_core_note_success (core, worker, start_ms (core, job));
 	if (state == DFF_CORE_MEMBER_FAILED || state == DFF_CORE_MEMBER_START_FAILED)
 		dff_core_note_failure (core, job, worker);
 }
@@ -366,21 +368,21 @@
 		struct dff_core_member *member = &job->members[i];
 		member->ran = true;
 		if (member_is_open (member)) {
-			dff_core_note_success (core, member->worker, begun_ms (core, job));
+			dff_core_note_success (core, member->worker, start_ms (core, job));
 			member_close (core, job, i, DFF_CORE_MEMBER_COMPLETED);
 		}
 		member->state = DFF_CORE_MEMBER_COMPLETED;
 	}
-	dff_core_attempt_over (core, job);
+	dff_core_attempt_finish (core, job);
 }
 
 void
-dff_core_member_event (struct dff_core *core,
-		       struct dff_core_job *job,
-		       const struct dff_event *event)
+dff_core_handle_member_event (struct dff_core *core,
+			      struct dff_core_job *job,
+			      const struct dff_event *event)
 {
 	struct dff_core_member *member = &job->members[event->member];
-	/* A late or repeated event about a member that is over must not change its end. */
+	/* A late or repeated event about a member that has ended must not change its end. */
 	if (!member_is_open (member) || member->state == DFF_CORE_MEMBER_IDLE)
 		return;
 	if (event->type == DFF_EVENT_GANG_COMPLETED) {
@@ -389,7 +391,7 @@
 	}
 	if (event->type == DFF_EVENT_TASK_PROGRESS) {
 		if (job->state == DFF_CORE_RUNNING && event->percent >= PROGRESS_MIN)
-			job->told_ms = (int32_t)MIN (
+			job->projected_ms = (int32_t)MIN (
 				(core->now_ms - job->started_ms) * 100 / event->percent, INT32_MAX);
 		dff_core_review_leaving_job (core, job);
 		return;
@@ -406,9 +408,9 @@
 	bool ran;
 	if (!member_end_of_event (job, member, event, &state, &ran))
 		return;
-	/* A worker that says "not started" after it said "started" contradicts itself: what may
-	 * have run stays so, or the job could run twice. A stop's own word on @ran counts, because
-	 * a release that was sent may not have arrived. */
+	/* A worker that reports "not started" after "started" contradicts itself. What may have run
+	 * still may have run, or the job could run twice. For a stopped gang member @ran of the
+	 * event counts, because a release that was sent may not have arrived. */
 	if (state == DFF_CORE_MEMBER_START_FAILED && member->ran)
 		ran = true;
 	if (state == DFF_CORE_MEMBER_STOPPED && member->ran && job->gang == 1)
@@ -417,7 +419,7 @@
 		job->n_started++;
 	member->ran = ran;
 	if (event->type != DFF_EVENT_TASK_REJECTED)
-		note_health (core, job, member->worker, state);
+		update_health (core, job, member->worker, state);
 	member_close (core, job, event->member, state);
 	after_member_end (core, job, state == DFF_CORE_MEMBER_COMPLETED);
 }
@@ -443,7 +445,8 @@
 		dff_core_attempt_stop (core, job, DFF_CORE_STOP_CANCELLED);
 		return;
 	default:
-		/* Recording: decided when the record is answered. Stopping: decided at its end. */
+		/* In DFF_CORE_RECORDING the cancellation takes effect when the record is answered,
+		 * in DFF_CORE_STOPPING when the attempt ends. */
 		return;
 	}
 }
--- a/tests/core/test-leaving-workers.c
+++ b/tests/core/test-leaving-workers.c
@@ -1,6 +1,7 @@
 #include "core_fixture.h"
 
-/* What runs on a worker that leaves: it stays where it ends in time, else it is stopped at once. */
+/* Tasks on a worker that leaves: a task that ends in time continues, any other is stopped at
+ * once. */
 
 struct run {
 	struct dff_core *core;
@@ -9,7 +10,7 @@
 };
 
 static void
-tell (struct run *run, const struct dff_event *event)
+send_event (struct run *run, const struct dff_event *event)
 {
 	dff_core_handle_event (run->core, event, run->now_ms);
 }
@@ -32,12 +33,12 @@
 	default:
 		return;
 	}
-	tell (run, &event);
+	send_event (run, &event);
 }
 
-/* Returns: stops that the core asked for, for the reason that a worker leaves. */
+/* Returns: number of tasks that the core stops because a worker leaves. */
 static int
-settle (struct run *run)
+tick_and_answer (struct run *run)
 {
 	int n_stops = 0;
 	for (int i = 0; i < 6; i++) {
@@ -72,8 +73,8 @@
 	fixture_worker_state (run->core, "w0", DFF_WORKER_UP);
 	fixture_worker_state (run->core, "w1", DFF_WORKER_UP);
 	struct dff_event event = {.type = DFF_EVENT_JOB_SUBMITTED, .spec = spec};
-	tell (run, &event);
-	assert_int_equal (settle (run), 0);
+	send_event (run, &event);
+	assert_int_equal (tick_and_answer (run), 0);
 }
 
 static void
@@ -83,7 +84,7 @@
 	dff_core_free (run->core);
 }
 
-/* Both workers leave, so that it does not matter which one has the job. */
+/* Both workers leave, so that it does not matter which one runs the job. */
 static void
 leave (struct run *run, int64_t leaves_in_ms)
 {
@@ -93,35 +94,36 @@
 					  .worker = dff_name_from (workers[i]),
 					  .worker_state = DFF_WORKER_LEAVING,
 					  .leaves_in_ms = leaves_in_ms};
-		tell (run, &event);
+		send_event (run, &event);
 	}
 }
 
 static void
-test_who_stays (void **state)
+test_preemption_at_notice (void **state)
 {
 	(void)state;
 	static const struct {
 		int64_t declared_ms;
 		int64_t leaves_in_ms;
 		int32_t gang;
-		/** Of the work at the notice, 500 ms after its start; 0: not told. */
+		/** Progress reported 500 ms after the start, when the worker reports that it
+		 * leaves; 0: none. */
 		int32_t percent;
 		int stops;
 		bool checkpoint;
 	} cases[] = {
 		{60000, 1800, 1, 0, 1, false},
 		{60000, 1800, 1, 0, 1, true},
-		/* All of a gang, once. */
+		/* All members of a gang, once each. */
 		{60000, 1800, 2, 0, 2, false},
-		/* 500 ms are left. */
+		/* 500 ms remain. */
 		{60000, 1800, 1, 50, 0, false},
 		{60000, 1800, 1, 50, 0, true},
 		{60000, 1800, 2, 50, 0, false},
-		/* 4.5 s are left. */
+		/* 4.5 s remain. */
 		{1000, 1800, 1, 10, 1, false},
 		{60000, 7000, 1, 10, 0, false},
-		/* Nobody knows when it leaves. */
+		/* The time until the worker leaves is not known. */
 		{60000, 0, 1, 0, 0, false},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
@@ -131,22 +133,23 @@
 		spec.declared_ms = cases[i].declared_ms;
 		run_open (&run, &spec);
 		run.now_ms += 500;
-		struct dff_event told = {.type = DFF_EVENT_TASK_PROGRESS,
-					 .job = spec.id,
-					 .attempt = 1,
-					 .percent = cases[i].percent};
+		struct dff_event progress = {.type = DFF_EVENT_TASK_PROGRESS,
+					     .job = spec.id,
+					     .attempt = 1,
+					     .percent = cases[i].percent};
 		if (cases[i].percent > 0)
-			tell (&run, &told);
+			send_event (&run, &progress);
 		leave (&run, cases[i].leaves_in_ms);
-		assert_int_equal (settle (&run), cases[i].stops);
+		assert_int_equal (tick_and_answer (&run), cases[i].stops);
 		run_close (&run);
 	}
 }
 
-/* Symptom: a task is lost with a worker that told in time that it leaves. Sequence: the task is
- * declared to take less than it does. Cause: it was judged at the notice only. */
+/* Guards against losing a task with a worker that reported in time that it leaves: the task
+ * declares less than it takes, so it has to be evaluated again when progress is reported, not only
+ * at the notice. */
 static void
-test_judged_again_by_progress (void **state)
+test_preemption_by_progress (void **state)
 {
 	(void)state;
 	struct run run;
@@ -154,12 +157,12 @@
 	spec.declared_ms = 1000;
 	run_open (&run, &spec);
 	leave (&run, 7000);
-	assert_int_equal (settle (&run), 0);
+	assert_int_equal (tick_and_answer (&run), 0);
 	run.now_ms += 3000;
-	struct dff_event told = {
+	struct dff_event progress = {
 		.type = DFF_EVENT_TASK_PROGRESS, .job = spec.id, .attempt = 1, .percent = 10};
-	tell (&run, &told);
-	assert_int_equal (settle (&run), 1);
+	send_event (&run, &progress);
+	assert_int_equal (tick_and_answer (&run), 1);
 	run_close (&run);
 }
 
@@ -167,8 +170,8 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_who_stays),
-		cmocka_unit_test (test_judged_again_by_progress),
+		cmocka_unit_test (test_preemption_at_notice),
+		cmocka_unit_test (test_preemption_by_progress),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/core/test-property.c
+++ b/tests/core/test-property.c
@@ -1,8 +1,8 @@
 #include "core_fixture.h"
 
-/* Random sessions with fixed seeds. A world of workers and a store answers the core's commands
- * late, twice, wrongly or not at all, and knows what truly ran. After every tick the core's own
- * invariants and the promises to callers are checked against that truth. */
+/* Random sessions with fixed seeds. A simulated environment of workers and a store answers the
+ * core's commands late, twice, wrongly or not at all, and records what really ran. After every tick
+ * the core's invariants and the guarantees to callers are checked against that record. */
 
 #define N_RACKS 6
 #define PER_RACK 4
@@ -11,7 +11,7 @@
 #define N_JOBS 260
 #define SEEDS 24
 
-/** What truly happened to one member of one attempt. */
+/** What really happened to one member of one attempt. */
 struct task {
 	struct dff_name job;
 	int32_t attempt;
@@ -23,11 +23,11 @@
 	bool alive;
 	bool ran;
 	bool completed;
-	/** Whether its end was told, so that a repeated stop is answered the same. */
+	/** Whether its end was reported, so that a repeated stop gets the same answer. */
 	bool ended;
 };
 
-/** What the store knows of one job, and what was seen of it. */
+/** What the store holds of one job, and what was observed of it. */
 struct row {
 	struct dff_job_spec spec;
 	int32_t attempt;
@@ -64,11 +64,11 @@
 	GPtrArray *order;
 	GPtrArray *tasks;
 	enum dff_worker_state states[N_WORKERS];
-	bool calm;
+	bool fault_free;
 	int64_t events;
-	/** Jobs that the core of the moment was given. */
+	/** Number of jobs given to the current core. */
 	int64_t accepted;
-	/** What the cores came across, so that sessions which test nothing are noticed. */
+	/** Sums over all cores, to detect sessions that test nothing. */
 	struct dff_core_stats seen;
 };
 
@@ -84,7 +84,7 @@
 static bool
 chance (struct world *world, double probability)
 {
-	return !world->calm && g_rand_double (world->rand) < probability;
+	return !world->fault_free && g_rand_double (world->rand) < probability;
 }
 
 static void
@@ -96,7 +96,8 @@
 }
 
 static void
-tell (struct world *world, const struct task *task, enum dff_event_type type, bool ran, int delay)
+send_event (
+	struct world *world, const struct task *task, enum dff_event_type type, bool ran, int delay)
 {
 	struct arrival arrival = {.event = {.type = type,
 					    .job = task->job,
@@ -104,7 +105,7 @@
 					    .member = task->member,
 					    .ran = ran}};
 	arrive (world, &arrival, delay);
-	/* Repeated, and now and then so late that the job is several attempts further. */
+	/* Events are repeated, and sometimes so late that the job is several attempts further. */
 	if (chance (world, 0.05))
 		arrive (world, &arrival, 30000);
 }
@@ -144,7 +145,7 @@
 		return;
 	if (chance (world, 0.04)) {
 		task->ended = true;
-		tell (world, task, DFF_EVENT_TASK_START_FAILED, false, 200);
+		send_event (world, task, DFF_EVENT_TASK_START_FAILED, false, 200);
 		return;
 	}
 	for (guint i = 0; i < world->tasks->len; i++) {
@@ -155,7 +156,7 @@
 	}
 	task->alive = true;
 	if (!chance (world, 0.03))
-		tell (world, task, DFF_EVENT_TASK_STARTED, false, 300);
+		send_event (world, task, DFF_EVENT_TASK_STARTED, false, 300);
 	if (!task->held)
 		task_runs (world, task);
 }
@@ -168,8 +169,8 @@
 	task->alive = false;
 	task->ended = true;
 	task->completed = !chance (world, 0.08);
-	tell (world, task, task->completed ? DFF_EVENT_TASK_COMPLETED : DFF_EVENT_TASK_FAILED, true,
-	      300);
+	send_event (world, task, task->completed ? DFF_EVENT_TASK_COMPLETED : DFF_EVENT_TASK_FAILED,
+		    true, 300);
 }
 
 static void
@@ -178,15 +179,16 @@
 	struct task *task = find_task (world, command);
 	if (chance (world, 0.1) || world->states[task->worker] == DFF_WORKER_DOWN)
 		return;
-	/* A worker that saw the task end says so again; one that did not see it refuses it. */
+	/* A worker on which the task completed reports that again; one that did not receive the
+	 * start refuses it from now on. */
 	if (task->completed) {
-		tell (world, task, DFF_EVENT_TASK_COMPLETED, true, 300);
+		send_event (world, task, DFF_EVENT_TASK_COMPLETED, true, 300);
 		return;
 	}
 	task->tombstone = true;
 	task->alive = false;
 	task->ended = true;
-	tell (world, task, DFF_EVENT_TASK_STOPPED, task->ran, 300);
+	send_event (world, task, DFF_EVENT_TASK_STOPPED, task->ran, 300);
 }
 
 static void
@@ -209,7 +211,8 @@
 	arrive (world, &answer, 300);
 }
 
-/* Symptom: a letter is drafted twice, or a start is sent that no record covers. */
+/* Guards against starting non-idempotent work twice, and against a start without a durable
+ * record. */
 static void
 on_start_command (struct world *world, const struct dff_command *command)
 {
@@ -269,7 +272,7 @@
 }
 
 static void
-carry_out (struct world *world, const struct dff_command *command)
+execute (struct world *world, const struct dff_command *command)
 {
 	struct row *row = g_hash_table_lookup (world->rows, &command->job);
 	switch (command->type) {
@@ -284,8 +287,8 @@
 		return;
 	case DFF_COMMAND_CHECKPOINT_TASK:
 		if (!chance (world, 0.2))
-			tell (world, find_task (world, command), DFF_EVENT_TASK_CHECKPOINTED, false,
-			      3000);
+			send_event (world, find_task (world, command), DFF_EVENT_TASK_CHECKPOINTED,
+				    false, 3000);
 		return;
 	case DFF_COMMAND_STOP_TASK:
 		if (find_task (world, command) != NULL)
@@ -300,7 +303,7 @@
 	}
 }
 
-/* No part of a gang is let go alone: releases come for the whole gang in one tick. */
+/* Gangs are released whole: the releases of all members come in one tick. */
 static void
 check_releases (struct world *world, const GArray *commands)
 {
@@ -345,7 +348,7 @@
 	dff_core_tick (world->core, world->now_ms, commands);
 	check_releases (world, commands);
 	for (guint i = 0; i < commands->len; i++)
-		carry_out (world, &g_array_index (commands, struct dff_command, i));
+		execute (world, &g_array_index (commands, struct dff_command, i));
 	check_accounts (world);
 	world->events++;
 }
@@ -365,7 +368,7 @@
 		task->alive = false;
 		task->ended = true;
 		task->tombstone = true;
-		tell (world, task, DFF_EVENT_TASK_LOST, false, 8000);
+		send_event (world, task, DFF_EVENT_TASK_LOST, false, 8000);
 	}
 }
 
@@ -427,7 +430,7 @@
 }
 
 static void
-gather (struct world *world)
+add_stats (struct world *world)
 {
 	struct dff_core_stats stats;
 	dff_core_get_stats (world->core, &stats);
@@ -446,12 +449,13 @@
 	return dff_core_new (&options);
 }
 
-/* Symptom: a take-over restarts what runs, or loses a job. The new holder knows only the rows and
- * what the workers say. A member that no worker has seen is refused by a tombstone. */
+/* Guards against a takeover that restarts what runs or loses a job. The new holder knows only the
+ * rows and the workers' reports. A start that has not reached its worker is refused by a
+ * tombstone. */
 static void
 take_over (struct world *world)
 {
-	gather (world);
+	add_stats (world);
 	dff_core_free (world->core);
 	world->core = new_core ();
 	world->accepted = 0;
@@ -469,10 +473,10 @@
 	}
 }
 
-/* A task of an open attempt whose start never left the former holder: the worker answers a stop
- * all the same, and a dead worker's lease lapses. */
+/* Adds the tasks of open attempts whose start the former holder never sent: the worker answers a
+ * stop nevertheless, and the lease of a dead worker expires. */
 static void
-adopt_unsent (struct world *world)
+add_unsent_tasks (struct world *world)
 {
 	for (guint i = 0; i < world->order->len; i++) {
 		const struct row *row = g_ptr_array_index (world->order, i);
@@ -491,13 +495,13 @@
 				g_ptr_array_add (world->tasks, task);
 			}
 			if (task->tombstone || world->states[task->worker] == DFF_WORKER_DOWN)
-				tell (world, task, DFF_EVENT_TASK_LOST, false, 8000);
+				send_event (world, task, DFF_EVENT_TASK_LOST, false, 8000);
 		}
 	}
 }
 
 static void
-disturb (struct world *world)
+inject_faults (struct world *world)
 {
 	if (chance (world, 0.02))
 		cancel (world, 30);
@@ -514,7 +518,7 @@
 		dff_core_set_pool (world->core, &world->pools[world->pool], world->now_ms);
 	}
 	if (chance (world, 0.006)) {
-		adopt_unsent (world);
+		add_unsent_tasks (world);
 		take_over (world);
 	}
 }
@@ -536,7 +540,7 @@
 	}
 }
 
-/* Goes to the next arrival or wake-up. Returns: false when nothing is to come. */
+/* Advances to the next arrival or wake-up. Returns: false when there is none. */
 static bool
 advance (struct world *world, GArray *commands)
 {
@@ -605,12 +609,12 @@
 		submit (&world, i);
 		tick (&world, commands);
 		for (int j = g_rand_int_range (world.rand, 0, 12); j > 0; j--) {
-			disturb (&world);
+			inject_faults (&world);
 			advance (&world, commands);
 		}
 	}
-	/* The faults end, every worker is back: whatever was accepted has to come to an end. */
-	world.calm = true;
+	/* The faults end and every worker is up again: every accepted job has to end. */
+	world.fault_free = true;
 	world.pool = 0;
 	dff_core_set_pool (world.core, &world.pools[0], world.now_ms);
 	for (int i = 0; i < N_WORKERS; i++)
@@ -622,7 +626,7 @@
 		if (!row->ended)
 			fail_msg ("seed %u: job without end: %s", seed, row->spec.id.data);
 	}
-	gather (&world);
+	add_stats (&world);
 	assert_true (world.seen.preemptions > 0 && world.seen.retries > 0);
 	totals->reclaims += world.seen.reclaims;
 	totals->start_failures += world.seen.start_failures;
--- a/tests/core/test-request-slots.c
+++ b/tests/core/test-request-slots.c
@@ -1,13 +1,13 @@
 #include "core_fixture.h"
 
-/* Symptom: short requests are refused with 429 by every worker of their grants. Sequence: a burst
- * of small jobs. Cause: the slots that services keep for short requests were given to jobs. */
+/* Guards against jobs taking the slots that services dedicate to requests: after a burst of small
+ * jobs every worker in a request's grants would refuse it with 429. */
 
 struct slots_case {
 	int32_t services;
 	int32_t request_slots;
-	bool sets_aside;
-	/** Of the eight slots of the only worker, those that jobs get. */
+	bool dedicated;
+	/** Number of slots for jobs, of the eight slots of the only worker. */
 	int job_slots;
 };
 
@@ -21,7 +21,7 @@
 	fixture_pool_init (&pool, 1, 1, 0);
 	fixture_pool_add_team (&pool, "a", 0, 0);
 	struct dff_service service = {.request_slots = test->request_slots,
-				      .dedicated_request_slots = test->sets_aside};
+				      .dedicated_request_slots = test->dedicated};
 	for (int32_t i = 0; i < test->services; i++)
 		g_array_append_val (pool.services, service);
 	dff_core_set_pool (core, &pool, 0);
