--- a/standin/memory_link.c
+++ b/standin/memory_link.c
@@ -1,17 +1,17 @@
 #include "standin/memory_link.h"
 
-#define HOP_MS 1
+#define LINK_DELAY_MS 1
 
-struct end {
+struct endpoint {
 	struct dff_memory_link *link;
-	/** Whether this end still wants to be told. */
-	bool up;
+	/** Whether this endpoint still wants to be told. */
+	bool connected;
 };
 
 struct dff_memory_link {
 	struct dff_virtual_loop *loop;
-	struct end at_dispatch;
-	struct end at_relay;
+	struct endpoint at_dispatch;
+	struct endpoint at_relay;
 	struct dff_dispatch_relay *dispatch_relay;
 	struct dff_relay *relay;
 	bool silent;
@@ -23,12 +23,12 @@
 struct message {
 	struct dff_memory_link *link;
 	bool to_relay;
-	/** (nullable): NULL: the other end has closed. */
+	/** (nullable): NULL: the other endpoint has closed. */
 	GByteArray *bytes;
 };
 
 static void
-release (struct dff_memory_link *link)
+free_when_idle (struct dff_memory_link *link)
 {
 	if (link->freed && link->n_pending == 0)
 		g_free (link);
@@ -37,26 +37,26 @@
 static void
 deliver_to_relay (struct dff_memory_link *link, const GByteArray *bytes)
 {
-	if (!link->at_relay.up)
+	if (!link->at_relay.connected)
 		return;
 	if (bytes != NULL) {
 		dff_relay_receive (link->relay, bytes->data, bytes->len);
 		return;
 	}
-	link->at_relay.up = false;
+	link->at_relay.connected = false;
 	dff_relay_disconnected (link->relay);
 }
 
 static void
 deliver_to_dispatch (struct dff_memory_link *link, const GByteArray *bytes)
 {
-	if (!link->at_dispatch.up)
+	if (!link->at_dispatch.connected)
 		return;
 	if (bytes != NULL) {
 		dff_dispatch_receive (link->dispatch_relay, bytes->data, bytes->len);
 		return;
 	}
-	link->at_dispatch.up = false;
+	link->at_dispatch.connected = false;
 	dff_dispatch_remove (link->dispatch_relay);
 }
 
@@ -73,7 +73,7 @@
 	if (message->bytes != NULL)
 		g_byte_array_unref (message->bytes);
 	g_free (message);
-	release (link);
+	free_when_idle (link);
 }
 
 static void
@@ -84,24 +84,24 @@
 	message->to_relay = to_relay;
 	message->bytes = bytes;
 	link->n_pending++;
-	dff_virtual_loop_schedule (link->loop, HOP_MS, deliver, message);
+	dff_virtual_loop_schedule (link->loop, LINK_DELAY_MS, deliver, message);
 }
 
 static void
-end_send (void *ctx, const uint8_t *data, size_t len)
+endpoint_send (void *ctx, const uint8_t *data, size_t len)
 {
-	struct end *end = ctx;
+	struct endpoint *endpoint = ctx;
 	GByteArray *bytes = g_byte_array_new ();
 	g_byte_array_append (bytes, data, (guint)len);
-	post (end->link, end == &end->link->at_dispatch, bytes);
+	post (endpoint->link, endpoint == &endpoint->link->at_dispatch, bytes);
 }
 
 static void
-end_close (void *ctx)
+endpoint_close (void *ctx)
 {
-	struct end *end = ctx;
-	end->up = false;
-	post (end->link, end == &end->link->at_dispatch, NULL);
+	struct endpoint *endpoint = ctx;
+	endpoint->connected = false;
+	post (endpoint->link, endpoint == &endpoint->link->at_dispatch, NULL);
 }
 
 struct dff_memory_link *
@@ -112,12 +112,12 @@
 	struct dff_memory_link *link = g_new0 (struct dff_memory_link, 1);
 	link->loop = loop;
 	link->relay = relay;
-	link->at_dispatch = (struct end){.link = link, .up = true};
-	link->at_relay = (struct end){.link = link, .up = true};
-	struct dff_relay_link near = {end_send, end_close, &link->at_dispatch};
-	struct dff_relay_link far = {end_send, end_close, &link->at_relay};
-	link->dispatch_relay = dff_dispatch_add (dispatch, &near);
-	dff_relay_connected (relay, &far);
+	link->at_dispatch = (struct endpoint){.link = link, .connected = true};
+	link->at_relay = (struct endpoint){.link = link, .connected = true};
+	struct dff_relay_link dispatch_link = {endpoint_send, endpoint_close, &link->at_dispatch};
+	struct dff_relay_link relay_link = {endpoint_send, endpoint_close, &link->at_relay};
+	link->dispatch_relay = dff_dispatch_add (dispatch, &dispatch_link);
+	dff_relay_connected (relay, &relay_link);
 	return link;
 }
 
@@ -127,7 +127,7 @@
 	deliver_to_relay (link, NULL);
 	deliver_to_dispatch (link, NULL);
 	link->freed = true;
-	release (link);
+	free_when_idle (link);
 }
 
 void
@@ -139,17 +139,17 @@
 void
 dff_memory_link_inject (struct dff_memory_link *link, const uint8_t *data, size_t len)
 {
-	end_send (&link->at_relay, data, len);
+	endpoint_send (&link->at_relay, data, len);
 }
 
 void
 dff_memory_link_end_relay (struct dff_memory_link *link)
 {
-	link->at_relay.up = false;
+	link->at_relay.connected = false;
 }
 
 bool
 dff_memory_link_is_up (const struct dff_memory_link *link)
 {
-	return link->at_dispatch.up && link->at_relay.up;
+	return link->at_dispatch.connected && link->at_relay.connected;
 }
--- a/standin/memory_rows.c
+++ b/standin/memory_rows.c
@@ -5,9 +5,9 @@
 /** Time until a usual answer, ms. */
 #define DELAY_MS 4
 /** Time after which the connection of a lost answer breaks, ms. */
-#define BREAK_MS 10
+#define DISCONNECT_MS 10
 /** How often a waiting feed looks for changes, ms. */
-#define FEED_LOOK_MS 5
+#define FEED_POLL_MS 5
 /** The store's steady clock less the machines', ms. */
 #define STORE_CLOCK_AHEAD_MS 777000
 
@@ -18,8 +18,8 @@
 	/** Elements: struct change, oldest first. */
 	GPtrArray *changes;
 	int64_t revision;
-	/** Changes up to this revision are forgotten. */
-	int64_t forgotten;
+	/** Changes up to this revision are compacted. */
+	int64_t compacted;
 	GPtrArray *clients;
 	GRand *rand;
 };
@@ -139,7 +139,7 @@
 void
 dff_memory_rows_drop_history (struct dff_memory_rows *rows)
 {
-	rows->forgotten = rows->revision;
+	rows->compacted = rows->revision;
 }
 
 static void
@@ -200,7 +200,7 @@
 }
 
 static void
-call_end (struct call *call, const struct dff_rows_result *result)
+call_complete (struct call *call, const struct dff_rows_result *result)
 {
 	if (!call->client->ended)
 		call->done (call->user, result);
@@ -208,17 +208,17 @@
 }
 
 static void
-end_with (struct call *call, enum dff_rows_outcome outcome)
+complete_with (struct call *call, enum dff_rows_outcome outcome)
 {
 	struct dff_rows_result result = {.outcome = outcome};
-	call_end (call, &result);
+	call_complete (call, &result);
 }
 
 static void
-end_without_answer (void *user)
+fail_unanswered (void *user)
 {
 	struct call *call = user;
-	end_with (call, call->kind == DFF_CALL_COMMIT ? DFF_ROWS_UNKNOWN : DFF_ROWS_NOT_DONE);
+	complete_with (call, call->kind == DFF_CALL_COMMIT ? DFF_ROWS_UNKNOWN : DFF_ROWS_NOT_DONE);
 }
 
 static void
@@ -230,7 +230,7 @@
 }
 
 static struct dff_row
-row_of (const char *name, const struct stored_row *stored)
+make_row (const char *name, const struct stored_row *stored)
 {
 	const char *slash = strchr (name, '/');
 	struct dff_row row = {.table = {name, (size_t)(slash - name)},
@@ -257,7 +257,7 @@
 		const struct stored_row *stored = g_tree_lookup (rows->rows, name);
 		if (stored == NULL)
 			continue;
-		struct dff_row row = row_of (name, stored);
+		struct dff_row row = make_row (name, stored);
 		g_array_append_val (found, row);
 	}
 	struct dff_rows_result result = {.outcome = DFF_ROWS_CONFLICT,
@@ -265,7 +265,7 @@
 					 .store_ms = store_ms (rows),
 					 .rows = (const struct dff_row *)(void *)found->data,
 					 .n_rows = found->len};
-	call_end (call, &result);
+	call_complete (call, &result);
 }
 
 struct scan {
@@ -278,7 +278,7 @@
 scan_row (gpointer key, gpointer value, gpointer user)
 {
 	struct scan *scan = user;
-	struct dff_row row = row_of (key, value);
+	struct dff_row row = make_row (key, value);
 	if (!dff_str_equal (row.table, dff_str_from (scan->call->table)) ||
 	    strcmp (row.key.data, scan->call->from->str) < 0 ||
 	    (scan->call->to->len > 0 && strcmp (row.key.data, scan->call->to->str) >= 0))
@@ -302,7 +302,7 @@
 					 .rows = (const struct dff_row *)(void *)found->data,
 					 .n_rows = found->len,
 					 .more = scan.more};
-	call_end (call, &result);
+	call_complete (call, &result);
 }
 
 /* Returns: the revision from which on there may be more. */
@@ -314,7 +314,7 @@
 	for (guint i = 0; i < rows->changes->len; i++) {
 		const struct change *change = g_ptr_array_index (rows->changes, i);
 		struct dff_row row =
-			row_of (change->name, g_tree_lookup (rows->rows, change->name));
+			make_row (change->name, g_tree_lookup (rows->rows, change->name));
 		if (change->revision <= call->after ||
 		    !dff_str_equal (row.table, dff_str_from (call->table)))
 			continue;
@@ -327,18 +327,18 @@
 }
 
 static void
-look_for_changes (void *user)
+poll_feed (void *user)
 {
 	struct call *call = user;
 	struct dff_memory_rows *rows = call->client->rows;
 	int64_t now_ms = dff_virtual_loop_now_ms (rows->loop);
 	if (call->client->faults.silent) {
 		dff_virtual_loop_schedule (rows->loop, MAX (call->timeout_ms - now_ms, 0),
-					   end_without_answer, call);
+					   fail_unanswered, call);
 		return;
 	}
-	if (call->after < rows->forgotten) {
-		end_with (call, DFF_ROWS_HISTORY_GONE);
+	if (call->after < rows->compacted) {
+		complete_with (call, DFF_ROWS_HISTORY_GONE);
 		return;
 	}
 	g_autoptr (GArray) found = g_array_new (FALSE, FALSE, sizeof (struct dff_row));
@@ -346,7 +346,7 @@
 	if (!call->client->faults.feeds_held)
 		revision = find_changes (call, found);
 	if (found->len == 0 && now_ms < call->until_ms) {
-		dff_virtual_loop_schedule (rows->loop, FEED_LOOK_MS, look_for_changes, call);
+		dff_virtual_loop_schedule (rows->loop, FEED_POLL_MS, poll_feed, call);
 		return;
 	}
 	struct dff_rows_result result = {.outcome = DFF_ROWS_DONE,
@@ -354,11 +354,11 @@
 					 .store_ms = store_ms (rows),
 					 .rows = (const struct dff_row *)(void *)found->data,
 					 .n_rows = found->len};
-	call_end (call, &result);
+	call_complete (call, &result);
 }
 
 static void
-carry_out (void *user)
+execute (void *user)
 {
 	struct call *call = user;
 	struct dff_memory_rows *rows = call->client->rows;
@@ -367,7 +367,7 @@
 		return;
 	}
 	if (call->kind == DFF_CALL_FEED) {
-		look_for_changes (call);
+		poll_feed (call);
 		return;
 	}
 	if (!apply_commit (call)) {
@@ -376,7 +376,7 @@
 	}
 	struct dff_rows_result result = {
 		.outcome = DFF_ROWS_DONE, .revision = rows->revision, .store_ms = store_ms (rows)};
-	call_end (call, &result);
+	call_complete (call, &result);
 }
 
 /* A call whose answer is lost ends after @end_ms for the caller, after @effect_ms for the store. */
@@ -392,34 +392,34 @@
 	effect->to = g_string_new (NULL);
 	effect->table = NULL;
 	dff_virtual_loop_schedule (rows->loop, effect_ms, apply_late, effect);
-	dff_virtual_loop_schedule (rows->loop, end_ms, end_without_answer, call);
+	dff_virtual_loop_schedule (rows->loop, end_ms, fail_unanswered, call);
 }
 
 static void
-begin (struct call *call)
+submit (struct call *call)
 {
 	struct dff_memory_rows *rows = call->client->rows;
 	const struct dff_memory_rows_faults *faults = &call->client->faults;
 	int64_t now_ms = dff_virtual_loop_now_ms (rows->loop);
 	int32_t chance = g_rand_int_range (rows->rand, 0, 1000);
 	if (faults->silent) {
-		dff_virtual_loop_schedule (rows->loop, call->timeout_ms - now_ms,
-					   end_without_answer, call);
+		dff_virtual_loop_schedule (rows->loop, call->timeout_ms - now_ms, fail_unanswered,
+					   call);
 		return;
 	}
 	if (faults->refuses) {
 		/* Refused, so that a commit is not done either. */
 		call->kind = DFF_CALL_GET;
-		dff_virtual_loop_schedule (rows->loop, DELAY_MS, end_without_answer, call);
+		dff_virtual_loop_schedule (rows->loop, DELAY_MS, fail_unanswered, call);
 		return;
 	}
 	if (call->kind == DFF_CALL_COMMIT && chance < faults->lost_permille) {
-		lose_answer (call, 0, BREAK_MS);
+		lose_answer (call, 0, DISCONNECT_MS);
 		return;
 	}
 	if (call->kind == DFF_CALL_COMMIT &&
 	    chance < faults->lost_permille + faults->late_permille) {
-		lose_answer (call, faults->late_ms, BREAK_MS);
+		lose_answer (call, faults->late_ms, DISCONNECT_MS);
 		return;
 	}
 	int32_t delay_ms = faults->delay_ms > 0 ? faults->delay_ms : DELAY_MS;
@@ -431,11 +431,11 @@
 		delay_ms = MAX (delay_ms, faults->commit_delay_ms);
 	int64_t left_ms = call->timeout_ms - now_ms;
 	if (delay_ms <= left_ms)
-		dff_virtual_loop_schedule (rows->loop, delay_ms, carry_out, call);
+		dff_virtual_loop_schedule (rows->loop, delay_ms, execute, call);
 	else if (call->kind == DFF_CALL_COMMIT)
 		lose_answer (call, delay_ms, left_ms);
 	else
-		dff_virtual_loop_schedule (rows->loop, left_ms, end_without_answer, call);
+		dff_virtual_loop_schedule (rows->loop, left_ms, fail_unanswered, call);
 }
 
 static struct call *
@@ -460,7 +460,7 @@
 }
 
 static struct dff_str
-keep (struct call *call, struct dff_str text)
+copy_text (struct call *call, struct dff_str text)
 {
 	GString *copy = g_string_new_len (text.data, (gssize)text.len);
 	g_ptr_array_add (call->texts, copy);
@@ -474,16 +474,16 @@
 	struct call *call = call_new (ctx, DFF_CALL_COMMIT, commit->timeout_ms, done, user);
 	for (size_t i = 0; i < commit->n_conditions; i++) {
 		struct dff_rows_condition at = commit->conditions[i];
-		at.key = keep (call, at.key);
+		at.key = copy_text (call, at.key);
 		g_array_append_val (call->conditions, at);
 	}
 	for (size_t i = 0; i < commit->n_writes; i++) {
 		struct dff_rows_write at = commit->writes[i];
-		at.key = keep (call, at.key);
-		at.value = keep (call, at.value);
+		at.key = copy_text (call, at.key);
+		at.value = copy_text (call, at.value);
 		g_array_append_val (call->writes, at);
 	}
-	begin (call);
+	submit (call);
 }
 
 static void
@@ -494,7 +494,7 @@
 	g_string_append_len (call->from, range->from.data, (gssize)range->from.len);
 	g_string_append_len (call->to, range->to.data, (gssize)range->to.len);
 	call->limit = range->limit;
-	begin (call);
+	submit (call);
 }
 
 static void
@@ -504,7 +504,7 @@
 	call->table = g_strdup (feed->table);
 	call->after = feed->after;
 	call->until_ms = dff_virtual_loop_now_ms (call->client->rows->loop) + feed->wait_ms;
-	begin (call);
+	submit (call);
 }
 
 struct dff_memory_rows_client *
--- a/standin/memory_runner.c
+++ b/standin/memory_runner.c
@@ -3,20 +3,20 @@
 #include <string.h>
 
 /** Time until a call arrives, and until its answer does, ms. */
-#define WAY_MS 1
+#define LINK_DELAY_MS 1
 /** Time until a smaller room counts, ms: three seconds, and the time between two entries of a
  * worker.
  */
 #define RESIZE_NOTICE_MS 4500
 /** How often a waiting watch looks for ends, ms. */
-#define LOOK_MS 5
+#define WATCH_POLL_MS 5
 
 struct dff_memory_runner_client {
 	struct dff_runner interface;
 	struct dff_memory_runner *runner;
 	bool ended;
 	/** Ids of the workers that this process cannot reach. */
-	GHashTable *unreached;
+	GHashTable *unreachable;
 };
 
 enum call_kind {
@@ -40,7 +40,7 @@
 };
 
 static enum dff_runner_outcome
-carry_out (struct call *call)
+execute (struct call *call)
 {
 	struct worker *worker = call->worker;
 	const char *wanted =
@@ -61,7 +61,7 @@
 }
 
 static void
-call_back (struct call *call, const struct dff_runner_result *result)
+call_complete (struct call *call, const struct dff_runner_result *result)
 {
 	if (!call->client->ended)
 		call->done (call->user, result);
@@ -69,98 +69,100 @@
 }
 
 static void
-end_unanswered (void *user)
+fail_unanswered (void *user)
 {
 	struct dff_runner_result result = {.outcome = DFF_RUNNER_UNKNOWN};
-	call_back (user, &result);
+	call_complete (user, &result);
 }
 
-/* What a worker lists at one moment, on its way to who asked. */
-struct lists {
+/* What a worker listing at one moment, on its way to who asked. */
+struct listing {
 	struct call *call;
 	GArray *running;
 	GArray *ended;
-	/** Texts that the lists point to. */
+	/** Texts that the listing point to. */
 	GPtrArray *texts;
 	struct dff_runner_result result;
 };
 
 static void
-deliver_lists (void *user)
+deliver_listing (void *user)
 {
-	struct lists *lists = user;
-	call_back (lists->call, &lists->result);
-	g_array_unref (lists->running);
-	g_array_unref (lists->ended);
-	g_ptr_array_unref (lists->texts);
-	g_free (lists);
+	struct listing *listing = user;
+	call_complete (listing->call, &listing->result);
+	g_array_unref (listing->running);
+	g_array_unref (listing->ended);
+	g_ptr_array_unref (listing->texts);
+	g_free (listing);
 }
 
 static const char *
-keep_text (struct lists *lists, char *text)
+own_text (struct listing *listing, char *text)
 {
-	g_ptr_array_add (lists->texts, text);
+	g_ptr_array_add (listing->texts, text);
 	return text;
 }
 
 static void
-list_run (struct lists *lists, const struct run *run)
+list_run (struct listing *listing, const struct run *run)
 {
-	const char *task = keep_text (lists, g_strndup (run->task.data, run->task.len));
-	bool saved = run->what.checkpoints && run->done_ms > 0;
-	const char *checkpoint = keep_text (
-		lists, saved ? g_strdup_printf ("%" G_GINT64_FORMAT, run->done_ms) : g_strdup (""));
+	const char *task = own_text (listing, g_strndup (run->task.data, run->task.len));
+	bool saved = run->spec.checkpoints && run->done_ms > 0;
+	const char *checkpoint =
+		own_text (listing, saved ? g_strdup_printf ("%" G_GINT64_FORMAT, run->done_ms)
+					 : g_strdup (""));
 	struct dff_run_active open = {
 		.task = dff_str_from (task),
 		.run = run->run,
 		.checkpoint = dff_str_from (checkpoint),
-		.percent = (int32_t)(run->done_ms * 100 / MAX (run->what.duration_ms, 1))};
-	g_array_append_val (lists->running, open);
+		.percent = (int32_t)(run->done_ms * 100 / MAX (run->spec.duration_ms, 1))};
+	g_array_append_val (listing->running, open);
 }
 
 static void
-list_ended (struct lists *lists, const struct end *end)
+list_ended (struct listing *listing, const struct end *end)
 {
-	const char *task = keep_text (lists, g_strndup (end->task.data, end->task.len));
+	const char *task = own_text (listing, g_strndup (end->task.data, end->task.len));
 	struct dff_run_ended one = {
 		.number = end->number,
 		.task = dff_str_from (task),
 		.run = end->run,
 		.end = end->end,
-		.checkpoint = dff_str_from (keep_text (lists, g_strdup (end->checkpoint)))};
-	g_array_append_val (lists->ended, one);
+		.checkpoint = dff_str_from (own_text (listing, g_strdup (end->checkpoint)))};
+	g_array_append_val (listing->ended, one);
 }
 
 static void
 answer_watch (struct call *call)
 {
 	struct worker *worker = call->worker;
-	struct lists *lists = g_new0 (struct lists, 1);
-	lists->call = call;
-	lists->running = g_array_new (FALSE, FALSE, sizeof (struct dff_run_active));
-	lists->ended = g_array_new (FALSE, FALSE, sizeof (struct dff_run_ended));
-	lists->texts = g_ptr_array_new_with_free_func (g_free);
+	struct listing *listing = g_new0 (struct listing, 1);
+	listing->call = call;
+	listing->running = g_array_new (FALSE, FALSE, sizeof (struct dff_run_active));
+	listing->ended = g_array_new (FALSE, FALSE, sizeof (struct dff_run_ended));
+	listing->texts = g_ptr_array_new_with_free_func (g_free);
 	GHashTableIter iter;
 	gpointer value;
 	g_hash_table_iter_init (&iter, worker->runs);
 	while (g_hash_table_iter_next (&iter, NULL, &value))
-		list_run (lists, value);
+		list_run (listing, value);
 	for (guint i = 0; i < worker->ends->len; i++)
-		list_ended (lists, &g_array_index (worker->ends, struct end, i));
-	lists->result = (struct dff_runner_result){
+		list_ended (listing, &g_array_index (worker->ends, struct end, i));
+	listing->result = (struct dff_runner_result){
 		.outcome = call->outcome,
 		.clock_ms = memory_worker_clock_ms (worker),
-		.started_ms = worker->faults.hides_start ? DFF_START_UNREPORTED : worker->born_ms,
-		.running = (const struct dff_run_active *)(void *)lists->running->data,
-		.n_running = lists->running->len,
-		.ended = (const struct dff_run_ended *)(void *)lists->ended->data,
-		.n_ended = lists->ended->len};
+		.started_ms =
+			worker->faults.hides_start ? DFF_START_UNREPORTED : worker->started_ms,
+		.running = (const struct dff_run_active *)(void *)listing->running->data,
+		.n_running = listing->running->len,
+		.ended = (const struct dff_run_ended *)(void *)listing->ended->data,
+		.n_ended = listing->ended->len};
 	if (worker->faults.answer_ms == 0) {
-		deliver_lists (lists);
+		deliver_listing (listing);
 		return;
 	}
 	dff_virtual_loop_schedule (call->client->runner->options.loop, worker->faults.answer_ms,
-				   deliver_lists, lists);
+				   deliver_listing, listing);
 }
 
 static void
@@ -171,14 +173,14 @@
 	int64_t now_ms = memory_runner_now_ms (call->client->runner);
 	if (worker->dead || worker->faults.drops_calls || worker->faults.drops_answers) {
 		dff_virtual_loop_schedule (call->client->runner->options.loop,
-					   MAX (call->timeout_ms - now_ms, 0), end_unanswered,
+					   MAX (call->timeout_ms - now_ms, 0), fail_unanswered,
 					   call);
 		return;
 	}
 	if (call->kind == DFF_CALL_WATCH && call->outcome == DFF_RUNNER_DONE) {
 		if (worker->ends->len == 0 && now_ms < call->until_ms) {
-			dff_virtual_loop_schedule (call->client->runner->options.loop, LOOK_MS,
-						   answer, call);
+			dff_virtual_loop_schedule (call->client->runner->options.loop,
+						   WATCH_POLL_MS, answer, call);
 			return;
 		}
 		answer_watch (call);
@@ -186,7 +188,7 @@
 	}
 	struct dff_runner_result result = {.outcome = call->outcome,
 					   .clock_ms = memory_worker_clock_ms (worker)};
-	call_back (call, &result);
+	call_complete (call, &result);
 }
 
 static struct worker *
@@ -208,7 +210,7 @@
 	/* It may have started again since. */
 	call->worker = find_by_address (call->client->runner, &call->order.address);
 	if (call->worker != NULL && !call->worker->dead)
-		carry_out (call);
+		execute (call);
 	g_free (call);
 }
 
@@ -222,9 +224,9 @@
 		call->kind == DFF_CALL_WATCH ? &call->watch.address : &call->order.address;
 	call->worker = find_by_address (runner, address);
 	if (call->worker == NULL || call->worker->dead || call->worker->faults.drops_calls ||
-	    g_hash_table_contains (call->client->unreached, call->worker->id)) {
+	    g_hash_table_contains (call->client->unreachable, call->worker->id)) {
 		dff_virtual_loop_schedule (runner->options.loop, MAX (call->timeout_ms - now_ms, 0),
-					   end_unanswered, call);
+					   fail_unanswered, call);
 		return;
 	}
 	struct dff_memory_worker_faults *faults = &call->worker->faults;
@@ -234,15 +236,16 @@
 		dff_virtual_loop_schedule (runner->options.loop, faults->late_ms, arrive_late,
 					   late);
 		dff_virtual_loop_schedule (runner->options.loop, MAX (call->timeout_ms - now_ms, 0),
-					   end_unanswered, call);
+					   fail_unanswered, call);
 		return;
 	}
 	bool is_start = call->kind == DFF_CALL_START;
-	bool was_there = is_start && g_hash_table_contains (call->worker->runs, &call->order.task);
-	call->outcome = carry_out (call);
-	if (is_start && !was_there && call->outcome == DFF_RUNNER_DONE)
-		memory_worker_check_open (call->worker, &call->order);
-	dff_virtual_loop_schedule (runner->options.loop, WAY_MS, answer, call);
+	bool was_present =
+		is_start && g_hash_table_contains (call->worker->runs, &call->order.task);
+	call->outcome = execute (call);
+	if (is_start && !was_present && call->outcome == DFF_RUNNER_DONE)
+		memory_worker_check_allowed (call->worker, &call->order);
+	dff_virtual_loop_schedule (runner->options.loop, LINK_DELAY_MS, answer, call);
 }
 
 static void
@@ -269,7 +272,7 @@
 		call->timeout_ms = now_ms + watch->timeout_ms;
 		call->until_ms = now_ms + watch->wait_ms;
 	}
-	dff_virtual_loop_schedule (client->runner->options.loop, WAY_MS, arrive, call);
+	dff_virtual_loop_schedule (client->runner->options.loop, LINK_DELAY_MS, arrive, call);
 }
 
 static void
@@ -306,7 +309,7 @@
 free_client (gpointer data)
 {
 	struct dff_memory_runner_client *client = data;
-	g_hash_table_unref (client->unreached);
+	g_hash_table_unref (client->unreachable);
 	g_free (client);
 }
 
@@ -349,7 +352,7 @@
 	worker->refused = g_hash_table_new_full (dff_name_hash, dff_name_equal_func, g_free, NULL);
 	worker->ends = g_array_new (FALSE, FALSE, sizeof (struct end));
 	g_ptr_array_add (runner->workers, worker);
-	memory_worker_begin (worker);
+	memory_worker_start_checks (worker);
 	return &worker->faults;
 }
 
@@ -374,7 +377,7 @@
 {
 	struct dff_memory_worker_faults *faults =
 		dff_memory_runner_add (runner, id, address, accelerators, clock_permille);
-	find_by_id (runner, id)->born_ms = memory_runner_now_ms (runner);
+	find_by_id (runner, id)->started_ms = memory_runner_now_ms (runner);
 	return faults;
 }
 
@@ -382,7 +385,7 @@
 dff_memory_runner_started_ms (struct dff_memory_runner *runner, const char *id)
 {
 	const struct worker *worker = find_by_id (runner, id);
-	return worker != NULL ? worker->born_ms : 0;
+	return worker != NULL ? worker->started_ms : 0;
 }
 
 void
@@ -404,7 +407,7 @@
 {
 	struct worker *worker = find_by_id (runner, id);
 	if (worker != NULL && !worker->dead)
-		memory_worker_end (worker);
+		memory_worker_kill (worker);
 }
 
 struct dff_memory_runner_client *
@@ -412,7 +415,7 @@
 {
 	struct dff_memory_runner_client *client = g_new0 (struct dff_memory_runner_client, 1);
 	client->runner = runner;
-	client->unreached = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+	client->unreachable = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 	client->interface = (struct dff_runner){
 		.start = client_start, .stop = client_stop, .watch = client_watch, .ctx = client};
 	g_ptr_array_add (runner->clients, client);
@@ -435,9 +438,9 @@
 dff_memory_runner_client_cut (struct dff_memory_runner_client *client, const char *id, bool cut)
 {
 	if (cut)
-		g_hash_table_add (client->unreached, g_strdup (id));
+		g_hash_table_add (client->unreachable, g_strdup (id));
 	else
-		g_hash_table_remove (client->unreached, id);
+		g_hash_table_remove (client->unreachable, id);
 }
 
 const char *
@@ -474,7 +477,7 @@
 {
 	struct dff_name name = dff_name_from (task);
 	const struct history *history = g_hash_table_lookup (runner->histories, &name);
-	return history != NULL ? history->n_lives_ended : 0;
+	return history != NULL ? history->n_incarnations_ended : 0;
 }
 
 int32_t
--- a/standin/memory_runner_private.h
+++ b/standin/memory_runner_private.h
@@ -20,16 +20,16 @@
 	int32_t n_starts;
 	int64_t last_start_ms;
 	/** Whether its end was acknowledged. */
-	bool noted;
+	bool completed;
 	/** Acknowledged ends of failed runs that came before the last start. */
 	int32_t n_failures;
 	/** The same, since it. */
-	int32_t n_new_failures;
+	int32_t n_failures_since_start;
 	/** Workers that it has crashed, and its starts since the last that may be too many. */
 	int32_t n_crashes;
 	int32_t n_starts_after_crashes;
 	/** Workers whose lives ended while they ran it. */
-	int32_t n_lives_ended;
+	int32_t n_incarnations_ended;
 };
 
 struct worker {
@@ -42,13 +42,13 @@
 	int64_t former_until_ms;
 	int32_t clock_permille;
 	/** When this life started, on the loop's clock; 0: it is not told. */
-	int64_t born_ms;
+	int64_t started_ms;
 	bool dead;
 	struct dff_memory_worker_faults faults;
 	int64_t epoch;
 	int64_t deadline_ms;
 	/** When everything was killed last for want of a lease. */
-	int64_t lapsed_ms;
+	int64_t lease_expired_ms;
 	/** Task to struct run. */
 	GHashTable *runs;
 	/** Task to the highest run that was stopped or ended. */
@@ -61,15 +61,15 @@
 struct run {
 	struct dff_name task;
 	int32_t run;
-	struct dff_memory_task what;
+	struct dff_memory_task spec;
 	int64_t placed_ms;
 	/** Work done, ms, and when that was counted last. */
 	int64_t done_ms;
 	int64_t counted_ms;
 	/** Whether its gang is all there. */
-	bool begun;
+	bool running;
 	/** When it is to be gone; 0: it is not being stopped. */
-	int64_t stopped_ms;
+	int64_t stop_at_ms;
 };
 
 struct end {
@@ -91,10 +91,10 @@
 				       const struct dff_name *task);
 
 /** Has a worker's tasks go on, every so often, until its life ends. */
-void memory_worker_begin (struct worker *worker);
+void memory_worker_start_checks (struct worker *worker);
 
 /** Ends a worker's life: everything there ends, and the gangs that it was part of break. */
-void memory_worker_end (struct worker *worker);
+void memory_worker_kill (struct worker *worker);
 
 /** Lengthens a worker's lease up to a time on its clock. */
 void memory_worker_renew (struct worker *worker, int64_t deadline_ms);
@@ -105,7 +105,7 @@
 					     const char *checkpoint);
 
 /** Notes that a start which was not delayed has begun a run. */
-void memory_worker_check_open (const struct worker *worker, const struct dff_run_order *order);
+void memory_worker_check_allowed (const struct worker *worker, const struct dff_run_order *order);
 
 enum dff_runner_outcome memory_worker_stop (struct worker *worker,
 					    const struct dff_run_order *order);
--- a/standin/memory_runner_work.c
+++ b/standin/memory_runner_work.c
@@ -25,7 +25,7 @@
 int64_t
 memory_worker_clock_ms (const struct worker *worker)
 {
-	int64_t age_ms = memory_runner_now_ms (worker->runner) - worker->born_ms;
+	int64_t age_ms = memory_runner_now_ms (worker->runner) - worker->started_ms;
 	/* A clock that has just begun does not show 0. */
 	return age_ms * worker->clock_permille / 1000 + 1;
 }
@@ -54,7 +54,7 @@
 }
 
 static void
-refuse_from_now_on (struct worker *worker, const struct dff_name *task, int32_t run)
+refuse_runs_up_to (struct worker *worker, const struct dff_name *task, int32_t run)
 {
 	int32_t before = GPOINTER_TO_INT (g_hash_table_lookup (worker->refused, task));
 	if (run > before)
@@ -62,18 +62,18 @@
 }
 
 static void
-list_end (struct worker *worker, const struct run *run, enum dff_run_end how)
+record_end (struct worker *worker, const struct run *run, enum dff_run_end reason)
 {
 	struct end end = {.number = ++worker->n_ends,
 			  .task = run->task,
 			  .run = run->run,
-			  .end = how,
+			  .end = reason,
 			  .at_ms = memory_runner_now_ms (worker->runner)};
-	if (run->what.checkpoints && run->done_ms > 0)
+	if (run->spec.checkpoints && run->done_ms > 0)
 		g_snprintf (end.checkpoint, sizeof (end.checkpoint), "%" G_GINT64_FORMAT,
 			    run->done_ms);
 	g_array_append_val (worker->ends, end);
-	refuse_from_now_on (worker, &run->task, run->run);
+	refuse_runs_up_to (worker, &run->task, run->run);
 	g_hash_table_remove (worker->runs, &end.task);
 }
 
@@ -117,66 +117,66 @@
 	g_assert_not_reached ();
 }
 
-/* Ends the other members of a gang: all as @how. */
+/* Ends the other members of a gang: all as @reason. */
 static void
-end_gang (struct dff_memory_runner *runner, const struct run *run, enum dff_run_end how)
+end_gang (struct dff_memory_runner *runner, const struct run *run, enum dff_run_end reason)
 {
-	if (run->what.gang == 0)
+	if (run->spec.gang == 0)
 		return;
 	g_autoptr (GPtrArray) members = gang_of (runner, run);
 	for (guint i = 0; i < members->len; i++) {
 		struct run *member = g_ptr_array_index (members, i);
-		if (member != run && member->begun)
-			list_end (worker_of (runner, member), member, how);
+		if (member != run && member->running)
+			record_end (worker_of (runner, member), member, reason);
 	}
 }
 
 static void
-begin_when_whole (struct dff_memory_runner *runner, struct run *run)
+start_if_gang_complete (struct dff_memory_runner *runner, struct run *run)
 {
-	if (run->begun)
+	if (run->running)
 		return;
-	if (run->what.gang > 0) {
+	if (run->spec.gang > 0) {
 		g_autoptr (GPtrArray) members = gang_of (runner, run);
-		if ((int32_t)members->len < run->what.gang)
+		if ((int32_t)members->len < run->spec.gang)
 			return;
 	}
-	run->begun = true;
+	run->running = true;
 	run->counted_ms = memory_runner_now_ms (runner);
 }
 
 /* Lets a run's work go on, and ends it when it is over. Returns: whether it has ended. */
 static bool
-work_run (struct worker *worker, struct run *run)
+advance_run (struct worker *worker, struct run *run)
 {
 	struct dff_memory_runner *runner = worker->runner;
 	int64_t now_ms = memory_runner_now_ms (runner);
-	if (run->stopped_ms > 0 && now_ms >= run->stopped_ms) {
+	if (run->stop_at_ms > 0 && now_ms >= run->stop_at_ms) {
 		end_gang (runner, run, DFF_RUN_GANG_BROKEN);
-		list_end (worker, run, DFF_RUN_STOPPED);
+		record_end (worker, run, DFF_RUN_STOPPED);
 		return true;
 	}
-	begin_when_whole (runner, run);
-	if (!run->begun) {
+	start_if_gang_complete (runner, run);
+	if (!run->running) {
 		if (now_ms - run->placed_ms < runner->options.gang_wait_ms)
 			return false;
-		list_end (worker, run, DFF_RUN_GANG_TIMEOUT);
+		record_end (worker, run, DFF_RUN_GANG_TIMEOUT);
 		return true;
 	}
 	if (!worker->faults.hung)
 		run->done_ms += now_ms - run->counted_ms;
 	run->counted_ms = now_ms;
-	bool fails = run->run <= run->what.failing_runs &&
-		     run->done_ms >= run->what.duration_ms / FAILS_AFTER;
+	bool fails = run->run <= run->spec.failing_runs &&
+		     run->done_ms >= run->spec.duration_ms / FAILS_AFTER;
 	if (fails || worker->faults.fails) {
 		end_gang (runner, run, DFF_RUN_GANG_BROKEN);
-		list_end (worker, run, DFF_RUN_FAILED);
+		record_end (worker, run, DFF_RUN_FAILED);
 		return true;
 	}
-	if (run->done_ms < run->what.duration_ms)
+	if (run->done_ms < run->spec.duration_ms)
 		return false;
 	end_gang (runner, run, DFF_RUN_COMPLETED);
-	list_end (worker, run, DFF_RUN_COMPLETED);
+	record_end (worker, run, DFF_RUN_COMPLETED);
 	return true;
 }
 
@@ -189,30 +189,30 @@
 		const struct run *run = link->data;
 		/* Members elsewhere may have begun before this one has noticed that all are there.
 		 */
-		if (run->what.gang == 0)
+		if (run->spec.gang == 0)
 			continue;
 		g_autoptr (GPtrArray) members = gang_of (worker->runner, run);
 		for (guint i = 0; i < members->len; i++) {
 			struct run *member = g_ptr_array_index (members, i);
 			struct worker *other = worker_of (worker->runner, member);
-			if (other != worker && member->begun)
-				list_end (other, member, DFF_RUN_GANG_BROKEN);
+			if (other != worker && member->running)
+				record_end (other, member, DFF_RUN_GANG_BROKEN);
 		}
 	}
 }
 
 static void
-lapse (struct worker *worker)
+expire_lease (struct worker *worker)
 {
-	worker->lapsed_ms = memory_runner_now_ms (worker->runner);
+	worker->lease_expired_ms = memory_runner_now_ms (worker->runner);
 	break_gangs (worker);
 	g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
 	for (GList *link = runs; link != NULL; link = link->next)
-		list_end (worker, link->data, DFF_RUN_LEASE_EXPIRED);
+		record_end (worker, link->data, DFF_RUN_LEASE_EXPIRED);
 }
 
 void
-memory_worker_end (struct worker *worker)
+memory_worker_kill (struct worker *worker)
 {
 	break_gangs (worker);
 	worker->dead = true;
@@ -221,13 +221,13 @@
 	g_hash_table_iter_init (&iter, worker->runs);
 	while (g_hash_table_iter_next (&iter, NULL, &value)) {
 		const struct run *run = value;
-		memory_runner_history (worker->runner, &run->task)->n_lives_ended++;
+		memory_runner_history (worker->runner, &run->task)->n_incarnations_ended++;
 	}
 }
 
 /* Ends the worker's life if one of its tasks crashes it now. */
 static void
-crash (struct worker *worker)
+crash_if_due (struct worker *worker)
 {
 	struct dff_memory_runner *runner = worker->runner;
 	int64_t now_ms = memory_runner_now_ms (runner);
@@ -236,10 +236,10 @@
 	g_hash_table_iter_init (&iter, worker->runs);
 	while (!worker->dead && g_hash_table_iter_next (&iter, NULL, &value)) {
 		const struct run *run = value;
-		if (!run->what.crashes || now_ms - run->placed_ms < run->what.crashes_after_ms)
+		if (!run->spec.crashes || now_ms - run->placed_ms < run->spec.crashes_after_ms)
 			continue;
 		memory_runner_history (runner, &run->task)->n_crashes++;
-		memory_worker_end (worker);
+		memory_worker_kill (worker);
 		if (runner->options.crashed != NULL)
 			runner->options.crashed (runner->options.ctx, worker->id);
 	}
@@ -250,19 +250,19 @@
 {
 	struct worker *worker = user;
 	if (!worker->dead)
-		crash (worker);
+		crash_if_due (worker);
 	if (worker->dead)
 		return;
 	/* The lease is the worker's, whether or not something runs there. */
 	if (worker->deadline_ms > 0 && memory_worker_clock_ms (worker) >= worker->deadline_ms)
-		lapse (worker);
+		expire_lease (worker);
 	/* An end may take other runs with it: the walk begins anew after each. */
 	bool ended = true;
 	while (ended) {
 		ended = false;
 		g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
 		for (GList *link = runs; link != NULL && !ended; link = link->next)
-			ended = work_run (worker, link->data);
+			ended = advance_run (worker, link->data);
 	}
 	dff_virtual_loop_schedule (worker->runner->options.loop, CHECK_MS, handle_check, worker);
 }
@@ -275,20 +275,20 @@
 	gpointer value;
 	g_hash_table_iter_init (&iter, worker->runs);
 	while (g_hash_table_iter_next (&iter, NULL, &value))
-		used += ((struct run *)value)->what.accelerators;
+		used += ((struct run *)value)->spec.accelerators;
 	return used;
 }
 
 static void
-check_room (const struct worker *worker, const struct dff_name *task, int32_t accelerators)
+check_capacity (const struct worker *worker, const struct dff_name *task, int32_t accelerators)
 {
 	struct dff_memory_runner *runner = worker->runner;
 	bool former = memory_runner_now_ms (runner) < worker->former_until_ms;
-	int32_t room = MAX (worker->accelerators, former ? worker->former_accelerators : 0);
+	int32_t capacity = MAX (worker->accelerators, former ? worker->former_accelerators : 0);
 	int32_t used = accelerators_used (worker);
-	if (used + accelerators > room)
+	if (used + accelerators > capacity)
 		violate (runner, "%s is started on %s, where %d of %d are in use", task->data,
-			 worker->id, used, room);
+			 worker->id, used, capacity);
 }
 
 static void
@@ -318,7 +318,7 @@
 {
 	struct dff_memory_runner *runner = worker->runner;
 	struct history *history = memory_runner_history (runner, task);
-	if (history->noted)
+	if (history->completed)
 		violate (runner, "%s run %d starts on %s after its end was acknowledged",
 			 task->data, number, worker->id);
 	for (guint i = 0; i < runner->workers->len; i++) {
@@ -327,8 +327,8 @@
 			violate (runner, "%s run %d starts on %s beside another run on %s",
 				 task->data, number, worker->id, other->id);
 	}
-	history->n_failures += history->n_new_failures;
-	history->n_new_failures = 0;
+	history->n_failures += history->n_failures_since_start;
+	history->n_failures_since_start = 0;
 	check_attempts (worker, task, history);
 	check_crashes (worker, task, history);
 	history->n_starts++;
@@ -357,18 +357,18 @@
 		return DFF_RUNNER_OLD_RUN;
 	if (worker->faults.refuses)
 		return DFF_RUNNER_UNHEALTHY;
-	struct dff_memory_task what =
+	struct dff_memory_task spec =
 		worker->runner->options.describe (worker->runner->options.ctx, &order->task);
-	if (accelerators_used (worker) + what.accelerators > worker->accelerators) {
+	if (accelerators_used (worker) + spec.accelerators > worker->accelerators) {
 		if (!worker->runner->options.unenforced)
 			return DFF_RUNNER_NO_CAPACITY;
-		check_room (worker, &order->task, what.accelerators);
+		check_capacity (worker, &order->task, spec.accelerators);
 	}
 	check_start (worker, &order->task, order->run);
 	struct run *run = g_new0 (struct run, 1);
 	run->task = order->task;
 	run->run = order->run;
-	run->what = what;
+	run->spec = spec;
 	run->placed_ms = memory_runner_now_ms (worker->runner);
 	run->counted_ms = run->placed_ms;
 	run->done_ms = g_ascii_strtoll (checkpoint, NULL, 10);
@@ -377,7 +377,7 @@
 }
 
 void
-memory_worker_check_open (const struct worker *worker, const struct dff_run_order *order)
+memory_worker_check_allowed (const struct worker *worker, const struct dff_run_order *order)
 {
 	int64_t from_ms = worker->faults.no_starts_from_ms;
 	if (from_ms > 0 && memory_runner_now_ms (worker->runner) >= from_ms)
@@ -389,31 +389,31 @@
 memory_worker_stop (struct worker *worker, const struct dff_run_order *order)
 {
 	struct run *run = g_hash_table_lookup (worker->runs, &order->task);
-	refuse_from_now_on (worker, &order->task, order->run);
-	if (run != NULL && run->run <= order->run && run->stopped_ms == 0)
-		run->stopped_ms = memory_runner_now_ms (worker->runner) +
+	refuse_runs_up_to (worker, &order->task, order->run);
+	if (run != NULL && run->run <= order->run && run->stop_at_ms == 0)
+		run->stop_at_ms = memory_runner_now_ms (worker->runner) +
 				  worker->runner->options.stop_grace_ms;
 	return DFF_RUNNER_DONE;
 }
 
 static void
-note_failure (const struct worker *worker, const struct end *end)
+record_failure (const struct worker *worker, const struct end *end)
 {
 	struct history *history = memory_runner_history (worker->runner, &end->task);
 	bool started_since = history->last_start_ms > end->at_ms;
 	history->n_failures += started_since;
-	history->n_new_failures += !started_since;
+	history->n_failures_since_start += !started_since;
 	check_attempts (worker, &end->task, history);
 }
 
 static void
-note_completion (const struct worker *worker, const struct end *end)
+record_completion (const struct worker *worker, const struct end *end)
 {
 	struct history *history = memory_runner_history (worker->runner, &end->task);
 	if (history->last_start_ms > end->at_ms)
 		violate (worker->runner, "%s run %d had ended on %s, and was started after",
 			 end->task.data, end->run, worker->id);
-	history->noted = true;
+	history->completed = true;
 }
 
 void
@@ -425,16 +425,16 @@
 			return;
 		g_array_remove_index (worker->ends, 0);
 		/* Where the lease has lapsed since, the end was given up for lost in between. */
-		bool counts = worker->lapsed_ms <= end.at_ms;
+		bool counts = worker->lease_expired_ms <= end.at_ms;
 		if (end.end == DFF_RUN_FAILED && counts)
-			note_failure (worker, &end);
+			record_failure (worker, &end);
 		if (end.end == DFF_RUN_COMPLETED && counts)
-			note_completion (worker, &end);
+			record_completion (worker, &end);
 	}
 }
 
 void
-memory_worker_begin (struct worker *worker)
+memory_worker_start_checks (struct worker *worker)
 {
 	dff_virtual_loop_schedule (worker->runner->options.loop, CHECK_MS, handle_check, worker);
 }
--- a/standin/memory_workers.c
+++ b/standin/memory_workers.c
@@ -16,7 +16,7 @@
 	struct dff_standin_worker_options options;
 	struct dff_standin_worker *worker;
 	/** Its clock in the last answer that came through. */
-	int64_t heard_ms;
+	int64_t last_clock_ms;
 };
 
 /** A call on its way; a short request when @request_done is set. */
@@ -24,7 +24,7 @@
 	GList link;
 	struct dff_memory_workers *workers;
 	/** (nullable): nobody is at the address. */
-	struct memory_worker *at;
+	struct memory_worker *target;
 	struct dff_worker_call call;
 	/** Copy of the payload, of the call or of the request. */
 	GString *payload;
@@ -35,11 +35,11 @@
 	/** When it takes effect; INT64_MAX: never, or it has. */
 	int64_t arrive_ms;
 	/** When it ends without an answer; INT64_MAX: it has ended. */
-	int64_t give_up_ms;
+	int64_t deadline_ms;
 	bool unsent;
 	bool lose_answer;
 	/** The worker has it and will answer. */
-	bool at_work;
+	bool in_progress;
 };
 
 static struct memory_worker *
@@ -54,7 +54,7 @@
 }
 
 static bool
-take_one (int32_t *count)
+consume_one (int32_t *count)
 {
 	if (*count == 0)
 		return false;
@@ -67,12 +67,12 @@
 {
 	call->arrive_ms = now_ms + faults->delay_ms;
 	call->unsent = faults->unreachable;
-	if (call->unsent || faults->silent || take_one (&faults->lose_calls)) {
+	if (call->unsent || faults->silent || consume_one (&faults->lose_calls)) {
 		call->arrive_ms = INT64_MAX;
 		return;
 	}
-	call->lose_answer = take_one (&faults->lose_answers);
-	if (take_one (&faults->late_calls)) {
+	call->lose_answer = consume_one (&faults->lose_answers);
+	if (consume_one (&faults->late_calls)) {
 		call->arrive_ms = now_ms + faults->late_ms;
 		call->lose_answer = true;
 	}
@@ -90,12 +90,12 @@
 	call->workers = workers;
 	call->payload = g_string_new (NULL);
 	call->user = user;
-	call->at = find_worker (workers, address);
+	call->target = find_worker (workers, address);
 	call->arrive_ms = INT64_MAX;
 	call->unsent = true;
-	if (call->at != NULL)
-		apply_faults (call, &call->at->faults, now_ms);
-	call->give_up_ms = call->unsent ? now_ms : now_ms + timeout_ms;
+	if (call->target != NULL)
+		apply_faults (call, &call->target->faults, now_ms);
+	call->deadline_ms = call->unsent ? now_ms : now_ms + timeout_ms;
 	g_queue_push_tail_link (&workers->calls, &call->link);
 	return call;
 }
@@ -212,8 +212,8 @@
 	    void *user)
 {
 	struct memory_call *call = task_call (ctx, address, DFF_WORKER_CALL_RENEW, done, user);
-	int64_t heard_ms = call->at == NULL ? 0 : call->at->heard_ms;
-	call->call.renewal = (struct dff_worker_renewal){lease_ms, after_sequence, heard_ms};
+	int64_t last_clock_ms = call->target == NULL ? 0 : call->target->last_clock_ms;
+	call->call.renewal = (struct dff_worker_renewal){lease_ms, after_sequence, last_clock_ms};
 }
 
 static void
@@ -236,10 +236,10 @@
 }
 
 static void
-give_up (struct memory_call *call)
+time_out (struct memory_call *call)
 {
 	enum dff_worker_outcome outcome = call->unsent ? DFF_WORKER_UNSENT : DFF_WORKER_UNCERTAIN;
-	call->give_up_ms = INT64_MAX;
+	call->deadline_ms = INT64_MAX;
 	if (call->request_done != NULL) {
 		struct dff_request_result result = {.outcome = outcome};
 		call->request_done (call->user, &result);
@@ -251,13 +251,13 @@
 
 /** Returns: whether the caller is still to be answered, now. */
 static bool
-end_work (struct memory_call *call)
+finish_call (struct memory_call *call)
 {
-	bool answer =
-		call->give_up_ms != INT64_MAX && !call->lose_answer && !call->at->faults.silent;
-	call->at_work = false;
+	bool answer = call->deadline_ms != INT64_MAX && !call->lose_answer &&
+		      !call->target->faults.silent;
+	call->in_progress = false;
 	if (answer)
-		call->give_up_ms = INT64_MAX;
+		call->deadline_ms = INT64_MAX;
 	return answer;
 }
 
@@ -265,9 +265,9 @@
 task_answered (void *user, const struct dff_worker_result *result)
 {
 	struct memory_call *call = user;
-	if (!end_work (call))
+	if (!finish_call (call))
 		return;
-	call->at->heard_ms = MAX (call->at->heard_ms, result->clock_ms);
+	call->target->last_clock_ms = MAX (call->target->last_clock_ms, result->clock_ms);
 	call->done (call->user, result);
 }
 
@@ -275,19 +275,19 @@
 request_answered (void *user, const struct dff_request_result *result)
 {
 	struct memory_call *call = user;
-	if (end_work (call))
+	if (finish_call (call))
 		call->request_done (call->user, result);
 }
 
 static void
 arrive (struct memory_call *call)
 {
-	struct dff_standin_worker *worker = call->at->worker;
+	struct dff_standin_worker *worker = call->target->worker;
 	struct dff_str payload = {call->payload->str, call->payload->len};
 	call->arrive_ms = INT64_MAX;
-	if (call->at->faults.silent)
+	if (call->target->faults.silent)
 		return;
-	call->at_work = true;
+	call->in_progress = true;
 	if (call->request_done == NULL) {
 		dff_standin_worker_call (worker, &call->call, task_answered, call);
 		return;
@@ -297,13 +297,13 @@
 
 /** Does what is due for one call. Returns: true once it is over. */
 static bool
-step (struct memory_call *call, int64_t now_ms)
+advance_call (struct memory_call *call, int64_t now_ms)
 {
 	if (call->arrive_ms <= now_ms)
 		arrive (call);
-	if (call->give_up_ms <= now_ms)
-		give_up (call);
-	return !call->at_work && call->arrive_ms == INT64_MAX && call->give_up_ms == INT64_MAX;
+	if (call->deadline_ms <= now_ms)
+		time_out (call);
+	return !call->in_progress && call->arrive_ms == INT64_MAX && call->deadline_ms == INT64_MAX;
 }
 
 /* Calls made by callbacks wait for the next tick: else a caller that tries again at once would
@@ -319,7 +319,7 @@
 	GList *at = workers->calls.head;
 	for (guint left = workers->calls.length; left > 0; left--) {
 		struct memory_call *call = at->data;
-		bool over = step (call, now_ms);
+		bool over = advance_call (call, now_ms);
 		at = at->next;
 		if (over)
 			call_free (call);
@@ -386,12 +386,12 @@
 	struct memory_worker *worker = find_worker (workers, address);
 	for (GList *at = workers->calls.head; at != NULL; at = at->next) {
 		struct memory_call *call = at->data;
-		if (call->at == worker)
-			call->at_work = false;
+		if (call->target == worker)
+			call->in_progress = false;
 	}
 	dff_standin_worker_free (worker->worker);
 	worker->options.incarnation++;
-	worker->heard_ms = 0;
+	worker->last_clock_ms = 0;
 	worker->worker = dff_standin_worker_new (&worker->options);
 }
 
--- a/standin/platform_server.c
+++ b/standin/platform_server.c
@@ -92,7 +92,7 @@
 }
 
 static void
-take_request (struct evhttp_request *request, void *ctx)
+handle_request (struct evhttp_request *request, void *ctx)
 {
 	struct dff_platform_server *server = ctx;
 	const char *path = evhttp_uri_get_path (evhttp_request_get_evhttp_uri (request));
@@ -138,7 +138,7 @@
 	server->timer = evtimer_new (options->base, timer_fired, server);
 	server->http = evhttp_new (options->base);
 	evhttp_set_max_body_size (server->http, MAX_BODY_BYTES);
-	evhttp_set_gencb (server->http, take_request, server);
+	evhttp_set_gencb (server->http, handle_request, server);
 	if (dff_http_listen (server->http, &options->listen, &server->address))
 		return server;
 	dff_platform_server_free (server);
--- a/standin/virtual_loop.c
+++ b/standin/virtual_loop.c
@@ -23,7 +23,7 @@
 	dff_timer_func func;
 	void *user;
 	/** (nullable): its entry while it runs. */
-	GSequenceIter *at;
+	GSequenceIter *position;
 };
 
 static int
@@ -56,18 +56,18 @@
 static void
 virtual_timer_stop (struct dff_timer *timer)
 {
-	struct virtual_timer *own = (struct virtual_timer *)(void *)timer;
-	if (own->at != NULL)
-		g_sequence_remove (own->at);
-	own->at = NULL;
+	struct virtual_timer *self = (struct virtual_timer *)(void *)timer;
+	if (self->position != NULL)
+		g_sequence_remove (self->position);
+	self->position = NULL;
 }
 
 static void
 virtual_timer_start (struct dff_timer *timer, int32_t delay_ms)
 {
-	struct virtual_timer *own = (struct virtual_timer *)(void *)timer;
+	struct virtual_timer *self = (struct virtual_timer *)(void *)timer;
 	virtual_timer_stop (timer);
-	own->at = insert (own->loop, delay_ms, own->func, own->user, own);
+	self->position = insert (self->loop, delay_ms, self->func, self->user, self);
 }
 
 static void
@@ -80,14 +80,14 @@
 static struct dff_timer *
 virtual_timer_create (void *ctx, dff_timer_func func, void *user)
 {
-	struct virtual_timer *own = g_new0 (struct virtual_timer, 1);
-	own->timer = (struct dff_timer){.start = virtual_timer_start,
-					.stop = virtual_timer_stop,
-					.free = virtual_timer_free};
-	own->loop = ctx;
-	own->func = func;
-	own->user = user;
-	return &own->timer;
+	struct virtual_timer *self = g_new0 (struct virtual_timer, 1);
+	self->timer = (struct dff_timer){.start = virtual_timer_start,
+					 .stop = virtual_timer_stop,
+					 .free = virtual_timer_free};
+	self->loop = ctx;
+	self->func = func;
+	self->user = user;
+	return &self->timer;
 }
 
 struct dff_virtual_loop *
@@ -148,7 +148,7 @@
 			break;
 		g_sequence_remove (first);
 		if (entry.timer != NULL)
-			entry.timer->at = NULL;
+			entry.timer->position = NULL;
 		loop->clock.now_ms = MAX (loop->clock.now_ms, entry.due_ms);
 		entry.func (entry.user);
 	}
--- a/standin/worker.c
+++ b/standin/worker.c
@@ -16,7 +16,7 @@
 	struct dff_standin_worker_options options;
 	struct dff_worker_tasks *tasks;
 	struct dff_worker_objects *objects;
-	/** Elements: struct work, in order of due time. */
+	/** Elements: struct request, in order of due time. */
 	GQueue requests;
 	/** Elements: struct waiter: renewals whose answers wait for something to report. */
 	GQueue waiters;
@@ -35,7 +35,7 @@
 };
 
 /** A short request being worked on. */
-struct work {
+struct request {
 	int64_t due_ms;
 	int64_t answer_bytes;
 	struct dff_name id;
@@ -182,9 +182,9 @@
 }
 
 static enum dff_worker_outcome
-carry_out (struct dff_standin_worker *worker,
-	   const struct dff_worker_call *call,
-	   struct dff_task_report *report)
+execute (struct dff_standin_worker *worker,
+	 const struct dff_worker_call *call,
+	 struct dff_task_report *report)
 {
 	const struct dff_worker_command *command = &call->command;
 	struct dff_worker_tasks *tasks = worker->tasks;
@@ -231,10 +231,10 @@
 
 /* The leases are renewed at once; the answer's time is that of the answer. */
 static void
-take_renewal (struct dff_standin_worker *worker,
-	      const struct dff_worker_renewal *renewal,
-	      dff_worker_func done,
-	      void *user)
+handle_renewal (struct dff_standin_worker *worker,
+		const struct dff_worker_renewal *renewal,
+		dff_worker_func done,
+		void *user)
 {
 	if (renewal->wait_ms == 0 || has_report (worker, renewal)) {
 		answer_renewal (worker, renewal, done, user);
@@ -279,13 +279,13 @@
 		answer_query (worker, done, user);
 		return;
 	case DFF_WORKER_CALL_RENEW:
-		take_renewal (worker, &call->renewal, done, user);
+		handle_renewal (worker, &call->renewal, done, user);
 		return;
 	case DFF_WORKER_CALL_CHECKPOINT:
 		take_checkpoint (worker, &call->command, done, user);
 		return;
 	default:
-		outcome = carry_out (worker, call, &report);
+		outcome = execute (worker, call, &report);
 		answer_call (worker, outcome, &report, 1, done, user);
 		return;
 	}
@@ -310,38 +310,38 @@
 
 /** The answer: the request's id and filler, so that an answer given to the wrong caller shows. */
 static void
-finish_request (struct dff_standin_worker *worker, const struct work *work)
+finish_request (struct dff_standin_worker *worker, const struct request *request)
 {
 	dff_worker_tasks_end_request (worker->tasks);
-	g_autoptr (GString) body = g_string_new (work->id.data);
+	g_autoptr (GString) body = g_string_new (request->id.data);
 	g_string_append_c (body, '\n');
-	gsize length = MAX (body->len, (gsize)work->answer_bytes);
+	gsize length = MAX (body->len, (gsize)request->answer_bytes);
 	gsize filled = body->len;
 	g_string_set_size (body, length);
 	memset (body->str + filled, '.', length - filled);
-	answer_request (worker, STATUS_OK, (struct dff_str){body->str, body->len}, work->done,
-			work->user);
+	answer_request (worker, STATUS_OK, (struct dff_str){body->str, body->len}, request->done,
+			request->user);
 }
 
 static int
 compare_due (gconstpointer a, gconstpointer b, gpointer user_data)
 {
 	(void)user_data;
-	const struct work *left = a;
-	const struct work *right = b;
+	const struct request *left = a;
+	const struct request *right = b;
 	return left->due_ms < right->due_ms ? -1 : left->due_ms > right->due_ms;
 }
 
 static void
-begin_request (struct dff_standin_worker *worker, const struct work *work)
+begin_request (struct dff_standin_worker *worker, const struct request *request)
 {
-	dff_log (DFF_LOG_STANDIN, DFF_LOG_DEBUG, "Request runs. id=%s", work->id.data);
-	if (work->due_ms <= dff_clock_now_ms (worker->options.clock)) {
-		finish_request (worker, work);
+	dff_log (DFF_LOG_STANDIN, DFF_LOG_DEBUG, "Request runs. id=%s", request->id.data);
+	if (request->due_ms <= dff_clock_now_ms (worker->options.clock)) {
+		finish_request (worker, request);
 		return;
 	}
-	g_queue_insert_sorted (&worker->requests, g_memdup2 (work, sizeof (*work)), compare_due,
-			       NULL);
+	g_queue_insert_sorted (&worker->requests, g_memdup2 (request, sizeof (*request)),
+			       compare_due, NULL);
 }
 
 void
@@ -352,8 +352,8 @@
 			    void *user)
 {
 	static const struct dff_str none = {"", 0};
-	struct dff_request_payload work;
-	if (!dff_request_payload_parse (payload, &work)) {
+	struct dff_request_payload request;
+	if (!dff_request_payload_parse (payload, &request)) {
 		answer_request (worker, STATUS_BAD_REQUEST, none, done, user);
 		return;
 	}
@@ -368,28 +368,28 @@
 		answer_request (worker, STATUS_FAILED, none, done, user);
 		return;
 	}
-	struct work begun = {
-		.due_ms = dff_clock_now_ms (worker->options.clock) + work.work_ms,
-		.answer_bytes = work.answer_bytes,
+	struct request started = {
+		.due_ms = dff_clock_now_ms (worker->options.clock) + request.work_ms,
+		.answer_bytes = request.answer_bytes,
 		.id = *request_id,
 		.done = done,
 		.user = user,
 	};
 	if (worker->options.run_log != NULL)
-		dff_run_log_request (worker->options.run_log, request_id, &work.tag);
-	begin_request (worker, &begun);
+		dff_run_log_request (worker->options.run_log, request_id, &request.tag);
+	begin_request (worker, &started);
 }
 
 static void
 finish_due_requests (struct dff_standin_worker *worker, int64_t now_ms)
 {
 	while (!g_queue_is_empty (&worker->requests)) {
-		struct work *work = worker->requests.head->data;
-		if (work->due_ms > now_ms)
+		struct request *request = worker->requests.head->data;
+		if (request->due_ms > now_ms)
 			return;
 		g_queue_pop_head (&worker->requests);
-		finish_request (worker, work);
-		g_free (work);
+		finish_request (worker, request);
+		g_free (request);
 	}
 }
 
@@ -407,7 +407,7 @@
 dff_standin_worker_next_due_ms (const struct dff_standin_worker *worker)
 {
 	int64_t due_ms = dff_worker_tasks_next_due_ms (worker->tasks);
-	const struct work *first = g_queue_peek_head ((GQueue *)&worker->requests);
+	const struct request *first = g_queue_peek_head ((GQueue *)&worker->requests);
 	if (first != NULL)
 		due_ms = MIN (due_ms, first->due_ms);
 	for (const GList *at = worker->waiters.head; at != NULL; at = at->next) {
--- a/standin/worker_commands.c
+++ b/standin/worker_commands.c
@@ -57,7 +57,7 @@
 	task->loading = start->resume;
 	task->report.state = DFF_TASK_HELD;
 	dff_task_payload_parse (start->payload, &task->payload);
-	dff_worker_tasks_use (tasks, task, 1);
+	dff_worker_tasks_account (tasks, task, 1);
 	g_ptr_array_add (tasks->active, task);
 	dff_worker_tasks_changed (tasks, task);
 	if (!start->held)
@@ -109,7 +109,7 @@
 	struct dff_task *task = dff_worker_tasks_find (tasks, id);
 	bool accepted = current && task != NULL && dff_task_is_active (task);
 	if (accepted) {
-		dff_task_count (task, dff_clock_now_ms (tasks->options.clock));
+		dff_task_update_progress (task, dff_clock_now_ms (tasks->options.clock));
 		task->percent = percent;
 	}
 	report_task (tasks, id, report);
@@ -146,7 +146,7 @@
 	bool accepted =
 		current && task != NULL && !task->loading && task->report.state == DFF_TASK_RUNNING;
 	if (accepted) {
-		dff_task_count (task, dff_clock_now_ms (tasks->options.clock));
+		dff_task_update_progress (task, dff_clock_now_ms (tasks->options.clock));
 		*done_ms = task->progress / DFF_TASK_FULL_SPEED;
 	}
 	report_task (tasks, id, report);
--- a/standin/worker_faults.c
+++ b/standin/worker_faults.c
@@ -5,35 +5,35 @@
 #define MAX_COUNT 1000000
 
 static bool
-take_bool (const json_t *value, bool *out)
+read_bool (const json_t *value, bool *out)
 {
 	*out = json_is_true (value);
 	return json_is_boolean (value);
 }
 
 static bool
-take_count (const json_t *value, int64_t *out)
+read_count (const json_t *value, int64_t *out)
 {
 	*out = json_integer_value (value);
 	return json_is_integer (value) && *out >= 0 && *out <= MAX_COUNT;
 }
 
 static bool
-take_member (const char *key, const json_t *value, struct dff_worker_faults *faults)
+read_member (const char *key, const json_t *value, struct dff_worker_faults *faults)
 {
 	struct dff_str name = dff_str_from (key);
 	if (dff_str_equal (name, dff_str_from ("silent")))
-		return take_bool (value, &faults->silent);
+		return read_bool (value, &faults->silent);
 	if (dff_str_equal (name, dff_str_from ("silence_open")))
-		return take_bool (value, &faults->silence_open);
+		return read_bool (value, &faults->silence_open);
 	if (dff_str_equal (name, dff_str_from ("slow_ms")))
-		return take_count (value, &faults->slow_ms);
+		return read_count (value, &faults->slow_ms);
 	if (dff_str_equal (name, dff_str_from ("fail_everything")))
-		return take_bool (value, &faults->fail_everything);
+		return read_bool (value, &faults->fail_everything);
 	if (dff_str_equal (name, dff_str_from ("lose_answers")))
-		return take_count (value, &faults->lose_answers);
+		return read_count (value, &faults->lose_answers);
 	if (dff_str_equal (name, dff_str_from ("die")))
-		return take_bool (value, &faults->die);
+		return read_bool (value, &faults->die);
 	return false;
 }
 
@@ -47,7 +47,7 @@
 	json_t *value;
 	json_object_foreach (root, key, value)
 	{
-		valid = take_member (key, value, &parsed) && valid;
+		valid = read_member (key, value, &parsed) && valid;
 	}
 	json_decref (root);
 	if (valid)
--- a/standin/worker_main.c
+++ b/standin/worker_main.c
@@ -44,7 +44,7 @@
 	struct dff_worker_server *server;
 	struct event *announce;
 	struct event *leave;
-	struct event *finish;
+	struct event *check_idle;
 	struct event *terminate;
 };
 
@@ -66,7 +66,7 @@
 }
 
 static void
-finish (evutil_socket_t fd, short events, void *user)
+check_idle (evutil_socket_t fd, short events, void *user)
 {
 	(void)fd;
 	(void)events;
@@ -90,7 +90,7 @@
 	process->options.instance.leaving = true;
 	announce (-1, 0, process);
 	dff_standin_worker_leave (process->worker);
-	event_add (process->finish, &interval);
+	event_add (process->check_idle, &interval);
 	dff_log (DFF_LOG_STANDIN, DFF_LOG_INFO, "Worker is leaving. id=%s",
 		 process->options.instance.id.data);
 }
@@ -136,7 +136,7 @@
 	"Prints \"listening IP:PORT\" once it listens.\n";
 
 static bool
-take_amount (const char *text, int32_t *out)
+parse_amount (const char *text, int32_t *out)
 {
 	guint64 value;
 	if (!g_ascii_string_to_unsigned (text, 10, 0, MAX_AMOUNT, &value, NULL))
@@ -146,7 +146,7 @@
 }
 
 static bool
-take_ms (const char *text, int64_t *out)
+parse_ms (const char *text, int64_t *out)
 {
 	guint64 value;
 	if (!g_ascii_string_to_unsigned (text, 10, 1, G_MAXINT32, &value, NULL))
@@ -156,37 +156,37 @@
 }
 
 static bool
-take_name (const char *text, struct dff_name *out)
+parse_name (const char *text, struct dff_name *out)
 {
 	return dff_name_parse (dff_str_from (text), out);
 }
 
 static bool
-take_option (struct worker_options *options, int option)
+parse_option (struct worker_options *options, int option)
 {
 	switch (option) {
 	case DFF_OPTION_PLATFORM:
-		return take_name (optarg, &options->platform);
+		return parse_name (optarg, &options->platform);
 	case DFF_OPTION_ID:
-		return take_name (optarg, &options->instance.id);
+		return parse_name (optarg, &options->instance.id);
 	case DFF_OPTION_RACK:
-		return take_name (optarg, &options->instance.rack);
+		return parse_name (optarg, &options->instance.rack);
 	case DFF_OPTION_DATA_CENTRE:
-		return take_name (optarg, &options->instance.data_centre);
+		return parse_name (optarg, &options->instance.data_centre);
 	case DFF_OPTION_REGION:
-		return take_name (optarg, &options->instance.region);
+		return parse_name (optarg, &options->instance.region);
 	case DFF_OPTION_LISTEN:
-		return take_name (optarg, &options->listen);
+		return parse_name (optarg, &options->listen);
 	case DFF_OPTION_SLOTS:
-		return take_amount (optarg, &options->capacity.slots);
+		return parse_amount (optarg, &options->capacity.slots);
 	case DFF_OPTION_CORES:
-		return take_amount (optarg, &options->capacity.cores);
+		return parse_amount (optarg, &options->capacity.cores);
 	case DFF_OPTION_MEMORY:
-		return take_amount (optarg, &options->capacity.memory_gb);
+		return parse_amount (optarg, &options->capacity.memory_gb);
 	case DFF_OPTION_ACCELERATORS:
-		return take_amount (optarg, &options->capacity.accelerators);
+		return parse_amount (optarg, &options->capacity.accelerators);
 	case DFF_OPTION_LEAVE_AFTER:
-		return take_ms (optarg, &options->leave_after_ms);
+		return parse_ms (optarg, &options->leave_after_ms);
 	case DFF_OPTION_RUN_LOG:
 		options->run_log = optarg;
 		return true;
@@ -218,7 +218,7 @@
 	};
 	int option;
 	while ((option = getopt_long (argc, argv, "", long_options, NULL)) != -1) {
-		if (!take_option (options, option))
+		if (!parse_option (options, option))
 			return false;
 	}
 	return optind == argc && options_complete (options);
@@ -277,7 +277,7 @@
 	struct event_base *base = process->base;
 	struct timeval announce_interval = timeval_of (ANNOUNCE_INTERVAL_MS);
 	process->announce = event_new (base, -1, EV_PERSIST, announce, process);
-	process->finish = event_new (base, -1, EV_PERSIST, finish, process);
+	process->check_idle = event_new (base, -1, EV_PERSIST, check_idle, process);
 	process->leave = evtimer_new (base, leave, process);
 	process->terminate = evsignal_new (base, SIGTERM, leave, process);
 	event_add (process->announce, &announce_interval);
@@ -293,7 +293,7 @@
 close_process (struct worker_process *process)
 {
 	g_clear_pointer (&process->announce, event_free);
-	g_clear_pointer (&process->finish, event_free);
+	g_clear_pointer (&process->check_idle, event_free);
 	g_clear_pointer (&process->leave, event_free);
 	g_clear_pointer (&process->terminate, event_free);
 	g_clear_pointer (&process->server, dff_worker_server_free);
--- a/standin/worker_objects.c
+++ b/standin/worker_objects.c
@@ -82,7 +82,7 @@
 
 /** Digest of the bytes written so far, which go on being added to. */
 static void
-hex_of_whole (const struct object_job *job, char out[DFF_DIGEST_HEX_LEN + 1])
+digest_hex (const struct object_job *job, char out[DFF_DIGEST_HEX_LEN + 1])
 {
 	unsigned char digest[crypto_hash_sha256_BYTES];
 	crypto_hash_sha256_state state = job->digest;
@@ -113,7 +113,7 @@
 	}
 	char hex[DFF_DIGEST_HEX_LEN + 1];
 	struct dff_name key;
-	hex_of_whole (job, hex);
+	digest_hex (job, hex);
 	bool fits = dff_task_result_key (&job->task, &key);
 	g_assert (fits);
 	dff_worker_tasks_result_written (job->objects->tasks, &job->task, &key, job->length, hex);
@@ -124,7 +124,7 @@
 write_manifest (struct object_job *job)
 {
 	char hex[DFF_DIGEST_HEX_LEN + 1];
-	hex_of_whole (job, hex);
+	digest_hex (job, hex);
 	g_autoptr (GString) text = g_string_new (NULL);
 	g_string_append_printf (text, "{\"length\":%" PRId64 ",\"digest\":\"%s\",\"chunks\":[%s]}",
 				job->length, hex, job->manifest->str);
@@ -136,7 +136,7 @@
 }
 
 static void
-list_chunk (struct object_job *job, const GString *chunk)
+append_chunk_entry (struct object_job *job, const GString *chunk)
 {
 	char hex[DFF_DIGEST_HEX_LEN + 1];
 	dff_digest_hex ((struct dff_str){chunk->str, chunk->len}, hex);
@@ -158,7 +158,7 @@
 	}
 	g_autoptr (GString) chunk = g_string_new (NULL);
 	fill_chunk (job, chunk);
-	list_chunk (job, chunk);
+	append_chunk_entry (job, chunk);
 	job->offset += (int64_t)chunk->len;
 	job->step (job);
 }
--- a/standin/worker_tasks.c
+++ b/standin/worker_tasks.c
@@ -89,7 +89,7 @@
 }
 
 void
-dff_worker_tasks_use (struct dff_worker_tasks *tasks, const struct dff_task *task, int32_t sign)
+dff_worker_tasks_account (struct dff_worker_tasks *tasks, const struct dff_task *task, int32_t sign)
 {
 	tasks->used.slots += sign * task->resources.slots;
 	tasks->used.cores += sign * task->resources.cores;
@@ -102,7 +102,7 @@
 end_task (struct dff_worker_tasks *tasks, struct dff_task *task, enum dff_task_state state)
 {
 	if (dff_task_is_active (task)) {
-		dff_worker_tasks_use (tasks, task, -1);
+		dff_worker_tasks_account (tasks, task, -1);
 		g_ptr_array_remove_fast (tasks->active, task);
 	}
 	task->report.state = state;
@@ -122,7 +122,7 @@
 {
 	task->report.state = DFF_TASK_RUNNING;
 	task->report.ran = true;
-	task->counted_ms = now_ms (tasks);
+	task->progress_until_ms = now_ms (tasks);
 	dff_worker_tasks_changed (tasks, task);
 	dff_log (DFF_LOG_STANDIN, DFF_LOG_INFO, "Task runs. job=%s attempt=%d member=%d",
 		 task->report.task.job.data, task->report.task.attempt, task->report.task.member);
@@ -136,22 +136,22 @@
 static bool
 is_working (const struct dff_task *task)
 {
-	return task->report.state == DFF_TASK_RUNNING && !task->loading && !task->finishing;
+	return task->report.state == DFF_TASK_RUNNING && !task->loading && !task->writing_result;
 }
 
 void
-dff_task_count (struct dff_task *task, int64_t now_ms)
+dff_task_update_progress (struct dff_task *task, int64_t now_ms)
 {
 	int64_t until_ms = MIN (now_ms, task->lease_until_ms);
-	if (until_ms <= task->counted_ms)
+	if (until_ms <= task->progress_until_ms)
 		return;
 	if (is_working (task))
-		task->progress += (until_ms - task->counted_ms) * task->percent;
-	task->counted_ms = until_ms;
+		task->progress += (until_ms - task->progress_until_ms) * task->percent;
+	task->progress_until_ms = until_ms;
 }
 
 static bool
-is_done (const struct dff_task *task)
+work_is_done (const struct dff_task *task)
 {
 	return is_working (task) && task->progress >= task->payload.run_ms * DFF_TASK_FULL_SPEED;
 }
@@ -159,15 +159,15 @@
 static bool
 is_due (struct dff_task *task, int64_t now)
 {
-	dff_task_count (task, now);
-	return is_done (task) || now >= task->lease_until_ms;
+	dff_task_update_progress (task, now);
+	return work_is_done (task) || now >= task->lease_until_ms;
 }
 
 /* Work that was done before the lease lapsed counts, even when the tick comes late. */
 static void
-settle (struct dff_worker_tasks *tasks, struct dff_task *task)
+end_due_task (struct dff_worker_tasks *tasks, struct dff_task *task)
 {
-	if (!is_done (task)) {
+	if (!work_is_done (task)) {
 		dff_log (DFF_LOG_STANDIN, DFF_LOG_WARNING,
 			 "Task lease lapsed. job=%s attempt=%d member=%d",
 			 task->report.task.job.data, task->report.task.attempt,
@@ -179,7 +179,7 @@
 		end_task (tasks, task, DFF_TASK_FAILED);
 		return;
 	}
-	task->finishing = true;
+	task->writing_result = true;
 	tasks->options.callbacks.finish (tasks->options.callbacks.ctx, &task->report.task,
 					 task->payload.result_bytes);
 }
@@ -196,7 +196,7 @@
 }
 
 static void
-forget_old (struct dff_worker_tasks *tasks, int64_t now)
+remove_expired (struct dff_worker_tasks *tasks, int64_t now)
 {
 	while (!g_queue_is_empty (&tasks->changes)) {
 		struct dff_task *task = tasks->changes.head->data;
@@ -214,8 +214,8 @@
 	/* A callback may end the task and change the array: begin again after each. */
 	for (struct dff_task *task = first_due (tasks, now); task != NULL;
 	     task = first_due (tasks, now))
-		settle (tasks, task);
-	forget_old (tasks, now);
+		end_due_task (tasks, task);
+	remove_expired (tasks, now);
 }
 
 static int64_t
@@ -224,7 +224,7 @@
 	if (!is_working (task) || task->percent == 0)
 		return task->lease_until_ms;
 	int64_t left = MAX (task->payload.run_ms * DFF_TASK_FULL_SPEED - task->progress, 0);
-	int64_t done_ms = task->counted_ms + (left + task->percent - 1) / task->percent;
+	int64_t done_ms = task->progress_until_ms + (left + task->percent - 1) / task->percent;
 	return MIN (done_ms, task->lease_until_ms);
 }
 
@@ -298,7 +298,7 @@
 				 const char *digest)
 {
 	struct dff_task *task = dff_worker_tasks_find (tasks, id);
-	if (task == NULL || !task->finishing || !dff_task_is_active (task))
+	if (task == NULL || !task->writing_result || !dff_task_is_active (task))
 		return;
 	task->report.result_key = *key;
 	task->report.result_length = length;
@@ -314,7 +314,7 @@
 	struct dff_task *task = dff_worker_tasks_find (tasks, id);
 	if (task == NULL || !task->loading)
 		return;
-	dff_task_count (task, now_ms (tasks));
+	dff_task_update_progress (task, now_ms (tasks));
 	task->loading = false;
 	task->progress = done_ms * DFF_TASK_FULL_SPEED;
 }
--- a/standin/worker_tasks_private.h
+++ b/standin/worker_tasks_private.h
@@ -20,11 +20,11 @@
 	/** Work done, in ms at full speed times 100. */
 	int64_t progress;
 	/** Up to when @progress counts. */
-	int64_t counted_ms;
+	int64_t progress_until_ms;
 	/** Its last checkpoint is being read. */
 	bool loading;
 	/** Its result is being written. */
-	bool finishing;
+	bool writing_result;
 	int64_t sequence;
 	int64_t ended_ms;
 };
@@ -53,8 +53,9 @@
 				       const struct dff_task_id *id);
 
 /** Adds what @task uses (@sign 1) or takes it away (-1). */
-void
-dff_worker_tasks_use (struct dff_worker_tasks *tasks, const struct dff_task *task, int32_t sign);
+void dff_worker_tasks_account (struct dff_worker_tasks *tasks,
+			       const struct dff_task *task,
+			       int32_t sign);
 
 /** Notes that @task has changed. */
 void dff_worker_tasks_changed (struct dff_worker_tasks *tasks, struct dff_task *task);
@@ -68,6 +69,6 @@
 bool dff_task_is_active (const struct dff_task *task);
 
 /** Counts the work done so far. */
-void dff_task_count (struct dff_task *task, int64_t now_ms);
+void dff_task_update_progress (struct dff_task *task, int64_t now_ms);
 
 #endif
