--- a/client/apply.c
+++ b/client/apply.c
@@ -38,7 +38,7 @@
 }
 
 static int
-put_pool (struct dff_api_client *caller, struct dff_str file, int64_t base, int64_t *generation)
+put_pool (struct dff_api_client *client, struct dff_str file, int64_t base, int64_t *generation)
 {
 	g_autofree char *if_match = g_strdup_printf ("\"%" G_GINT64_FORMAT "\"", base);
 	/* The same file on the same base is the same application, so that it may be sent again when
@@ -51,7 +51,7 @@
 		.if_match = if_match,
 		.idempotent = true,
 	};
-	DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
+	DFF_AUTO (dff_call_response) response = dff_call (client, &request);
 	if (!dff_call_response_is_success (response))
 		return dff_call_response_fail (response);
 	json_t *answer = dff_call_response_json (response);
@@ -62,14 +62,14 @@
 
 /* Asks every server once. Returns: the last answer that was no success; NULL: none. */
 static struct dff_call_response *
-ask_all (struct dff_api_client *caller, struct dff_pool_progress *progress)
+query_all_servers (struct dff_api_client *client, struct dff_pool_progress *progress)
 {
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_GET, .path = "/v1/status", .no_retry = true};
 	struct dff_call_response *failure = NULL;
-	for (guint i = 0; i < dff_api_client_n_servers (caller); i++) {
+	for (guint i = 0; i < dff_api_client_n_servers (client); i++) {
 		request.only_server = i + 1;
-		struct dff_call_response *response = dff_call (caller, &request);
+		struct dff_call_response *response = dff_call (client, &request);
 		if (dff_call_response_is_success (response)) {
 			json_t *status = dff_call_response_json (response);
 			dff_pool_progress_add_status (progress, status);
@@ -87,11 +87,11 @@
 }
 
 static int
-wait_in_force (struct dff_api_client *caller, int64_t generation)
+wait_until_applied (struct dff_api_client *client, int64_t generation)
 {
 	do {
 		DFF_AUTO (dff_pool_progress) progress = dff_pool_progress_new (generation);
-		DFF_AUTO (dff_call_response) failure = ask_all (caller, progress);
+		DFF_AUTO (dff_call_response) failure = query_all_servers (client, progress);
 		guint n_live = dff_pool_progress_n_live (progress);
 		if (n_live == 0 && failure != NULL && failure->status == 401) {
 			fputs (bootstrap_ended, stderr);
@@ -101,8 +101,8 @@
 			printf ("in force on %u processes\n", n_live);
 			return DFF_EXIT_OK;
 		}
-		dff_api_client_sleep (caller, POLL_MS);
-	} while (dff_api_client_remaining_ms (caller) > 0);
+		dff_api_client_sleep (client, POLL_MS);
+	} while (dff_api_client_remaining_ms (client) > 0);
 	fputs ("dragonflyfold: not in force on every live process in time\n", stderr);
 	return DFF_EXIT_PENDING;
 }
@@ -113,14 +113,14 @@
 	g_autoptr (GString) file = dff_file_read (path);
 	if (file == NULL)
 		return DFF_EXIT_FAILED;
-	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
+	DFF_AUTO (dff_api_client) client = dff_api_client_new (connection);
 	int64_t generation = 0;
 	int exit_code =
-		put_pool (caller, (struct dff_str){file->str, file->len}, base, &generation);
+		put_pool (client, (struct dff_str){file->str, file->len}, base, &generation);
 	if (exit_code != DFF_EXIT_OK)
 		return exit_code;
 	printf ("generation %" G_GINT64_FORMAT "\n", generation);
-	return wait ? wait_in_force (caller, generation) : DFF_EXIT_OK;
+	return wait ? wait_until_applied (client, generation) : DFF_EXIT_OK;
 }
 
 int
--- a/client/batch.c
+++ b/client/batch.c
@@ -55,7 +55,7 @@
 }
 
 static int64_t
-ended_otherwise (const struct dff_batch_counts *counts)
+count_not_completed (const struct dff_batch_counts *counts)
 {
 	return counts->failed + counts->cancelled + counts->not_run + counts->unknown;
 }
@@ -63,7 +63,7 @@
 bool
 dff_batch_counts_ended (const struct dff_batch_counts *counts)
 {
-	return counts->completed + ended_otherwise (counts) >= counts->manifest;
+	return counts->completed + count_not_completed (counts) >= counts->manifest;
 }
 
 static void
@@ -74,7 +74,7 @@
 	fprintf (stderr,
 		 "\r%" G_GINT64_FORMAT " of %" G_GINT64_FORMAT " completed, %" G_GINT64_FORMAT
 		 " ended otherwise, %" G_GINT64_FORMAT " running, %" G_GINT64_FORMAT " queued  ",
-		 counts->completed, counts->manifest, ended_otherwise (counts), counts->running,
+		 counts->completed, counts->manifest, count_not_completed (counts), counts->running,
 		 counts->queued);
 	if (dff_batch_counts_ended (counts))
 		fputc ('\n', stderr);
@@ -82,11 +82,11 @@
 
 /* Returns: -1 while jobs have not ended, else the exit code. */
 static int
-poll_batch (struct dff_api_client *caller, const char *path)
+poll_batch (struct dff_api_client *client, const char *path)
 {
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_GET, .path = path, .idempotent = true};
-	DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
+	DFF_AUTO (dff_call_response) response = dff_call (client, &request);
 	if (!dff_call_response_is_success (response))
 		return dff_call_response_fail (response);
 	struct dff_batch_counts counts;
@@ -100,19 +100,19 @@
 	show_progress (&counts);
 	if (!dff_batch_counts_ended (&counts))
 		return -1;
-	return ended_otherwise (&counts) > 0 ? DFF_EXIT_NOT_COMPLETED : DFF_EXIT_OK;
+	return count_not_completed (&counts) > 0 ? DFF_EXIT_NOT_COMPLETED : DFF_EXIT_OK;
 }
 
 int
-dff_batch_wait (struct dff_api_client *caller, const struct dff_name *batch)
+dff_batch_wait (struct dff_api_client *client, const struct dff_name *batch)
 {
 	g_autofree char *path = g_strconcat ("/v1/batches/", batch->data, NULL);
 	do {
-		int exit_code = poll_batch (caller, path);
+		int exit_code = poll_batch (client, path);
 		if (exit_code >= 0)
 			return exit_code;
-		dff_api_client_sleep (caller, POLL_MS);
-	} while (dff_api_client_remaining_ms (caller) > 0);
+		dff_api_client_sleep (client, POLL_MS);
+	} while (dff_api_client_remaining_ms (client) > 0);
 	fprintf (stderr, "dragonflyfold: batch %s has not ended in time\n", batch->data);
 	return DFF_EXIT_PENDING;
 }
@@ -136,7 +136,7 @@
 }
 
 static void
-describe_end (const struct dff_call_response *response, json_t *line)
+add_outcome (const struct dff_call_response *response, json_t *line)
 {
 	json_t *problem = dff_call_response_json (response);
 	json_t *outcome = json_object_get (problem, "outcome");
@@ -149,12 +149,12 @@
 }
 
 static int
-collect_one (struct dff_api_client *caller,
-	     const struct dff_name *job,
-	     const char *directory,
-	     GString *lines)
+collect_result (struct dff_api_client *client,
+		const struct dff_name *job,
+		const char *directory,
+		GString *lines)
 {
-	DFF_AUTO (dff_call_response) response = dff_result_fetch (caller, job, true);
+	DFF_AUTO (dff_call_response) response = dff_result_fetch (client, job, true);
 	int exit_code = response->digest_mismatch ? DFF_EXIT_FAILED
 						  : dff_exit_code_for_status (response->status);
 	json_t *line = json_pack ("{s:s}", "id", job->data);
@@ -163,7 +163,7 @@
 		if (!store_result (response, job, directory, line))
 			exit_code = DFF_EXIT_FAILED;
 	} else {
-		describe_end (response, line);
+		add_outcome (response, line);
 	}
 	if (response->status == 202)
 		exit_code = DFF_EXIT_PENDING;
@@ -176,7 +176,7 @@
 }
 
 int
-dff_batch_collect (struct dff_api_client *caller, const json_t *jobs, const char *directory)
+dff_batch_collect (struct dff_api_client *client, const json_t *jobs, const char *directory)
 {
 	if (directory != NULL && g_mkdir_with_parents (directory, 0777) != 0) {
 		fprintf (stderr, "dragonflyfold: %s: %s\n", directory, g_strerror (errno));
@@ -194,7 +194,7 @@
 			fputs ("dragonflyfold: the answer holds a malformed id\n", stderr);
 			return DFF_EXIT_FAILED;
 		}
-		int result = collect_one (caller, &job, directory, lines);
+		int result = collect_result (client, &job, directory, lines);
 		if (exit_code == DFF_EXIT_OK || result == DFF_EXIT_FAILED)
 			exit_code = result;
 	}
--- a/client/call.c
+++ b/client/call.c
@@ -44,25 +44,25 @@
 struct dff_api_client *
 dff_api_client_new_on (const struct dff_connection *connection, struct event_base *base)
 {
-	struct dff_api_client *caller = g_new0 (struct dff_api_client, 1);
-	caller->base = base;
-	caller->metrics = dff_metrics_new ();
+	struct dff_api_client *client = g_new0 (struct dff_api_client, 1);
+	client->base = base;
+	client->metrics = dff_metrics_new ();
 	struct dff_http_client_options options;
 	dff_http_client_options_init (&options);
-	options.base = caller->base;
-	options.metrics = caller->metrics;
+	options.base = client->base;
+	options.metrics = client->metrics;
 	options.max_body_bytes = MAX_ANSWER_BYTES;
 	options.tls = connection->tls;
 	if (connection->tls != NULL)
 		SSL_CTX_up_ref (connection->tls);
-	caller->tls = connection->tls;
-	caller->http = dff_http_client_new (&options);
-	caller->servers = g_array_copy (connection->servers);
-	caller->authorization = g_string_new (NULL);
+	client->tls = connection->tls;
+	client->http = dff_http_client_new (&options);
+	client->servers = g_array_copy (connection->servers);
+	client->authorization = g_string_new (NULL);
 	if (connection->token->len > 0)
-		g_string_printf (caller->authorization, "Bearer %s", connection->token->str);
-	caller->deadline_ms = now_ms () + connection->timeout_ms;
-	return caller;
+		g_string_printf (client->authorization, "Bearer %s", connection->token->str);
+	client->deadline_ms = now_ms () + connection->timeout_ms;
+	return client;
 }
 
 struct dff_api_client *
@@ -72,29 +72,29 @@
 }
 
 void
-dff_api_client_free (struct dff_api_client *caller)
+dff_api_client_free (struct dff_api_client *client)
 {
-	if (caller == NULL)
+	if (client == NULL)
 		return;
-	dff_http_client_free (caller->http);
-	dff_metrics_free (caller->metrics);
-	event_base_free (caller->base);
-	SSL_CTX_free (caller->tls);
-	g_array_unref (caller->servers);
-	g_string_free (caller->authorization, TRUE);
-	g_free (caller);
+	dff_http_client_free (client->http);
+	dff_metrics_free (client->metrics);
+	event_base_free (client->base);
+	SSL_CTX_free (client->tls);
+	g_array_unref (client->servers);
+	g_string_free (client->authorization, TRUE);
+	g_free (client);
 }
 
 int64_t
-dff_api_client_remaining_ms (const struct dff_api_client *caller)
+dff_api_client_remaining_ms (const struct dff_api_client *client)
 {
-	return MAX (caller->deadline_ms - now_ms (), 0);
+	return MAX (client->deadline_ms - now_ms (), 0);
 }
 
 guint
-dff_api_client_n_servers (const struct dff_api_client *caller)
+dff_api_client_n_servers (const struct dff_api_client *client)
 {
-	return caller->servers->len;
+	return client->servers->len;
 }
 
 static void
@@ -106,14 +106,14 @@
 }
 
 void
-dff_api_client_sleep (struct dff_api_client *caller, int64_t ms)
+dff_api_client_sleep (struct dff_api_client *client, int64_t ms)
 {
-	int64_t pause_ms = MIN (ms, dff_api_client_remaining_ms (caller));
+	int64_t pause_ms = MIN (ms, dff_api_client_remaining_ms (client));
 	if (pause_ms <= 0)
 		return;
 	struct timeval time = {pause_ms / 1000, (pause_ms % 1000) * 1000};
-	event_base_once (caller->base, -1, EV_TIMEOUT, stop_loop, caller->base, &time);
-	event_base_dispatch (caller->base);
+	event_base_once (client->base, -1, EV_TIMEOUT, stop_loop, client->base, &time);
+	event_base_dispatch (client->base);
 }
 
 struct dff_call_response *
@@ -175,14 +175,14 @@
 }
 
 static enum dff_http_outcome
-exchange_with (struct dff_api_client *caller,
-	       const struct dff_name *server,
-	       const struct dff_call_request *request,
-	       bool first,
-	       struct dff_call_response *response)
+send_to_server (struct dff_api_client *client,
+		const struct dff_name *server,
+		const struct dff_call_request *request,
+		bool first,
+		struct dff_call_response *response)
 {
 	struct dff_http_header headers[MAX_HEADERS];
-	size_t n = add_header (headers, 0, "Authorization", caller->authorization->str);
+	size_t n = add_header (headers, 0, "Authorization", client->authorization->str);
 	n = add_header (headers, n, "Content-Type", request->content_type);
 	n = add_header (headers, n, "Idempotency-Key", request->idempotency_key);
 	n = add_header (headers, n, "Attempt", first ? "1" : NULL);
@@ -197,77 +197,77 @@
 		.headers = headers,
 		.n_headers = n,
 		.body = request->body,
-		.timeout_ms = (int32_t)MAX (MIN (limit, dff_api_client_remaining_ms (caller)), 1),
+		.timeout_ms = (int32_t)MAX (MIN (limit, dff_api_client_remaining_ms (client)), 1),
 	};
-	struct exchange exchange = {.base = caller->base, .response = response};
-	dff_http_client_send (caller->http, &http, on_answer, &exchange);
-	event_base_dispatch (caller->base);
+	struct exchange exchange = {.base = client->base, .response = response};
+	dff_http_client_send (client->http, &http, on_answer, &exchange);
+	event_base_dispatch (client->base);
 	return exchange.outcome;
 }
 
 /* Whether the answer asks to come back. With 429 and 503 nothing was done; with 504 it is not
  * known, and the same call again finds out. */
 static bool
-asks_to_return (const struct dff_call_response *response)
+asks_to_retry (const struct dff_call_response *response)
 {
 	return response->status == 429 || response->status == 503 || response->status == 504;
 }
 
 /* Whether another server, or the same one later, may be asked. */
 static bool
-may_repeat (const struct dff_call_request *request,
-	    const struct dff_call_response *response,
-	    enum dff_http_outcome outcome)
+may_retry (const struct dff_call_request *request,
+	   const struct dff_call_response *response,
+	   enum dff_http_outcome outcome)
 {
 	if (outcome == DFF_HTTP_UNSENT)
 		return true;
 	if (outcome == DFF_HTTP_UNCERTAIN)
 		return request->idempotent;
-	return asks_to_return (response) && request->idempotent;
+	return asks_to_retry (response) && request->idempotent;
 }
 
 /* Whether it is proven that a call with "Attempt: 1" left nothing on record. */
 static bool
-left_nothing (const struct dff_call_response *response, enum dff_http_outcome outcome)
+had_no_effect (const struct dff_call_response *response, enum dff_http_outcome outcome)
 {
 	return outcome == DFF_HTTP_UNSENT || response->status == 429 || response->status == 503;
 }
 
 static int64_t
-jittered (int64_t ms)
+add_jitter (int64_t ms)
 {
 	return ms / 2 + (int64_t)randombytes_uniform ((uint32_t)(ms / 2 + 1));
 }
 
 struct dff_call_response *
-dff_call (struct dff_api_client *caller, const struct dff_call_request *request)
+dff_call (struct dff_api_client *client, const struct dff_call_request *request)
 {
 	struct dff_call_response *response = dff_call_response_new ();
-	guint n_candidates = request->only_server > 0 ? 1 : caller->servers->len;
+	guint n_candidates = request->only_server > 0 ? 1 : client->servers->len;
 	int64_t backoff_ms = FIRST_BACKOFF_MS;
-	int64_t come_back_ms = 0;
+	int64_t retry_after_ms = 0;
 	bool first = request->key_is_new;
 	for (guint attempt = 1;; attempt++) {
 		guint index =
-			request->only_server > 0 ? request->only_server - 1 : caller->next_server;
+			request->only_server > 0 ? request->only_server - 1 : client->next_server;
 		const struct dff_name *server =
-			&g_array_index (caller->servers, struct dff_name, index);
+			&g_array_index (client->servers, struct dff_name, index);
 		enum dff_http_outcome outcome =
-			exchange_with (caller, server, request, first, response);
-		first = first && left_nothing (response, outcome);
-		if (request->no_retry || !may_repeat (request, response, outcome))
+			send_to_server (client, server, request, first, response);
+		first = first && had_no_effect (response, outcome);
+		if (request->no_retry || !may_retry (request, response, outcome))
 			return response;
-		if (asks_to_return (response))
-			come_back_ms = MAX (come_back_ms, response->retry_after_s * 1000);
-		caller->next_server = (caller->next_server + 1) % caller->servers->len;
+		if (asks_to_retry (response))
+			retry_after_ms = MAX (retry_after_ms, response->retry_after_s * 1000);
+		client->next_server = (client->next_server + 1) % client->servers->len;
 		if (attempt % n_candidates != 0)
 			continue;
-		int64_t pause_ms = MAX (jittered (backoff_ms), come_back_ms);
-		if (pause_ms >= dff_api_client_remaining_ms (caller))
+		int64_t pause_ms = MAX (add_jitter (backoff_ms), retry_after_ms);
+		if (pause_ms >= dff_api_client_remaining_ms (client))
 			return response;
-		dff_api_client_sleep (caller, pause_ms);
+		dff_api_client_sleep (client, pause_ms);
 		backoff_ms = MIN (backoff_ms * 2, MAX_BACKOFF_MS);
-		come_back_ms = 0;
+		retry_after_ms = 0;
 	}
 }
 
@@ -324,7 +324,7 @@
 	if (json_is_integer (generation))
 		fprintf (stderr, " (generation in force: %" JSON_INTEGER_FORMAT ")",
 			 json_integer_value (generation));
-	if (asks_to_return (response) && response->retry_after_s > 0)
+	if (asks_to_retry (response) && response->retry_after_s > 0)
 		fprintf (stderr, " (come back in %" G_GINT64_FORMAT " s)", response->retry_after_s);
 	fputc ('\n', stderr);
 	print_errors (json_object_get (problem, "errors"));
--- a/client/cancel.c
+++ b/client/cancel.c
@@ -19,10 +19,10 @@
 static int
 cancel (const struct dff_connection *connection, const char *path)
 {
-	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
+	DFF_AUTO (dff_api_client) client = dff_api_client_new (connection);
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_DELETE, .path = path, .idempotent = true};
-	DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
+	DFF_AUTO (dff_call_response) response = dff_call (client, &request);
 	if (!dff_call_response_is_success (response))
 		return dff_call_response_fail (response);
 	json_t *answer = dff_call_response_json (response);
--- a/client/connection.c
+++ b/client/connection.c
@@ -24,7 +24,7 @@
 }
 
 static void
-add_servers_of_environment (struct dff_connection *connection)
+add_environment_servers (struct dff_connection *connection)
 {
 	const char *text = g_getenv ("DRAGONFLYFOLD_SERVER");
 	if (text == NULL)
@@ -143,7 +143,7 @@
 	    !dff_connection_set_tls (connection, tls_ca))
 		return false;
 	if (connection->servers->len == 0)
-		add_servers_of_environment (connection);
+		add_environment_servers (connection);
 	if (connection->servers->len > 0)
 		return true;
 	fputs ("dragonflyfold: no server; give --server or set DRAGONFLYFOLD_SERVER\n", stderr);
--- a/client/diff.c
+++ b/client/diff.c
@@ -30,10 +30,10 @@
 static int
 compare (const struct dff_connection *connection, const GString *file)
 {
-	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
+	DFF_AUTO (dff_api_client) client = dff_api_client_new (connection);
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_GET, .path = "/v1/pool", .idempotent = true};
-	DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
+	DFF_AUTO (dff_call_response) response = dff_call (client, &request);
 	/* Before the first apply there is no pool to compare with. */
 	if (response->status != 404 && !dff_call_response_is_success (response))
 		return dff_call_response_fail (response);
--- a/client/drain.c
+++ b/client/drain.c
@@ -30,10 +30,10 @@
 	/* With several servers an answer that was lost would drain a second process. */
 	if (connection->servers->len != 1)
 		return dff_usage_fail ("drain", "expected exactly one --server");
-	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
+	DFF_AUTO (dff_api_client) client = dff_api_client_new (connection);
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_POST, .path = "/v1/drain", .idempotent = true};
-	DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
+	DFF_AUTO (dff_call_response) response = dff_call (client, &request);
 	if (!dff_call_response_is_success (response))
 		return dff_call_response_fail (response);
 	puts ("draining");
--- a/client/job_options.c
+++ b/client/job_options.c
@@ -43,7 +43,7 @@
 G_STATIC_ASSERT (G_N_ELEMENTS (job_options) <= DFF_JOB_OPTIONS_MAX);
 
 static int
-argument_of (enum job_option_type type)
+argument_kind (enum job_option_type type)
 {
 	if (type == DFF_JOB_OPTION_TRUE || type == DFF_JOB_OPTION_FALSE)
 		return no_argument;
@@ -56,7 +56,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS (job_options); i++) {
 		struct option option = {
 			.name = job_options[i].name,
-			.has_arg = argument_of (job_options[i].type),
+			.has_arg = argument_kind (job_options[i].type),
 			.val = DFF_JOB_OPTION_FIRST + (int)i,
 		};
 		options[i] = option;
@@ -119,7 +119,7 @@
 }
 
 static const char *
-expected_of (enum job_option_type type)
+expected_text (enum job_option_type type)
 {
 	switch (type) {
 	case DFF_JOB_OPTION_NUMBER:
@@ -144,6 +144,6 @@
 	if (parsed != NULL)
 		return json_object_set_new (job, job_option->key, parsed) == 0;
 	fprintf (stderr, "dragonflyfold: --%s '%s': expected %s\n", job_option->name,
-		 value != NULL ? value : "", expected_of (job_option->type));
+		 value != NULL ? value : "", expected_text (job_option->type));
 	return false;
 }
--- a/client/pool_progress.c
+++ b/client/pool_progress.c
@@ -29,15 +29,16 @@
 
 /* A generation never goes back, so that whoever says that a process has it is right. */
 static void
-note (struct dff_pool_progress *progress, const json_t *process)
+record_process (struct dff_pool_progress *progress, const json_t *process)
 {
 	const char *name = json_string_value (json_object_get (process, "instance"));
 	if (name == NULL)
 		return;
 	int64_t generation = json_integer_value (json_object_get (process, "generation"));
-	bool has_it = generation >= progress->generation ||
-		      g_hash_table_lookup (progress->processes, name) != NULL;
-	g_hash_table_insert (progress->processes, g_strdup (name), GINT_TO_POINTER (has_it));
+	bool has_generation = generation >= progress->generation ||
+			      g_hash_table_lookup (progress->processes, name) != NULL;
+	g_hash_table_insert (progress->processes, g_strdup (name),
+			     GINT_TO_POINTER (has_generation));
 }
 
 static bool
@@ -50,13 +51,13 @@
 void
 dff_pool_progress_add_status (struct dff_pool_progress *progress, const json_t *status)
 {
-	note (progress, status);
+	record_process (progress, status);
 	size_t index;
 	json_t *member;
 	json_array_foreach (json_object_get (status, "instances"), index, member)
 	{
 		if (is_live (member))
-			note (progress, member);
+			record_process (progress, member);
 	}
 }
 
@@ -77,9 +78,9 @@
 {
 	guint n_behind = progress->n_refusals;
 	GHashTableIter iter;
-	gpointer has_it;
+	gpointer has_generation;
 	g_hash_table_iter_init (&iter, progress->processes);
-	while (g_hash_table_iter_next (&iter, NULL, &has_it))
-		n_behind += has_it == NULL;
+	while (g_hash_table_iter_next (&iter, NULL, &has_generation))
+		n_behind += has_generation == NULL;
 	return n_behind;
 }
--- a/client/result.c
+++ b/client/result.c
@@ -6,8 +6,8 @@
 #include "client/file.h"
 
 #define LONG_POLL_MS 15000
-#define LONG_POLL_SLACK_MS 5000
-#define PAUSE_MS 200
+#define LONG_POLL_MARGIN_MS 5000
+#define POLL_MS 200
 
 static const char usage[] = "Usage: dragonflyfold result ID [--wait] [--output FILE]\n"
 			    "Fetches the whole result of a job, checked against its digest.\n"
@@ -23,7 +23,7 @@
 };
 
 static struct dff_call_response *
-fetch_once (struct dff_api_client *caller, const struct dff_name *job, int64_t wait_ms)
+fetch_once (struct dff_api_client *client, const struct dff_name *job, int64_t wait_ms)
 {
 	g_autofree char *path = g_strdup_printf ("/v1/jobs/%s/result?wait_ms=%" G_GINT64_FORMAT,
 						 job->data, wait_ms);
@@ -31,26 +31,26 @@
 		.method = EVHTTP_REQ_GET,
 		.path = path,
 		.idempotent = true,
-		.answer_timeout_ms = (int32_t)wait_ms + LONG_POLL_SLACK_MS,
+		.answer_timeout_ms = (int32_t)wait_ms + LONG_POLL_MARGIN_MS,
 	};
-	return dff_call (caller, &request);
+	return dff_call (client, &request);
 }
 
 struct dff_call_response *
-dff_result_fetch (struct dff_api_client *caller, const struct dff_name *job, bool wait)
+dff_result_fetch (struct dff_api_client *client, const struct dff_name *job, bool wait)
 {
 	for (;;) {
-		int64_t remaining_ms = dff_api_client_remaining_ms (caller);
+		int64_t remaining_ms = dff_api_client_remaining_ms (client);
 		int64_t wait_ms = wait ? MIN (LONG_POLL_MS, remaining_ms / 2) : 0;
-		struct dff_call_response *response = fetch_once (caller, job, wait_ms);
+		struct dff_call_response *response = fetch_once (client, job, wait_ms);
 		if (response->status == 200 && !dff_call_response_matches_digest (response)) {
 			response->status = 0;
 			response->digest_mismatch = true;
 		}
-		if (response->status != 202 || !wait || remaining_ms <= PAUSE_MS)
+		if (response->status != 202 || !wait || remaining_ms <= POLL_MS)
 			return response;
 		dff_call_response_free (response);
-		dff_api_client_sleep (caller, PAUSE_MS);
+		dff_api_client_sleep (client, POLL_MS);
 	}
 }
 
@@ -92,8 +92,8 @@
 		return dff_usage_fail ("result", "expected one ID");
 	if (!dff_connection_complete (connection))
 		return DFF_EXIT_USAGE;
-	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
-	DFF_AUTO (dff_call_response) response = dff_result_fetch (caller, &job, wait);
+	DFF_AUTO (dff_api_client) client = dff_api_client_new (connection);
+	DFF_AUTO (dff_call_response) response = dff_result_fetch (client, &job, wait);
 	if (response->status != 200)
 		return dff_result_report (response, &job);
 	struct dff_str bytes = {response->body->str, response->body->len};
--- a/client/status.c
+++ b/client/status.c
@@ -68,16 +68,16 @@
 
 /* Asks each server for its status until one holds the cell; the last answer else. */
 static struct dff_call_response *
-call_status (struct dff_api_client *caller, bool of_holder, json_t **status)
+call_status (struct dff_api_client *client, bool of_holder, json_t **status)
 {
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_GET, .path = "/v1/status", .idempotent = true};
 	struct dff_call_response *response = NULL;
-	for (guint i = 0; i < dff_api_client_n_servers (caller); i++) {
+	for (guint i = 0; i < dff_api_client_n_servers (client); i++) {
 		json_decref (*status);
 		dff_call_response_free (response);
 		request.only_server = of_holder ? i + 1 : 0;
-		response = dff_call (caller, &request);
+		response = dff_call (client, &request);
 		*status = dff_call_response_json (response);
 		if (!of_holder || is_holder (*status))
 			break;
@@ -86,11 +86,11 @@
 }
 
 static int
-show_status (struct dff_api_client *caller, const struct topic *topic, bool as_json)
+show_status (struct dff_api_client *client, const struct topic *topic, bool as_json)
 {
 	json_t *status = NULL;
 	bool in_cell = topic != NULL && topic->in_cell;
-	DFF_AUTO (dff_call_response) response = call_status (caller, in_cell, &status);
+	DFF_AUTO (dff_call_response) response = call_status (client, in_cell, &status);
 	int exit_code = DFF_EXIT_OK;
 	const json_t *shown = in_cell ? json_object_get (status, "cell") : status;
 	if (topic != NULL)
@@ -108,7 +108,7 @@
 }
 
 static int
-show_one (struct dff_api_client *caller, const struct topic *topic, const char *id, bool as_json)
+show_one (struct dff_api_client *client, const struct topic *topic, const char *id, bool as_json)
 {
 	struct dff_name name;
 	if (!dff_name_parse (dff_str_from (id), &name)) {
@@ -118,7 +118,7 @@
 	g_autofree char *path = g_strconcat (topic->path_with_id, name.data, NULL);
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_GET, .path = path, .idempotent = true};
-	DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
+	DFF_AUTO (dff_call_response) response = dff_call (client, &request);
 	if (!dff_call_response_is_success (response))
 		return dff_call_response_fail (response);
 	json_t *answer = dff_call_response_json (response);
@@ -136,9 +136,9 @@
 	bool is_known = name == NULL || topic != NULL;
 	if (!is_known || (id != NULL && !takes_id) || (id == NULL && needs_id))
 		return dff_usage_fail ("status", expected);
-	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
-	return id != NULL ? show_one (caller, topic, id, as_json)
-			  : show_status (caller, topic, as_json);
+	DFF_AUTO (dff_api_client) client = dff_api_client_new (connection);
+	return id != NULL ? show_one (client, topic, id, as_json)
+			  : show_status (client, topic, as_json);
 }
 
 int
--- a/client/submit.c
+++ b/client/submit.c
@@ -9,7 +9,7 @@
 #include "client/result.h"
 
 /* Room for the options below and the end mark. */
-#define OWN_OPTIONS_MAX 16
+#define SUBMIT_OPTIONS_MAX 16
 
 static const char usage[] =
 	"Usage: dragonflyfold submit [JOB OPTION...] [--file FILE] [--wait] [--output FILE]\n"
@@ -23,13 +23,13 @@
 	"  -o, --output PATH  where results go (default: standard output)\n" DFF_CONNECTION_USAGE
 	"Job options:\n" DFF_JOB_OPTIONS_USAGE;
 
-static const struct option own_options[] = {
+static const struct option submit_options[] = {
 	{"file", required_argument, NULL, 'f'},   {"batch", required_argument, NULL, 'B'},
 	{"key", required_argument, NULL, 'k'},    {"wait", no_argument, NULL, 'w'},
 	{"output", required_argument, NULL, 'o'}, DFF_CONNECTION_OPTIONS,
 };
 
-G_STATIC_ASSERT (G_N_ELEMENTS (own_options) < OWN_OPTIONS_MAX);
+G_STATIC_ASSERT (G_N_ELEMENTS (submit_options) < SUBMIT_OPTIONS_MAX);
 
 /* What the command line asks for. */
 struct submission {
@@ -45,13 +45,13 @@
 
 /* Every submission has a key, so that it can be sent again when its answer was lost. */
 static char *
-key_of (const struct submission *submission)
+choose_key (const struct submission *submission)
 {
 	return submission->key != NULL ? g_strdup (submission->key) : g_uuid_string_random ();
 }
 
 static bool
-name_of_member (const json_t *answer, const char *key, struct dff_name *name)
+read_id (const json_t *answer, const char *key, struct dff_name *name)
 {
 	const json_t *value = json_object_get (answer, key);
 	struct dff_str text = {json_string_value (value), json_string_length (value)};
@@ -62,19 +62,19 @@
 }
 
 static int
-finish_job (struct dff_api_client *caller,
+finish_job (struct dff_api_client *client,
 	    const struct submission *submission,
 	    const json_t *answer)
 {
 	struct dff_name job;
-	if (!name_of_member (answer, "id", &job))
+	if (!read_id (answer, "id", &job))
 		return DFF_EXIT_FAILED;
 	if (!submission->wait) {
 		puts (job.data);
 		return DFF_EXIT_OK;
 	}
 	fprintf (stderr, "job %s\n", job.data);
-	DFF_AUTO (dff_call_response) response = dff_result_fetch (caller, &job, true);
+	DFF_AUTO (dff_call_response) response = dff_result_fetch (client, &job, true);
 	if (response->status != 200)
 		return dff_result_report (response, &job);
 	struct dff_str bytes = {response->body->str, response->body->len};
@@ -83,33 +83,33 @@
 }
 
 static int
-finish_batch (struct dff_api_client *caller,
+finish_batch (struct dff_api_client *client,
 	      const struct submission *submission,
 	      const json_t *answer)
 {
 	struct dff_name batch;
-	if (!name_of_member (answer, "batch", &batch))
+	if (!read_id (answer, "batch", &batch))
 		return DFF_EXIT_FAILED;
 	if (!submission->wait) {
 		puts (batch.data);
 		return DFF_EXIT_OK;
 	}
 	fprintf (stderr, "batch %s\n", batch.data);
-	int exit_code = dff_batch_wait (caller, &batch);
+	int exit_code = dff_batch_wait (client, &batch);
 	if (exit_code != DFF_EXIT_OK && exit_code != DFF_EXIT_NOT_COMPLETED)
 		return exit_code;
 	int collected =
-		dff_batch_collect (caller, json_object_get (answer, "jobs"), submission->output);
+		dff_batch_collect (client, json_object_get (answer, "jobs"), submission->output);
 	return collected != DFF_EXIT_OK ? collected : exit_code;
 }
 
 static int
-post (struct dff_api_client *caller,
+post (struct dff_api_client *client,
       const struct submission *submission,
       struct dff_str body,
       const char *batch_count)
 {
-	g_autofree char *key = key_of (submission);
+	g_autofree char *key = choose_key (submission);
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_POST,
 		.path = "/v1/jobs",
@@ -120,7 +120,7 @@
 		.key_is_new = submission->key == NULL,
 		.idempotent = true,
 	};
-	DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
+	DFF_AUTO (dff_call_response) response = dff_call (client, &request);
 	if (!dff_call_response_is_success (response)) {
 		/* The same key finds out what became of a submission whose answer was lost. */
 		if (response->uncertain)
@@ -128,8 +128,8 @@
 		return dff_call_response_fail (response);
 	}
 	json_t *answer = dff_call_response_json (response);
-	int exit_code = batch_count != NULL ? finish_batch (caller, submission, answer)
-					    : finish_job (caller, submission, answer);
+	int exit_code = batch_count != NULL ? finish_batch (client, submission, answer)
+					    : finish_job (client, submission, answer);
 	json_decref (answer);
 	return exit_code;
 }
@@ -142,8 +142,8 @@
 		return DFF_EXIT_FAILED;
 	struct dff_str body = {file->str, file->len};
 	g_autofree char *count = g_strdup_printf ("%zu", dff_batch_count_lines (body));
-	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
-	return post (caller, submission, body, count);
+	DFF_AUTO (dff_api_client) client = dff_api_client_new (connection);
+	return post (client, submission, body, count);
 }
 
 /* The file's members, with those of the command line over them. Returns: (nullable): the object. */
@@ -175,15 +175,15 @@
 		return DFF_EXIT_REFUSED;
 	g_autofree char *text = json_dumps (job, JSON_COMPACT);
 	json_decref (job);
-	DFF_AUTO (dff_api_client) caller = dff_api_client_new (connection);
-	return post (caller, submission, dff_str_from (text), NULL);
+	DFF_AUTO (dff_api_client) client = dff_api_client_new (connection);
+	return post (client, submission, dff_str_from (text), NULL);
 }
 
 static bool
-take_option (struct submission *submission,
-	     struct dff_connection *connection,
-	     int option,
-	     int *exit_code)
+handle_option (struct submission *submission,
+	       struct dff_connection *connection,
+	       int option,
+	       int *exit_code)
 {
 	*exit_code = DFF_EXIT_USAGE;
 	if (dff_job_option_is (option)) {
@@ -214,23 +214,24 @@
 static int
 run (struct submission *submission, int argc, char **argv)
 {
-	struct option options[OWN_OPTIONS_MAX + DFF_JOB_OPTIONS_MAX + 1] = {0};
-	memcpy (options, own_options, sizeof (own_options));
-	dff_job_options_append (options + G_N_ELEMENTS (own_options));
+	struct option options[SUBMIT_OPTIONS_MAX + DFF_JOB_OPTIONS_MAX + 1] = {0};
+	memcpy (options, submit_options, sizeof (submit_options));
+	dff_job_options_append (options + G_N_ELEMENTS (submit_options));
 	DFF_AUTO (dff_connection) connection = dff_connection_new ();
 	int option;
 	int exit_code = DFF_EXIT_OK;
 	while ((option = getopt_long (argc, argv, DFF_CONNECTION_SHORT_OPTIONS "f:B:k:o:w", options,
 				      NULL)) != -1) {
-		if (!take_option (submission, connection, option, &exit_code))
+		if (!handle_option (submission, connection, option, &exit_code))
 			return exit_code;
 	}
-	bool one = submission->file != NULL || submission->has_job_options;
-	if (optind != argc || one == (submission->batch != NULL))
+	bool is_single_job = submission->file != NULL || submission->has_job_options;
+	if (optind != argc || is_single_job == (submission->batch != NULL))
 		return dff_usage_fail ("submit", "expected a job, or --batch FILE");
 	if (!dff_connection_complete (connection))
 		return DFF_EXIT_USAGE;
-	return one ? submit_job (connection, submission) : submit_batch (connection, submission);
+	return is_single_job ? submit_job (connection, submission)
+			     : submit_batch (connection, submission);
 }
 
 int
--- a/include/client/batch.h
+++ b/include/client/batch.h
@@ -33,7 +33,7 @@
  * Returns: DFF_EXIT_OK, DFF_EXIT_NOT_COMPLETED when one ended otherwise than completed,
  * DFF_EXIT_PENDING when time was over, or why it could not be asked.
  */
-int dff_batch_wait (struct dff_api_client *caller, const struct dff_name *batch);
+int dff_batch_wait (struct dff_api_client *client, const struct dff_name *batch);
 
 /**
  * dff_batch_collect:
@@ -43,6 +43,6 @@
  *
  * Returns: the exit code.
  */
-int dff_batch_collect (struct dff_api_client *caller, const json_t *jobs, const char *directory);
+int dff_batch_collect (struct dff_api_client *client, const json_t *jobs, const char *directory);
 
 #endif
--- a/include/client/call.h
+++ b/include/client/call.h
@@ -16,14 +16,14 @@
 
 struct dff_api_client;
 
-/** Returns: (transfer full): a caller over a copy of @connection's options. */
+/** Returns: (transfer full): a client over a copy of @connection's options. */
 struct dff_api_client *dff_api_client_new (const struct dff_connection *connection);
 
-/** Like dff_api_client_new(), over @base, which the caller then owns. */
+/** Like dff_api_client_new(), over @base, which the client then owns. */
 struct dff_api_client *dff_api_client_new_on (const struct dff_connection *connection,
 					      struct event_base *base);
 
-void dff_api_client_free (struct dff_api_client *caller);
+void dff_api_client_free (struct dff_api_client *client);
 
 DFF_DEFINE_CLEANUP (dff_api_client, dff_api_client_free);
 
@@ -78,17 +78,17 @@
  * is idempotent, goes to the next server; 429, 503 and 504 to an idempotent one are obeyed: it
  * comes back after the time that the server named. Gives up when the connection's time is over.
  */
-struct dff_call_response *dff_call (struct dff_api_client *caller,
+struct dff_call_response *dff_call (struct dff_api_client *client,
 				    const struct dff_call_request *request);
 
 /** Returns: ms left of the time that the command line allows, 0 when it is over. */
-int64_t dff_api_client_remaining_ms (const struct dff_api_client *caller);
+int64_t dff_api_client_remaining_ms (const struct dff_api_client *client);
 
 /** Lets @ms pass, at most what remains. */
-void dff_api_client_sleep (struct dff_api_client *caller, int64_t ms);
+void dff_api_client_sleep (struct dff_api_client *client, int64_t ms);
 
 /** Returns: number of servers. */
-guint dff_api_client_n_servers (const struct dff_api_client *caller);
+guint dff_api_client_n_servers (const struct dff_api_client *client);
 
 /** Returns: (transfer full) (nullable): the body as JSON. */
 json_t *dff_call_response_json (const struct dff_call_response *response);
--- a/include/client/result.h
+++ b/include/client/result.h
@@ -12,7 +12,7 @@
  * damaged.
  */
 struct dff_call_response *
-dff_result_fetch (struct dff_api_client *caller, const struct dff_name *job, bool wait);
+dff_result_fetch (struct dff_api_client *client, const struct dff_name *job, bool wait);
 
 /** Says how the job ended when it has no result. Returns: the exit code for @response. */
 int dff_result_report (const struct dff_call_response *response, const struct dff_name *job);
--- a/tests/client/test-call.c
+++ b/tests/client/test-call.c
@@ -21,22 +21,22 @@
 struct step {
 	int status;
 	/* Close the connection instead, after the request was read. */
-	bool cut;
+	bool disconnect;
 	const char *body;
 	const char *header;
 	const char *value;
 };
 
-/* A server in the caller's own loop that answers step by step, and notes what it was asked. */
+/* A server in the client's own loop that answers step by step, and notes what it was requests. */
 struct server {
 	struct evhttp *http;
 	struct dff_name address;
 	const struct step *steps;
 	size_t n_steps;
-	size_t n_asked;
-	GString *asked;
+	size_t n_requests;
+	GString *requests;
 	/* The last request said that no earlier one carried its key. */
-	bool said_first;
+	bool marked_first;
 };
 
 static void
@@ -45,13 +45,13 @@
 	struct server *server = user;
 	const char *key =
 		evhttp_find_header (evhttp_request_get_input_headers (request), "Idempotency-Key");
-	g_string_append_printf (server->asked, "%s%s%s\n", evhttp_request_get_uri (request),
+	g_string_append_printf (server->requests, "%s%s%s\n", evhttp_request_get_uri (request),
 				key != NULL ? " " : "", key != NULL ? key : "");
-	server->said_first =
+	server->marked_first =
 		evhttp_find_header (evhttp_request_get_input_headers (request), "Attempt") != NULL;
-	assert_true (server->n_asked < server->n_steps);
-	const struct step *step = &server->steps[server->n_asked++];
-	if (step->cut) {
+	assert_true (server->n_requests < server->n_steps);
+	const struct step *step = &server->steps[server->n_requests++];
+	if (step->disconnect) {
 		evhttp_connection_free (evhttp_request_get_connection (request));
 		return;
 	}
@@ -69,10 +69,10 @@
 {
 	memset (server, 0, sizeof (*server));
 	server->http = evhttp_new (base);
-	server->asked = g_string_new (NULL);
+	server->requests = g_string_new (NULL);
 	server->steps = steps;
 	while (server->n_steps < MAX_STEPS &&
-	       (steps[server->n_steps].status != 0 || steps[server->n_steps].cut))
+	       (steps[server->n_steps].status != 0 || steps[server->n_steps].disconnect))
 		server->n_steps++;
 	evhttp_set_allowed_methods (server->http, EVHTTP_REQ_GET | EVHTTP_REQ_POST |
 							  EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE);
@@ -90,11 +90,11 @@
 server_stop (struct server *server)
 {
 	evhttp_free (server->http);
-	g_string_free (server->asked, TRUE);
+	g_string_free (server->requests, TRUE);
 }
 
 static struct dff_api_client *
-caller_on (struct event_base *base, const struct server *servers, size_t n_servers)
+new_client (struct event_base *base, const struct server *servers, size_t n_servers)
 {
 	DFF_AUTO (dff_connection) connection = dff_connection_new ();
 	connection->timeout_ms = TIMEOUT_MS;
@@ -107,8 +107,8 @@
 	const char *name;
 	struct step first[MAX_STEPS];
 	struct step second[MAX_STEPS];
-	size_t first_asked;
-	size_t second_asked;
+	size_t first_requests;
+	size_t second_requests;
 	int status;
 	bool idempotent;
 	bool uncertain;
@@ -120,38 +120,38 @@
 	 {{0}},
 	 .idempotent = true,
 	 .status = 404,
-	 .first_asked = 1},
+	 .first_requests = 1},
 	{"a process that says to come back is left for another",
 	 {{.status = 503, .body = "{}", .header = "Retry-After", .value = "1"}},
 	 {{.status = 200, .body = "{}"}},
 	 .idempotent = true,
 	 .status = 200,
-	 .first_asked = 1,
-	 .second_asked = 1},
+	 .first_requests = 1,
+	 .second_requests = 1},
 	{"a process that cannot tell whether it acted is asked again through another",
 	 {{.status = 504, .body = "{}", .header = "Retry-After", .value = "1"}},
 	 {{.status = 200, .body = "{}"}},
 	 .idempotent = true,
 	 .status = 200,
-	 .first_asked = 1,
-	 .second_asked = 1},
+	 .first_requests = 1,
+	 .second_requests = 1},
 	{"a server that cut the connection may have acted: an idempotent call is repeated",
-	 {{.cut = true}},
+	 {{.disconnect = true}},
 	 {{.status = 200, .body = "{}"}},
 	 .idempotent = true,
 	 .status = 200,
-	 .first_asked = 1,
-	 .second_asked = 1},
+	 .first_requests = 1,
+	 .second_requests = 1},
 	{"a server that cut the connection may have acted: any other call is not repeated",
-	 {{.cut = true}},
+	 {{.disconnect = true}},
 	 {{0}},
 	 .uncertain = true,
-	 .first_asked = 1},
+	 .first_requests = 1},
 	{"a refusal for now is the answer to a call that is not idempotent",
 	 {{.status = 503, .body = "{}"}},
 	 {{0}},
 	 .status = 503,
-	 .first_asked = 1},
+	 .first_requests = 1},
 };
 
 /* Symptom: an apply or a submission takes effect twice, or is given up while another process would
@@ -159,7 +159,7 @@
  * Cause: no difference made between a request that was not sent, one that may have taken effect,
  * and one that was refused. */
 static void
-test_which_calls_are_repeated (void **state)
+test_which_calls_are_retried (void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS (call_cases); i++) {
@@ -168,7 +168,7 @@
 		struct server servers[2];
 		server_start (&servers[0], base, test->first);
 		server_start (&servers[1], base, test->second);
-		struct dff_api_client *caller = caller_on (base, servers, 2);
+		struct dff_api_client *client = new_client (base, servers, 2);
 		struct dff_call_request request = {
 			.method = EVHTTP_REQ_POST,
 			.path = "/v1/jobs",
@@ -176,16 +176,16 @@
 			.idempotency_key = "key-1",
 			.idempotent = test->idempotent,
 		};
-		DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
+		DFF_AUTO (dff_call_response) response = dff_call (client, &request);
 		assert_int_equal (response->status, test->status);
 		assert_int_equal (response->uncertain, test->uncertain);
-		assert_int_equal (servers[0].n_asked, test->first_asked);
-		assert_int_equal (servers[1].n_asked, test->second_asked);
-		if (test->second_asked > 0)
-			assert_string_equal (servers[1].asked->str, "/v1/jobs key-1\n");
+		assert_int_equal (servers[0].n_requests, test->first_requests);
+		assert_int_equal (servers[1].n_requests, test->second_requests);
+		if (test->second_requests > 0)
+			assert_string_equal (servers[1].requests->str, "/v1/jobs key-1\n");
 		server_stop (&servers[0]);
 		server_stop (&servers[1]);
-		dff_api_client_free (caller);
+		dff_api_client_free (client);
 	}
 }
 
@@ -193,21 +193,21 @@
 	struct step first;
 	bool key_is_new;
 	/** What the call to the second server says. */
-	bool said_first;
+	bool marked_first;
 };
 
-/* Symptom: a caller is told that its job was not run, and it runs. Sequence: the first process
+/* Symptom: a client is told that its job was not run, and it runs. Sequence: the first process
  * takes the submission and its answer is lost; the second refuses. Cause: the second call claimed
  * to be the first. */
 static void
-test_only_a_clean_key_is_called_first (void **state)
+test_attempt_header_only_before_any_effect (void **state)
 {
 	(void)state;
 	static const struct first_case cases[] = {
 		{{.status = 503, .body = "{}"}, true, true},
 		{{.status = 429, .body = "{}"}, true, true},
 		{{.status = 504, .body = "{}"}, true, false},
-		{{.cut = true}, true, false},
+		{{.disconnect = true}, true, false},
 		{{.status = 503, .body = "{}"}, false, false},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
@@ -217,7 +217,7 @@
 		struct server servers[2];
 		server_start (&servers[0], base, first);
 		server_start (&servers[1], base, second);
-		struct dff_api_client *caller = caller_on (base, servers, 2);
+		struct dff_api_client *client = new_client (base, servers, 2);
 		struct dff_call_request request = {
 			.method = EVHTTP_REQ_POST,
 			.path = "/v1/jobs",
@@ -226,20 +226,20 @@
 			.key_is_new = cases[i].key_is_new,
 			.idempotent = true,
 		};
-		DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
+		DFF_AUTO (dff_call_response) response = dff_call (client, &request);
 		assert_int_equal (response->status, 200);
-		assert_int_equal (servers[0].said_first, cases[i].key_is_new);
-		assert_int_equal (servers[1].said_first, cases[i].said_first);
+		assert_int_equal (servers[0].marked_first, cases[i].key_is_new);
+		assert_int_equal (servers[1].marked_first, cases[i].marked_first);
 		server_stop (&servers[0]);
 		server_stop (&servers[1]);
-		dff_api_client_free (caller);
+		dff_api_client_free (client);
 	}
 }
 
 /* Symptom: every call fails while one of two processes is up. Sequence: the first address given is
  * that of a process that was replaced. Cause: a refused connection taken for an answer. */
 static void
-test_unreachable_server_is_passed_over (void **state)
+test_unreachable_server_is_skipped (void **state)
 {
 	(void)state;
 	static const struct step steps[MAX_STEPS] = {{.status = 200, .body = "{}"}};
@@ -247,14 +247,14 @@
 	struct server servers[2];
 	server_start (&servers[0], base, steps);
 	server_start (&servers[1], base, steps);
-	struct dff_api_client *caller = caller_on (base, servers, 2);
+	struct dff_api_client *client = new_client (base, servers, 2);
 	server_stop (&servers[0]);
 	struct dff_call_request request = {.method = EVHTTP_REQ_PUT, .path = "/v1/pool"};
-	DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
+	DFF_AUTO (dff_call_response) response = dff_call (client, &request);
 	assert_int_equal (response->status, 200);
-	assert_int_equal (servers[1].n_asked, 1);
+	assert_int_equal (servers[1].n_requests, 1);
 	server_stop (&servers[1]);
-	dff_api_client_free (caller);
+	dff_api_client_free (client);
 }
 
 struct result_case {
@@ -294,15 +294,15 @@
 		struct event_base *base = event_base_new ();
 		struct server server;
 		server_start (&server, base, test->steps);
-		struct dff_api_client *caller = caller_on (base, &server, 1);
+		struct dff_api_client *client = new_client (base, &server, 1);
 		struct dff_name job = dff_name_from ("demo.1");
 		DFF_AUTO (dff_call_response)
-		response = dff_result_fetch (caller, &job, test->wait);
+		response = dff_result_fetch (client, &job, test->wait);
 		assert_int_equal (response->status, test->status);
 		assert_int_equal (dff_result_report (response, &job), test->exit_code);
-		assert_int_equal (server.n_asked, server.n_steps);
+		assert_int_equal (server.n_requests, server.n_steps);
 		server_stop (&server);
-		dff_api_client_free (caller);
+		dff_api_client_free (client);
 	}
 }
 
@@ -333,12 +333,12 @@
 		struct event_base *base = event_base_new ();
 		struct server server;
 		server_start (&server, base, batch_cases[i].steps);
-		struct dff_api_client *caller = caller_on (base, &server, 1);
+		struct dff_api_client *client = new_client (base, &server, 1);
 		struct dff_name batch = dff_name_from ("demo.b");
-		assert_int_equal (dff_batch_wait (caller, &batch), batch_cases[i].exit_code);
-		assert_int_equal (server.n_asked, server.n_steps);
+		assert_int_equal (dff_batch_wait (client, &batch), batch_cases[i].exit_code);
+		assert_int_equal (server.n_requests, server.n_steps);
 		server_stop (&server);
-		dff_api_client_free (caller);
+		dff_api_client_free (client);
 	}
 }
 
@@ -354,9 +354,9 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_which_calls_are_repeated),
-		cmocka_unit_test (test_only_a_clean_key_is_called_first),
-		cmocka_unit_test (test_unreachable_server_is_passed_over),
+		cmocka_unit_test (test_which_calls_are_retried),
+		cmocka_unit_test (test_attempt_header_only_before_any_effect),
+		cmocka_unit_test (test_unreachable_server_is_skipped),
 		cmocka_unit_test (test_result),
 		cmocka_unit_test (test_batch_wait),
 		cmocka_unit_test (test_count_lines),
--- a/tests/client/test-command-line.c
+++ b/tests/client/test-command-line.c
@@ -140,7 +140,7 @@
 /* Symptom: completion does not know an option. Sequence: an option is added to a command, the
  * completion file is forgotten. Cause: two places that list the same. */
 static void
-test_completion_knows_every_option (void **state)
+test_completion_lists_every_option (void **state)
 {
 	(void)state;
 	g_autofree char *completion = NULL;
@@ -171,7 +171,7 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test (test_golden_lines),
 		cmocka_unit_test (test_every_command_has_help),
-		cmocka_unit_test (test_completion_knows_every_option),
+		cmocka_unit_test (test_completion_lists_every_option),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/client/test-pool-progress.c
+++ b/tests/client/test-pool-progress.c
@@ -20,7 +20,7 @@
 	guint n_behind;
 };
 
-/* Symptom: an apply is said to be in force everywhere, and a caller meets a process without it.
+/* Symptom: an apply is said to be in force everywhere, and a client meets a process without it.
  * Sequence: three processes start, the first gets the file before it has heard of the others and
  * is asked alone. Cause: one process's view of who is live taken for the truth. */
 static const struct progress_case progress_cases[] = {
--- a/tests/client/test-tls.c
+++ b/tests/client/test-tls.c
@@ -69,9 +69,9 @@
 }
 
 static void
-on_request (struct evhttp_request *request, void *n_asked)
+on_request (struct evhttp_request *request, void *n_requests)
 {
-	(*(int *)n_asked)++;
+	(*(int *)n_requests)++;
 	evhttp_send_reply (request, 200, "OK", NULL);
 }
 
@@ -92,7 +92,7 @@
  * address that somebody else has taken, and sends its request. Cause: a certificate that is not
  * checked, or not against the number that is asked. */
 static void
-test_token_goes_to_a_checked_server_only (void **state)
+test_token_sent_only_to_verified_server (void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS (tls_cases); i++) {
@@ -105,9 +105,9 @@
 		SSL_CTX_use_certificate (context, own.certificate);
 		SSL_CTX_use_PrivateKey (context, own.key);
 		struct evhttp *http = evhttp_new (base);
-		int n_asked = 0;
+		int n_requests = 0;
 		evhttp_set_bevcb (http, accept_tls, context);
-		evhttp_set_gencb (http, on_request, &n_asked);
+		evhttp_set_gencb (http, on_request, &n_requests);
 		struct sockaddr_in address = {0};
 		socklen_t len = sizeof (address);
 		struct evhttp_bound_socket *bound =
@@ -120,15 +120,15 @@
 		connection->timeout_ms = TIMEOUT_MS;
 		const char *trusted = tls_cases[i].trusted ? own.path : other.path;
 		assert_true (dff_connection_set_tls (connection, trusted));
-		struct dff_api_client *caller = dff_api_client_new_on (connection, base);
+		struct dff_api_client *client = dff_api_client_new_on (connection, base);
 		struct dff_call_request request = {.method = EVHTTP_REQ_GET, .path = "/v1/pool"};
-		DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
+		DFF_AUTO (dff_call_response) response = dff_call (client, &request);
 		assert_int_equal (response->status, tls_cases[i].status);
 		assert_false (response->uncertain);
-		assert_int_equal (n_asked, tls_cases[i].status == 200);
+		assert_int_equal (n_requests, tls_cases[i].status == 200);
 
 		evhttp_free (http);
-		dff_api_client_free (caller);
+		dff_api_client_free (client);
 		SSL_CTX_free (context);
 		identity_clear (&own);
 		identity_clear (&other);
@@ -139,7 +139,7 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_token_goes_to_a_checked_server_only),
+		cmocka_unit_test (test_token_sent_only_to_verified_server),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
