--- a/include/standin/memory_runner.h
+++ b/include/standin/memory_runner.h
@@ -4,24 +4,24 @@
 #include "standin/virtual_loop.h"
 #include "upstream/runner.h"
 
-/* Workers in memory, under a virtual clock, with faults. They notice what must never happen: a task
- * that runs twice at a time, one that starts after its end was acknowledged or after its failed
- * runs have used up its attempts, work beyond a worker's accelerators, a start where none is to
- * come any more, a third start after three workers have crashed under a task. */
+/* In-memory workers under a virtual clock, with faults. They detect broken invariants: two
+ * concurrent runs of a task; a start after its completion was acknowledged, after failed runs used
+ * up its attempts, beyond a worker's accelerators, or where starts are forbidden; a third start
+ * after it crashed three workers. */
 
 struct dff_memory_runner;
 struct dff_memory_runner_client;
 
-/** What a task does. */
+/** How a task behaves. */
 struct dff_memory_task {
 	int32_t duration_ms;
-	/** Members that it waits for; 0: it runs by itself. */
+	/** Members of its gang, all of which must be present before it runs; 0: no gang. */
 	int32_t gang;
 	int32_t accelerators;
-	/** Runs up to this number fail half-way. */
+	/** Runs with a number up to this fail after half of the duration. */
 	int32_t failing_runs;
 	bool checkpoints;
-	/** Whether its runs crash their workers, and how long after their starts, ms. */
+	/** Whether its runs crash their workers, and the time from start to crash, ms. */
 	bool crashes;
 	int32_t crashes_after_ms;
 };
@@ -30,103 +30,103 @@
 
 struct dff_memory_runner_options {
 	struct dff_virtual_loop *loop;
-	/** Tells what a task does, by its name. */
+	/** Returns: the behaviour of the task called @task. */
 	struct dff_memory_task (*describe) (void *ctx, const struct dff_name *task);
 	void *ctx;
 	int32_t stop_grace_ms;
 	int32_t gang_wait_ms;
-	/** Failed runs of a task after which it must not be started again. */
+	/** Number of failed runs after which a task must not be started again. */
 	int32_t max_attempts;
-	/** Workers start what they are told to, whether or not there is room for it. */
+	/** Workers accept starts beyond their capacity, each reported as a violation. */
 	bool unenforced;
-	/** (nullable): told when a task has crashed its worker, whose life is over. */
+	/** (nullable): called when a task has crashed its worker, whose incarnation has ended. */
 	void (*crashed) (void *ctx, const char *id);
 };
 
-/** Faults of one worker, changed at any time. */
+/** Faults injected into one worker. They may be changed at any time. */
 struct dff_memory_worker_faults {
 	/** Calls do not arrive. */
 	bool drops_calls;
-	/** Calls arrive, answers do not. */
+	/** Calls take effect; their answers are lost. */
 	bool drops_answers;
-	/** Lists are so late, ms. */
+	/** Delay of the answers to watches, ms. */
 	int32_t answer_ms;
-	/** Tasks stand still. */
+	/** Tasks make no progress. */
 	bool hung;
-	/** Starts are refused, the worker being unhealthy. */
+	/** Starts are refused with UNHEALTHY. */
 	bool refuses;
-	/** All tasks fail at once. */
+	/** Every running task fails immediately. */
 	bool fails;
-	/** Its lists do not tell when it started. */
+	/** Watches do not report when the worker started. */
 	bool hides_start;
-	/** So many of the next orders have no answer and are carried out later. */
+	/** Number of next orders that are not answered and are carried out @late_ms later. */
 	int32_t late_orders;
 	int32_t late_ms;
-	/** Starts that arrive from then on and are not late ones must not be carried out; 0: they
-	 * may. */
+	/** Time from which on a start that is carried out is a violation, unless it was delayed by
+	 * @late_orders; 0: starts are allowed. */
 	int64_t no_starts_from_ms;
 };
 
 struct dff_memory_runner *dff_memory_runner_new (const struct dff_memory_runner_options *options);
 
-/** No call may be in progress that is still to call back. */
+/** No call may be in progress that has yet to call back. */
 void dff_memory_runner_free (struct dff_memory_runner *runner);
 
 DFF_DEFINE_CLEANUP (dff_memory_runner, dff_memory_runner_free);
 
-/** Adds a worker. Its clock runs at @clock_permille of the loop's. Returns: its faults. */
+/** Adds a worker. Its clock runs at @clock_permille of the loop's rate. Returns: its faults. */
 struct dff_memory_worker_faults *dff_memory_runner_add (struct dff_memory_runner *runner,
 							const char *id,
 							const char *address,
 							int32_t accelerators,
 							int32_t clock_permille);
 
-/** The same for a worker that tells when it started, and whose clock counts from then on; one of
- * that id that was there before has to be dead. */
+/** Adds a worker that reports its start, from which its clock counts. An earlier worker of the same
+ * id must be dead. */
 struct dff_memory_worker_faults *dff_memory_runner_add_with_start (struct dff_memory_runner *runner,
 								   const char *id,
 								   const char *address,
 								   int32_t accelerators,
 								   int32_t clock_permille);
 
-/** Returns: when the last life of a worker started, on the loop's clock; 0: it does not tell. */
+/** Returns: start time of a worker's last incarnation on the loop's clock, ms; 0: not reported. */
 int64_t dff_memory_runner_started_ms (struct dff_memory_runner *runner, const char *id);
 
-/** Changes what a worker has room for; what runs there goes on. A smaller room counts once whoever
- * starts tasks had the time to learn of it. */
+/** Changes a worker's capacity; its runs go on. A smaller capacity is enforced only after the time
+ * that the holder needs to learn of it. */
 void
 dff_memory_runner_resize (struct dff_memory_runner *runner, const char *id, int32_t accelerators);
 
-/** Ends a life: everything there ends, and another life may come to its address. */
+/** Ends a worker's incarnation with its runs. Another one may then be added at its address. */
 void dff_memory_runner_kill (struct dff_memory_runner *runner, const char *id);
 
-/** Returns: (transfer none): the workers as one process reaches them. */
+/** Returns: (transfer none): a new client: one process that calls the workers. */
 struct dff_memory_runner_client *dff_memory_runner_client_new (struct dff_memory_runner *runner);
 
 const struct dff_runner *
 dff_memory_runner_client_interface (struct dff_memory_runner_client *client);
 
-/** The process of this client has ended: none of its calls calls back any more. */
+/** Simulates the end of the client's process: its calls do not call back any more. */
 void dff_memory_runner_client_end (struct dff_memory_runner_client *client);
 
-/** Has a worker not be reached by this process alone. */
+/** While @cut, this client alone cannot reach the worker. */
 void
 dff_memory_runner_client_cut (struct dff_memory_runner_client *client, const char *id, bool cut);
 
-/** Returns: (nullable): the first thing that must never happen, in words. */
+/** Returns: (nullable): description of the first violation of an invariant. */
 const char *dff_memory_runner_violation (const struct dff_memory_runner *runner);
 
-/** Returns: runs that are open, over all workers. */
+/** Returns: number of active runs on all live workers. */
 int32_t dff_memory_runner_n_active (const struct dff_memory_runner *runner);
 
-/** Returns: (nullable): the worker that runs @task now. */
+/** Returns: (nullable): id of the worker that runs @task now. */
 const char *dff_memory_runner_worker_of (const struct dff_memory_runner *runner, const char *task);
 
-/** Returns: workers whose lives ended while they ran @task, whatever ended them. */
+/** Returns: number of incarnations that ended, for whatever reason, while they ran @task. */
 int32_t dff_memory_runner_n_incarnations_ended (const struct dff_memory_runner *runner,
 						const char *task);
 
-/** Returns: starts that were carried out, of tasks whose name begins with @prefix. */
+/** Returns: number of starts carried out, of tasks whose name begins with @prefix. */
 int32_t dff_memory_runner_n_starts (const struct dff_memory_runner *runner, const char *prefix);
 
 #endif
--- a/include/standin/run_log.h
+++ b/include/standin/run_log.h
@@ -7,8 +7,8 @@
 #include "upstream/worker_client.h"
 
 /*
- * What a worker began to run, one line each, appended before the work is done, so that a bench can
- * count executions also of workers that have died:
+ * A log of the requests and tasks that a worker has started, one line each. The line is appended
+ * before the execution, so that a benchmark also counts executions on workers that have died:
  *
  *   request ID TAG
  *   task JOB ATTEMPT MEMBER TAG
@@ -25,12 +25,12 @@
 
 DFF_DEFINE_CLEANUP (dff_run_log, dff_run_log_close);
 
-/** Appends the line of a short request that begins to run. */
+/** Logs the start of a short request. */
 void dff_run_log_request (struct dff_run_log *log,
 			  const struct dff_name *id,
 			  const struct dff_name *tag);
 
-/** Appends the line of a task that begins to run. */
+/** Logs the start of a task. */
 void dff_run_log_task (struct dff_run_log *log,
 		       const struct dff_task_id *task,
 		       const struct dff_name *tag);
--- a/include/standin/virtual_loop.h
+++ b/include/standin/virtual_loop.h
@@ -6,7 +6,7 @@
 #include "common/cleanup.h"
 #include "common/timer.h"
 
-/* A loop under a virtual clock: what is due runs in order of time, then of its arrival. */
+/* An event loop under a virtual clock. Callbacks run by due time, then in order of scheduling. */
 
 struct dff_virtual_loop;
 
@@ -22,13 +22,13 @@
 
 int64_t dff_virtual_loop_now_ms (const struct dff_virtual_loop *loop);
 
-/** Calls @func once in @delay_ms. */
+/** Calls @func once after @delay_ms. */
 void dff_virtual_loop_schedule (struct dff_virtual_loop *loop,
 				int64_t delay_ms,
 				dff_timer_func func,
 				void *user);
 
-/** Runs everything that is due within the next @ms. */
+/** Advances the clock by @ms and runs the callbacks that become due. */
 void dff_virtual_loop_run (struct dff_virtual_loop *loop, int64_t ms);
 
 #endif
--- a/include/standin/worker.h
+++ b/include/standin/worker.h
@@ -12,7 +12,7 @@
 #include "standin/worker_tasks.h"
 #include "upstream/worker_wire.h"
 
-/* A stand-in worker without its sockets: tasks, their objects and short requests. */
+/* A stand-in worker without the HTTP server: tasks, their objects and short requests. */
 
 struct dff_standin_worker;
 
@@ -22,33 +22,33 @@
 	struct dff_resources capacity;
 	bool check_epochs;
 	int64_t incarnation;
-	/** (nullable): told of everything that begins to run. */
+	/** (nullable): logs the start of every task and short request. */
 	struct dff_run_log *run_log;
 };
 
 struct dff_standin_worker *
 dff_standin_worker_new (const struct dff_standin_worker_options *options);
 
-/** Calls in progress are dropped. No callback of the store may come any more. */
+/** Drops the calls in progress. The store must not call back any more. */
 void dff_standin_worker_free (struct dff_standin_worker *worker);
 
 DFF_DEFINE_CLEANUP (dff_standin_worker, dff_standin_worker_free);
 
-/** Returns: its tasks, valid as long as @worker. */
+/** Returns: (transfer none): the worker's tasks, valid as long as @worker. */
 struct dff_worker_tasks *dff_standin_worker_tasks (struct dff_standin_worker *worker);
 
-/** Has @changed called when the next tick has something to do that was not known before. */
+/** Calls @changed when the next tick can answer a waiting renewal; NULL: no call. */
 void dff_standin_worker_on_change (struct dff_standin_worker *worker,
 				   void (*changed) (void *ctx),
 				   void *ctx);
 
-/** Leaves: says so to whoever waits for a report, refuses what is new, ends what runs. */
+/** Starts to drain: answers waiting renewals and refuses new work; what runs goes on. */
 void dff_standin_worker_leave (struct dff_standin_worker *worker);
 
-/** Does what is due by its clock. */
+/** Handles everything that is due by the worker's clock. */
 void dff_standin_worker_tick (struct dff_standin_worker *worker);
 
-/** Returns: monotonic ms of the next tick with something to do; INT64_MAX: none. */
+/** Returns: monotonic time at which the next tick is due, ms; INT64_MAX: none. */
 int64_t dff_standin_worker_next_due_ms (const struct dff_standin_worker *worker);
 
 enum dff_worker_call_type {
@@ -61,7 +61,7 @@
 	DFF_WORKER_CALL_RENEW,
 };
 
-/** A call about tasks; the member that its type names counts. */
+/** A call about tasks. @type selects the member that holds its arguments. */
 struct dff_worker_call {
 	enum dff_worker_call_type type;
 	struct dff_task_start start;
@@ -69,13 +69,13 @@
 	struct dff_worker_renewal renewal;
 };
 
-/** Carries out a call. @done may come before it returns. */
+/** Executes a call. @done may be called before this returns. */
 void dff_standin_worker_call (struct dff_standin_worker *worker,
 			      const struct dff_worker_call *call,
 			      dff_worker_func done,
 			      void *user);
 
-/** Runs a short request under a payload (worker_payload.h). @done may come before it returns. */
+/** Runs a short request; payload: worker_payload.h. @done may be called before it returns. */
 void dff_standin_worker_request (struct dff_standin_worker *worker,
 				 const struct dff_name *request_id,
 				 struct dff_str payload,
--- a/include/standin/worker_faults.h
+++ b/include/standin/worker_faults.h
@@ -6,23 +6,23 @@
 
 #include "common/str.h"
 
-/* Faults that a stand-in worker process is told to have. */
+/* Faults that are injected into a stand-in worker process. */
 
 struct dff_worker_faults {
-	/** Connections are accepted and kept, nothing takes effect, nothing is answered. */
+	/** Connections are accepted and stay open; calls take no effect and are not answered. */
 	bool silent;
-	/** The same for the connections that are open now; new ones work. */
+	/** As @silent, for the connections that are open now; new connections work. */
 	bool silence_open;
-	/** Every answer comes this much later. */
+	/** Delay of every answer, ms. */
 	int64_t slow_ms;
 	bool fail_everything;
-	/** So many calls take effect and are not answered. */
+	/** Number of next calls that take effect and are not answered. */
 	int64_t lose_answers;
-	/** The process ends at once. */
+	/** The process exits immediately. */
 	bool die;
 };
 
-/** Reads the whole set. Returns: false when it cannot be read; @faults is then unchanged. */
+/** Parses a set of faults. Returns: false, with @faults unchanged, when @text is invalid. */
 bool dff_worker_faults_parse (struct dff_str text, struct dff_worker_faults *faults);
 
 #endif
--- a/include/standin/worker_payload.h
+++ b/include/standin/worker_payload.h
@@ -6,13 +6,13 @@
 
 #include "common/str.h"
 
-/* What the stand-in worker does with a payload. Keys that are absent are 0 or false. */
+/* Payloads of the stand-in worker. An absent key is 0, false or empty. */
 
 /** A task: {"run_ms": N, "result_bytes": N, "fail": bool, "tag": NAME}. */
 struct dff_task_payload {
 	int64_t run_ms;
 	int64_t result_bytes;
-	/** Fails once it has run for @run_ms. */
+	/** The task fails after it has run for @run_ms. */
 	bool fail;
 	/** What the run log calls it; may be empty. */
 	struct dff_name tag;
@@ -26,10 +26,10 @@
 	struct dff_name tag;
 };
 
-/** Reads a task's payload; one that cannot be read fails at once. */
+/** Parses a task's payload. An invalid payload gives a task that fails immediately. */
 void dff_task_payload_parse (struct dff_str text, struct dff_task_payload *payload);
 
-/** Reads a request's payload. Returns: false when it cannot be read. */
+/** Parses a request's payload. Returns: false when it is invalid. */
 bool dff_request_payload_parse (struct dff_str text, struct dff_request_payload *payload);
 
 #endif
--- a/standin/memory_link.c
+++ b/standin/memory_link.c
@@ -1,10 +1,11 @@
 #include "standin/memory_link.h"
 
+/** Latency in one direction, ms. */
 #define LINK_DELAY_MS 1
 
 struct endpoint {
 	struct dff_memory_link *link;
-	/** Whether this endpoint still wants to be told. */
+	/** Whether messages and the disconnection are still delivered to this end. */
 	bool connected;
 };
 
@@ -16,14 +17,14 @@
 	struct dff_relay *relay;
 	bool silent;
 	bool freed;
-	/** Messages and ends under way. */
+	/** Messages and disconnections in transit. */
 	int32_t n_pending;
 };
 
 struct message {
 	struct dff_memory_link *link;
 	bool to_relay;
-	/** (nullable): NULL: the other endpoint has closed. */
+	/** (nullable): NULL: the sending end has closed the connection. */
 	GByteArray *bytes;
 };
 
--- a/standin/memory_rows.c
+++ b/standin/memory_rows.c
@@ -2,18 +2,18 @@
 
 #include <string.h>
 
-/** Time until a usual answer, ms. */
+/** Default time until an answer, ms. */
 #define DELAY_MS 4
-/** Time after which the connection of a lost answer breaks, ms. */
+/** Time after which a call whose answer is lost ends, as if its connection broke, ms. */
 #define DISCONNECT_MS 10
-/** How often a waiting feed looks for changes, ms. */
+/** Interval at which a waiting feed polls for changes, ms. */
 #define FEED_POLL_MS 5
-/** The store's steady clock less the machines', ms. */
+/** Offset of the store's steady clock from the machines' clocks, ms. */
 #define STORE_CLOCK_AHEAD_MS 777000
 
 struct dff_memory_rows {
 	struct dff_virtual_loop *loop;
-	/** "TABLE/KEY" to struct stored_row, in order. */
+	/** Maps "TABLE/KEY" to struct stored_row, in order. */
 	GTree *rows;
 	/** Elements: struct change, oldest first. */
 	GPtrArray *changes;
@@ -52,7 +52,7 @@
 	enum call_kind kind;
 	dff_rows_func done;
 	void *user;
-	/** Conditions, then writes. */
+	/** Of a commit; elements: struct dff_rows_condition and struct dff_rows_write. */
 	GArray *conditions;
 	GArray *writes;
 	char *table;
@@ -62,11 +62,11 @@
 	int64_t after;
 	int64_t until_ms;
 	int64_t timeout_ms;
-	/** Texts that conditions and writes refer to. */
+	/** Elements: GString; the keys and values of conditions and writes point into them. */
 	GPtrArray *texts;
 };
 
-/* Another clock than the machines'. */
+/* The store's clock differs from the machines' clocks, so that mixing them up shows. */
 static int64_t
 store_ms (const struct dff_memory_rows *rows)
 {
@@ -305,7 +305,7 @@
 	call_complete (call, &result);
 }
 
-/* Returns: the revision from which on there may be more. */
+/* Returns: the revision up to which @found holds all changes. */
 static int64_t
 find_changes (const struct call *call, GArray *found)
 {
@@ -379,7 +379,7 @@
 	call_complete (call, &result);
 }
 
-/* A call whose answer is lost ends after @end_ms for the caller, after @effect_ms for the store. */
+/* The answer is lost: the call ends after @end_ms, and takes effect after @effect_ms. */
 static void
 lose_answer (struct call *call, int32_t effect_ms, int64_t end_ms)
 {
@@ -408,7 +408,7 @@
 		return;
 	}
 	if (faults->refuses) {
-		/* Refused, so that a commit is not done either. */
+		/* A read ends with NOT_DONE: a refused commit has certainly no effect. */
 		call->kind = DFF_CALL_GET;
 		dff_virtual_loop_schedule (rows->loop, DELAY_MS, fail_unanswered, call);
 		return;
--- a/standin/memory_runner.c
+++ b/standin/memory_runner.c
@@ -2,20 +2,19 @@
 
 #include <string.h>
 
-/** Time until a call arrives, and until its answer does, ms. */
+/** Latency in one direction, of a call or of its answer, ms. */
 #define LINK_DELAY_MS 1
-/** Time until a smaller room counts, ms: three seconds, and the time between two entries of a
- * worker.
- */
+/** Time until a smaller capacity is enforced, ms: three seconds plus the interval between two
+ * entries of a worker. Until then the holder may not have learnt of it. */
 #define RESIZE_NOTICE_MS 4500
-/** How often a waiting watch looks for ends, ms. */
+/** Interval at which a waiting watch polls for ended runs, ms. */
 #define WATCH_POLL_MS 5
 
 struct dff_memory_runner_client {
 	struct dff_runner interface;
 	struct dff_memory_runner *runner;
 	bool ended;
-	/** Ids of the workers that this process cannot reach. */
+	/** Ids of the workers that this client cannot reach. */
 	GHashTable *unreachable;
 };
 
@@ -75,12 +74,12 @@
 	call_complete (user, &result);
 }
 
-/* What a worker listing at one moment, on its way to who asked. */
+/* The answer to a watch: a snapshot of the worker's runs, in transit to the client. */
 struct listing {
 	struct call *call;
 	GArray *running;
 	GArray *ended;
-	/** Texts that the listing point to. */
+	/** Texts that @running and @ended point to. */
 	GPtrArray *texts;
 	struct dff_runner_result result;
 };
@@ -207,7 +206,7 @@
 arrive_late (void *user)
 {
 	struct call *call = user;
-	/* It may have started again since. */
+	/* The worker may have restarted since the call was made. */
 	call->worker = find_by_address (call->client->runner, &call->order.address);
 	if (call->worker != NULL && !call->worker->dead)
 		execute (call);
@@ -356,7 +355,7 @@
 	return &worker->faults;
 }
 
-/* Returns: (nullable): the last life of the worker called @id. */
+/* Returns: (nullable): the last incarnation of the worker called @id. */
 static struct worker *
 find_by_id (struct dff_memory_runner *runner, const char *id)
 {
--- a/standin/memory_runner_private.h
+++ b/standin/memory_runner_private.h
@@ -3,32 +3,32 @@
 
 #include "standin/memory_runner.h"
 
-/* Between the calls of processes (memory_runner.c) and what workers do (memory_runner_work.c). */
+/* Shared by memory_runner.c (calls of clients) and memory_runner_work.c (runs on workers). */
 
 struct dff_memory_runner {
 	struct dff_memory_runner_options options;
 	/** Elements: struct worker. */
 	GPtrArray *workers;
 	GPtrArray *clients;
-	/** Task to struct history. */
+	/** Maps a task to its struct history. */
 	GHashTable *histories;
 	char *violation;
 };
 
-/** What has happened to a task, over all workers. */
+/** History of a task over all workers. */
 struct history {
 	int32_t n_starts;
 	int64_t last_start_ms;
-	/** Whether its end was acknowledged. */
+	/** Whether its completion was acknowledged. */
 	bool completed;
-	/** Acknowledged ends of failed runs that came before the last start. */
+	/** Acknowledged failed runs that had failed before the last start. */
 	int32_t n_failures;
-	/** The same, since it. */
+	/** Acknowledged failed runs that have failed since the last start. */
 	int32_t n_failures_since_start;
-	/** Workers that it has crashed, and its starts since the last that may be too many. */
+	/** Number of workers crashed, and of starts since that number is CRASHES_MAX. */
 	int32_t n_crashes;
 	int32_t n_starts_after_crashes;
-	/** Workers whose lives ended while they ran it. */
+	/** Number of incarnations that ended while they ran the task. */
 	int32_t n_incarnations_ended;
 };
 
@@ -37,23 +37,23 @@
 	char *id;
 	char *address;
 	int32_t accelerators;
-	/** What it had room for before, until that does not count any more. */
+	/** Capacity before a resize, which counts until @former_until_ms. */
 	int32_t former_accelerators;
 	int64_t former_until_ms;
 	int32_t clock_permille;
-	/** When this life started, on the loop's clock; 0: it is not told. */
+	/** Start time of this incarnation on the loop's clock, ms; 0: not reported. */
 	int64_t started_ms;
 	bool dead;
 	struct dff_memory_worker_faults faults;
 	int64_t epoch;
 	int64_t deadline_ms;
-	/** When everything was killed last for want of a lease. */
+	/** Time of the last lease expiry, which ended all runs, ms; 0: none yet. */
 	int64_t lease_expired_ms;
-	/** Task to struct run. */
+	/** Maps a task to its struct run. */
 	GHashTable *runs;
-	/** Task to the highest run that was stopped or ended. */
+	/** Maps a task to its last stopped or ended run; starts up to it are refused. */
 	GHashTable *refused;
-	/** Elements: struct end. */
+	/** Elements: struct end, not yet acknowledged, oldest first. */
 	GArray *ends;
 	int64_t n_ends;
 };
@@ -63,15 +63,16 @@
 	int32_t run;
 	struct dff_memory_task spec;
 	int64_t placed_ms;
-	/** Work done, ms, and when that was counted last. */
+	/** Work done, and the time up to which it is counted, ms. */
 	int64_t done_ms;
 	int64_t counted_ms;
-	/** Whether its gang is all there. */
+	/** Whether the run makes progress: all members of its gang have been present. */
 	bool running;
-	/** When it is to be gone; 0: it is not being stopped. */
+	/** Time at which a stopped run ends, ms; 0: not stopped. */
 	int64_t stop_at_ms;
 };
 
+/** A run that has ended. */
 struct end {
 	int64_t number;
 	struct dff_name task;
@@ -83,34 +84,34 @@
 
 int64_t memory_runner_now_ms (const struct dff_memory_runner *runner);
 
-/** Returns: a worker's own clock. */
+/** Returns: time on the worker's own clock, ms. */
 int64_t memory_worker_clock_ms (const struct worker *worker);
 
-/** What is known of a task over all workers. */
+/** Returns: the history of a task over all workers, empty when it is new. */
 struct history *memory_runner_history (struct dff_memory_runner *runner,
 				       const struct dff_name *task);
 
-/** Has a worker's tasks go on, every so often, until its life ends. */
+/** Starts the periodic check that advances a worker's runs until its incarnation ends. */
 void memory_worker_start_checks (struct worker *worker);
 
-/** Ends a worker's life: everything there ends, and the gangs that it was part of break. */
+/** Ends a worker's incarnation with its runs, and breaks the gangs with members there. */
 void memory_worker_kill (struct worker *worker);
 
-/** Lengthens a worker's lease up to a time on its clock. */
+/** Extends a worker's lease to @deadline_ms on the worker's clock; never shortens it. */
 void memory_worker_renew (struct worker *worker, int64_t deadline_ms);
 
-/** Carries out a start. @checkpoint: where the run begins; empty: at its beginning. */
+/** Executes a start. @checkpoint: work done before the run, ms; empty: none. */
 enum dff_runner_outcome memory_worker_start (struct worker *worker,
 					     const struct dff_run_order *order,
 					     const char *checkpoint);
 
-/** Notes that a start which was not delayed has begun a run. */
+/** Checks that no_starts_from_ms allows a start that was not delayed and has started a run. */
 void memory_worker_check_allowed (const struct worker *worker, const struct dff_run_order *order);
 
 enum dff_runner_outcome memory_worker_stop (struct worker *worker,
 					    const struct dff_run_order *order);
 
-/** Ends up to @number are taken note of, unless the lease has lapsed since. */
+/** Acknowledges ended runs up to @number; they count unless the lease has expired since. */
 void memory_worker_acknowledge (struct worker *worker, int64_t number);
 
 #endif
--- a/standin/memory_runner_work.c
+++ b/standin/memory_runner_work.c
@@ -4,15 +4,15 @@
 
 #include <string.h>
 
-/* What workers do with the runs that they were told to start, and what must never happen there. */
+/* How workers execute runs, and the checks for violations of invariants. */
 
-/** How often a worker looks at its deadline, its gangs and its tasks' work, ms. */
+/** Interval at which a worker checks its lease, its gangs and the progress of its runs, ms. */
 #define CHECK_MS 10
-/** The longest lease that a worker takes, ms. */
+/** Longest lease that a worker accepts, ms. */
 #define LEASE_MAX_MS 10000
-/** A run that fails does so after one part in so many of its duration. */
+/** A failing run fails after 1/FAILS_AFTER of its duration. */
 #define FAILS_AFTER 2
-/** Once so many workers have crashed under a task, so many more starts of it must not come. */
+/** After CRASHES_MAX crashes of a task, the STARTS_AFTER_CRASHES_MAX-th start is a violation. */
 #define CRASHES_MAX 3
 #define STARTS_AFTER_CRASHES_MAX 3
 
@@ -26,7 +26,7 @@
 memory_worker_clock_ms (const struct worker *worker)
 {
 	int64_t age_ms = memory_runner_now_ms (worker->runner) - worker->started_ms;
-	/* A clock that has just begun does not show 0. */
+	/* The clock starts at 1: 0 is not a valid time. */
 	return age_ms * worker->clock_permille / 1000 + 1;
 }
 
@@ -87,7 +87,7 @@
 	       memcmp (one->data, other->data, length) == 0;
 }
 
-/* Members of a run's gang that are present on live workers. */
+/* Returns: the members of a run's gang on live workers, including the run. */
 static GPtrArray *
 gang_of (struct dff_memory_runner *runner, const struct run *run)
 {
@@ -117,7 +117,7 @@
 	g_assert_not_reached ();
 }
 
-/* Ends the other members of a gang: all as @reason. */
+/* Ends the other running members of a gang with @reason. */
 static void
 end_gang (struct dff_memory_runner *runner, const struct run *run, enum dff_run_end reason)
 {
@@ -145,7 +145,7 @@
 	run->counted_ms = memory_runner_now_ms (runner);
 }
 
-/* Lets a run's work go on, and ends it when it is over. Returns: whether it has ended. */
+/* Advances a run's work, and ends the run when it is due. Returns: whether it has ended. */
 static bool
 advance_run (struct worker *worker, struct run *run)
 {
@@ -180,15 +180,15 @@
 	return true;
 }
 
-/* Ends the members elsewhere of the gangs that have a member here. */
+/* Ends the members on other workers of the gangs that have a member on @worker. */
 static void
 break_gangs (struct worker *worker)
 {
 	g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
 	for (GList *link = runs; link != NULL; link = link->next) {
 		const struct run *run = link->data;
-		/* Members elsewhere may have begun before this one has noticed that all are there.
-		 */
+		/* @run itself need not be running: members elsewhere may have found the gang
+		 * complete earlier. */
 		if (run->spec.gang == 0)
 			continue;
 		g_autoptr (GPtrArray) members = gang_of (worker->runner, run);
@@ -225,7 +225,7 @@
 	}
 }
 
-/* Ends the worker's life if one of its tasks crashes it now. */
+/* Ends the worker's incarnation if the crash of one of its runs is due. */
 static void
 crash_if_due (struct worker *worker)
 {
@@ -253,10 +253,10 @@
 		crash_if_due (worker);
 	if (worker->dead)
 		return;
-	/* The lease is the worker's, whether or not something runs there. */
+	/* The lease belongs to the worker and expires also when nothing runs there. */
 	if (worker->deadline_ms > 0 && memory_worker_clock_ms (worker) >= worker->deadline_ms)
 		expire_lease (worker);
-	/* An end may take other runs with it: the walk begins anew after each. */
+	/* The end of a run may end others in its gang, so iteration restarts after each. */
 	bool ended = true;
 	while (ended) {
 		ended = false;
@@ -287,8 +287,8 @@
 	int32_t capacity = MAX (worker->accelerators, former ? worker->former_accelerators : 0);
 	int32_t used = accelerators_used (worker);
 	if (used + accelerators > capacity)
-		violate (runner, "%s is started on %s, where %d of %d are in use", task->data,
-			 worker->id, used, capacity);
+		violate (runner, "%s is started on %s, where %d of %d accelerators are in use",
+			 task->data, worker->id, used, capacity);
 }
 
 static void
@@ -309,7 +309,7 @@
 		return;
 	history->n_starts_after_crashes++;
 	if (history->n_starts_after_crashes >= STARTS_AFTER_CRASHES_MAX)
-		violate (worker->runner, "%s was started on %s, %d times since it has crashed %d",
+		violate (worker->runner, "%s was started on %s, start %d after %d worker crashes",
 			 task->data, worker->id, history->n_starts_after_crashes, CRASHES_MAX);
 }
 
@@ -319,12 +319,12 @@
 	struct dff_memory_runner *runner = worker->runner;
 	struct history *history = memory_runner_history (runner, task);
 	if (history->completed)
-		violate (runner, "%s run %d starts on %s after its end was acknowledged",
+		violate (runner, "%s run %d starts on %s after its completion was acknowledged",
 			 task->data, number, worker->id);
 	for (guint i = 0; i < runner->workers->len; i++) {
 		const struct worker *other = g_ptr_array_index (runner->workers, i);
 		if (!other->dead && g_hash_table_contains (other->runs, task))
-			violate (runner, "%s run %d starts on %s beside another run on %s",
+			violate (runner, "%s run %d starts on %s while another run is active on %s",
 				 task->data, number, worker->id, other->id);
 	}
 	history->n_failures += history->n_failures_since_start;
@@ -381,7 +381,7 @@
 {
 	int64_t from_ms = worker->faults.no_starts_from_ms;
 	if (from_ms > 0 && memory_runner_now_ms (worker->runner) >= from_ms)
-		violate (worker->runner, "%s run %d starts on %s, where none is to since %" PRId64,
+		violate (worker->runner, "%s run %d starts on %s, forbidden since %" PRId64,
 			 order->task.data, order->run, worker->id, from_ms);
 }
 
@@ -411,7 +411,7 @@
 {
 	struct history *history = memory_runner_history (worker->runner, &end->task);
 	if (history->last_start_ms > end->at_ms)
-		violate (worker->runner, "%s run %d had ended on %s, and was started after",
+		violate (worker->runner, "%s run %d had completed on %s before the last start",
 			 end->task.data, end->run, worker->id);
 	history->completed = true;
 }
@@ -424,7 +424,7 @@
 		if (end.number > number)
 			return;
 		g_array_remove_index (worker->ends, 0);
-		/* Where the lease has lapsed since, the end was given up for lost in between. */
+		/* If the lease has expired since, the holder may have given the run up as lost. */
 		bool counts = worker->lease_expired_ms <= end.at_ms;
 		if (end.end == DFF_RUN_FAILED && counts)
 			record_failure (worker, &end);
--- a/standin/memory_workers.c
+++ b/standin/memory_workers.c
@@ -15,30 +15,30 @@
 	struct dff_memory_worker_faults faults;
 	struct dff_standin_worker_options options;
 	struct dff_standin_worker *worker;
-	/** Its clock in the last answer that came through. */
+	/** The worker's clock in the last answer that the caller received, ms; 0: none yet. */
 	int64_t last_clock_ms;
 };
 
-/** A call on its way; a short request when @request_done is set. */
+/** A call in transit or in progress; a short request when @request_done is set. */
 struct memory_call {
 	GList link;
 	struct dff_memory_workers *workers;
-	/** (nullable): nobody is at the address. */
+	/** (nullable): NULL: there is no worker at the address. */
 	struct memory_worker *target;
 	struct dff_worker_call call;
-	/** Copy of the payload, of the call or of the request. */
+	/** Copy of the payload of a start or of the body of a request. */
 	GString *payload;
 	struct dff_name request_id;
 	dff_worker_func done;
 	dff_request_func request_done;
 	void *user;
-	/** When it takes effect; INT64_MAX: never, or it has. */
+	/** Time at which the call takes effect, ms; INT64_MAX: never, or it already has. */
 	int64_t arrive_ms;
-	/** When it ends without an answer; INT64_MAX: it has ended. */
+	/** Time at which the call ends without an answer, ms; INT64_MAX: it has ended. */
 	int64_t deadline_ms;
 	bool unsent;
 	bool lose_answer;
-	/** The worker has it and will answer. */
+	/** The worker is executing the call and will answer. */
 	bool in_progress;
 };
 
@@ -249,7 +249,7 @@
 	call->done (call->user, &result);
 }
 
-/** Returns: whether the caller is still to be answered, now. */
+/** Ends the worker's part of a call. Returns: whether the caller is to be answered now. */
 static bool
 finish_call (struct memory_call *call)
 {
@@ -295,7 +295,7 @@
 	dff_standin_worker_request (worker, &call->request_id, payload, request_answered, call);
 }
 
-/** Does what is due for one call. Returns: true once it is over. */
+/** Handles what is due for one call. Returns: whether the call has ended for both sides. */
 static bool
 advance_call (struct memory_call *call, int64_t now_ms)
 {
@@ -306,8 +306,8 @@
 	return !call->in_progress && call->arrive_ms == INT64_MAX && call->deadline_ms == INT64_MAX;
 }
 
-/* Calls made by callbacks wait for the next tick: else a caller that tries again at once would
- * never let the tick end. */
+/* Calls made by callbacks wait for the next tick: a caller that retries immediately would otherwise
+ * keep the tick from ending. */
 void
 dff_memory_workers_tick (struct dff_memory_workers *workers)
 {
--- a/standin/platform_faults.h
+++ b/standin/platform_faults.h
@@ -6,15 +6,15 @@
 
 #include "backing/memory.h"
 
-/* Faults and counters of the stand-in platform as JSON. */
+/* JSON form of the stand-in platform's faults and counters. */
 
 /**
  * dff_platform_faults_from_json:
- * @now_ms: monotonic time that "outage_ms" and "silent_ms" count from
- * @faults: (out): every fault that is not named is lifted
+ * @now_ms: monotonic time from which "outage_ms" and "silent_ms" are counted
+ * @faults: (out): the faults in @root; all others are cleared
  *
- * Returns: false when @root is no object, or holds an unknown key or a value out of range. The key
- * "instance" is the server's and is passed over.
+ * Returns: false when @root is not an object, or holds an unknown key or a value out of range. The
+ * key "instance" is skipped: the server reads it.
  */
 bool dff_platform_faults_from_json (const json_t *root,
 				    int64_t now_ms,
--- a/standin/platform_handlers.c
+++ b/standin/platform_handlers.c
@@ -16,7 +16,7 @@
 #define ETAG_DIGITS 16
 #define INSTANCES_PATH "/v1/instances/"
 
-/** A request whose answer is on its way. */
+/** A request that has not been answered yet. */
 struct call {
 	struct dff_platform_server *server;
 	struct evhttp_request *request;
@@ -47,7 +47,7 @@
 	reply_json (request, status, json_pack ("{s:s}", "error", detail));
 }
 
-/* Ends the connection without a byte of answer, so that the caller cannot know. */
+/* Closes the connection without an answer: the caller cannot know if the call took effect. */
 static void
 drop_connection (struct evhttp_request *request)
 {
@@ -56,7 +56,7 @@
 		struct bufferevent *bev = evhttp_connection_get_bufferevent (connection);
 		shutdown (bufferevent_getfd (bev), SHUT_RDWR);
 	}
-	/* evhttp finds the socket shut and frees connection and request. */
+	/* evhttp finds the socket shut down, and frees the connection and the request. */
 	evhttp_send_reply (request, HTTP_SERVUNAVAIL, NULL, NULL);
 }
 
@@ -200,7 +200,7 @@
 	objects->get (objects->ctx, context->rest, answer_object, begin_call (context));
 }
 
-/* Sends @list, or nothing but its entity tag to a caller that knows it. */
+/* Sends @list, or 304 Not Modified when the caller already has it (If-None-Match). */
 static void
 reply_list (struct evhttp_request *request, json_t *list)
 {
@@ -295,7 +295,7 @@
 		dff_platform_server_handle (server, &instance)->faults = faults;
 	else
 		dff_platform_server_set_faults (server, &faults);
-	dff_log (DFF_LOG_STANDIN, DFF_LOG_INFO, "Faults set.");
+	dff_log (DFF_LOG_STANDIN, DFF_LOG_INFO, "Injected faults changed.");
 	reply_json (context->request, 200, json_object ());
 }
 
--- a/standin/platform_handlers.h
+++ b/standin/platform_handlers.h
@@ -8,55 +8,56 @@
 #include "backing/memory.h"
 #include "standin/platform_server.h"
 
-/* The requests that the stand-in platform answers. */
+/* Request handlers of the stand-in platform. */
 
 struct dff_platform_server {
 	const struct dff_clock *clock;
 	struct evhttp *http;
 	struct dff_name address;
 	struct dff_memory *memory;
-	/** struct dff_name to struct dff_memory_handle. */
+	/** Maps a struct dff_name, the caller's instance, to its struct dff_memory_handle. */
 	GHashTable *handles;
+	/** For callers without a handle of their own. */
 	struct dff_memory_handle *shared_handle;
-	/** For handles that are opened later. */
+	/** Faults of handles that are opened later. */
 	struct dff_memory_faults faults;
-	/** Requests whose answer is on its way, a set. */
+	/** Set of struct call: requests that have not been answered yet. */
 	GHashTable *calls;
 	struct event *timer;
 };
 
-/** What a handler gets. */
+/** Arguments of a request handler. */
 struct dff_platform_context {
 	struct dff_platform_server *server;
 	struct dff_memory_handle *caller;
 	struct evhttp_request *request;
-	/** (nullable): the body when it is JSON. */
+	/** (nullable): the body parsed as JSON; NULL: not JSON. */
 	json_t *root;
 	struct dff_str body;
-	/** The decoded rest of the path after the route's. */
+	/** The part of the path after the route's, decoded. */
 	struct dff_str rest;
 };
 
 struct dff_platform_route {
 	enum evhttp_cmd_type method;
 	const char *path;
-	/** The path goes on with an encoded key. */
+	/** Whether the path continues with an encoded key. */
 	bool has_rest;
 	void (*handle) (struct dff_platform_context *context);
 };
 
-/** Returns: (nullable): the route of a request. */
+/** Returns: (nullable): the route for a method and a path. */
 const struct dff_platform_route *dff_platform_route_find (enum evhttp_cmd_type method,
 							  const char *path);
 
 /** Answers with an error as JSON. */
 void dff_platform_reply_error (struct evhttp_request *request, int status, const char *detail);
 
-/** Returns: the handle of @instance, which is opened when it is new. */
+/** Returns: the handle of @instance, opened on first use, or the shared handle. */
 struct dff_memory_handle *dff_platform_server_handle (struct dff_platform_server *server,
 						      const struct dff_name *instance);
 
-/** Sets the faults of every handle, and of those opened later. */
+/** Sets the faults of all handles, including those that are opened later. */
 void dff_platform_server_set_faults (struct dff_platform_server *server,
 				     const struct dff_memory_faults *faults);
 
--- a/standin/platform_main.c
+++ b/standin/platform_main.c
@@ -116,7 +116,7 @@
 	int status = parse_arguments (argc, argv, &server_options);
 	if (status >= 0)
 		return status;
-	/* A caller that closes its connection must not end the process. */
+	/* A write to a connection that the caller has closed must not end the process. */
 	signal (SIGPIPE, SIG_IGN);
 	dff_log_init (DFF_LOG_INFO);
 	server_options.base = event_base_new ();
--- a/standin/platform_server.c
+++ b/standin/platform_server.c
@@ -15,7 +15,7 @@
 #define MAX_SCAN_BYTES (1 << 20)
 #define MAX_WRITE_IDS 200000
 #define MAX_OBJECT_BYTES (256UL << 20)
-/** Callers with faults of their own; further ones share a handle. */
+/** Maximum number of callers with faults of their own; further callers share one handle. */
 #define MAX_HANDLES 256
 
 static int64_t
@@ -51,7 +51,7 @@
 		((struct dff_memory_handle *)caller)->faults = *faults;
 }
 
-/* Runs what is due, and wakes up when more will be. */
+/* Runs what is due, and sets the timer for the next due time. */
 static void
 advance (struct dff_platform_server *server)
 {
--- a/standin/platform_server.h
+++ b/standin/platform_server.h
@@ -9,17 +9,18 @@
 #include "common/clock.h"
 #include "common/str.h"
 
-/* The stand-in platform: the in-memory table, object store and instance list over HTTP and JSON, as
- * docs/BACKING.md describes it, with faults injected by POST /admin/faults. */
+/* The stand-in platform: serves the in-memory table, object store and instance list over HTTP and
+ * JSON (docs/BACKING.md). POST /admin/faults injects faults. */
 
 struct dff_platform_server;
 
 struct dff_platform_server_options {
 	struct event_base *base;
 	const struct dff_clock *clock;
-	/** "IP:PORT"; port 0: any. */
+	/** "IP:PORT"; port 0: any free port. */
 	struct dff_name listen;
 	uint64_t seed;
+	/** Delay until a change shows in the instance list, ms. */
 	int32_t instance_lag_ms;
 };
 
@@ -31,7 +32,7 @@
 
 DFF_DEFINE_CLEANUP (dff_platform_server, dff_platform_server_free);
 
-/** Returns: the "IP:PORT" that it listens on. */
+/** Returns: the address that the server listens on, "IP:PORT". */
 struct dff_name dff_platform_server_address (const struct dff_platform_server *server);
 
 #endif
--- a/standin/run_log.c
+++ b/standin/run_log.c
@@ -35,15 +35,14 @@
 	g_free (log);
 }
 
-/* One write for each line: lines of several workers do not mix, and a worker that dies at once
- * leaves what it has begun. */
+/* Each line is a single write: lines of several workers do not mix, and a worker that dies right
+ * afterwards has logged what it started. */
 static void
 append (const struct dff_run_log *log, const char *line)
 {
 	size_t length = strlen (line);
 	if (write (log->fd, line, length) != (ssize_t)length)
-		dff_log (DFF_LOG_STANDIN, DFF_LOG_ERROR, "Run log cannot be written. line=%s",
-			 line);
+		dff_log (DFF_LOG_STANDIN, DFF_LOG_ERROR, "Cannot write the run log. line=%s", line);
 }
 
 static const char *
--- a/standin/virtual_loop.c
+++ b/standin/virtual_loop.c
@@ -3,7 +3,7 @@
 struct dff_virtual_loop {
 	struct dff_clock_virtual clock;
 	struct dff_timers timers;
-	/** Elements: struct entry, ordered by time and arrival. */
+	/** Elements: struct entry, ordered by due time, then by @arrival. */
 	GSequence *entries;
 	uint64_t arrivals;
 };
@@ -13,7 +13,7 @@
 	uint64_t arrival;
 	dff_timer_func func;
 	void *user;
-	/** (nullable): the timer that it belongs to. */
+	/** (nullable): the timer of the entry; NULL: a scheduled callback. */
 	struct virtual_timer *timer;
 };
 
@@ -22,7 +22,7 @@
 	struct dff_virtual_loop *loop;
 	dff_timer_func func;
 	void *user;
-	/** (nullable): its entry while it runs. */
+	/** (nullable): the timer's entry; NULL: the timer is stopped. */
 	GSequenceIter *position;
 };
 
--- a/standin/worker.c
+++ b/standin/worker.c
@@ -18,7 +18,7 @@
 	struct dff_worker_objects *objects;
 	/** Elements: struct request, in order of due time. */
 	GQueue requests;
-	/** Elements: struct waiter: renewals whose answers wait for something to report. */
+	/** Elements: struct waiter. */
 	GQueue waiters;
 	void (*changed) (void *ctx);
 	void *changed_ctx;
@@ -26,6 +26,7 @@
 	GArray *reports;
 };
 
+/** A renewal that is answered once there is something to report, or at @until_ms. */
 struct waiter {
 	GList link;
 	struct dff_worker_renewal renewal;
@@ -34,7 +35,7 @@
 	void *user;
 };
 
-/** A short request being worked on. */
+/** A short request in progress. */
 struct request {
 	int64_t due_ms;
 	int64_t answer_bytes;
@@ -229,7 +230,7 @@
 	       dff_worker_tasks_sequence (worker->tasks) != renewal->after_sequence;
 }
 
-/* The leases are renewed at once; the answer's time is that of the answer. */
+/* Leases are renewed immediately, also when the answer waits; its clock is that of answering. */
 static void
 handle_renewal (struct dff_standin_worker *worker,
 		const struct dff_worker_renewal *renewal,
@@ -308,7 +309,7 @@
 	done (user, &result);
 }
 
-/** The answer: the request's id and filler, so that an answer given to the wrong caller shows. */
+/** Answers with the request's id and filler, so that an answer to the wrong caller is detected. */
 static void
 finish_request (struct dff_standin_worker *worker, const struct request *request)
 {
@@ -335,7 +336,7 @@
 static void
 begin_request (struct dff_standin_worker *worker, const struct request *request)
 {
-	dff_log (DFF_LOG_STANDIN, DFF_LOG_DEBUG, "Request runs. id=%s", request->id.data);
+	dff_log (DFF_LOG_STANDIN, DFF_LOG_DEBUG, "Request started. id=%s", request->id.data);
 	if (request->due_ms <= dff_clock_now_ms (worker->options.clock)) {
 		finish_request (worker, request);
 		return;
--- a/standin/worker_commands.c
+++ b/standin/worker_commands.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/** Fills in the report of @id, also when the task was never seen. */
+/** Fills in the report of @id; an unknown task is reported as DFF_TASK_UNKNOWN. */
 static void
 report_task (const struct dff_worker_tasks *tasks,
 	     const struct dff_task_id *id,
@@ -17,8 +17,8 @@
 }
 
 /**
- * A held task whose lease has lapsed must not run when its release arrives before the tick that
- * would stop it: what is due comes first. Returns: whether a command of @epoch may be carried out.
+ * Ticks before the command: a held task whose lease has expired must not run when its release
+ * arrives before the tick that ends the task. Returns: whether a command of @epoch is allowed.
  */
 static bool
 begin_command (struct dff_worker_tasks *tasks, int64_t epoch)
--- a/standin/worker_main.c
+++ b/standin/worker_main.c
@@ -1,4 +1,4 @@
-/* dragonflyfold-standin-worker: a worker for demos and tests, as docs/BACKING.md describes it. */
+/* dragonflyfold-standin-worker: a worker for demos and tests (docs/BACKING.md). */
 
 #include <event2/event.h>
 #include <getopt.h>
@@ -15,7 +15,7 @@
 
 #define ANNOUNCE_INTERVAL_MS 1000
 #define ANNOUNCE_TTL_MS 5000
-/** How often a leaving worker looks whether it has finished, ms. */
+/** Interval at which a leaving worker checks whether it is idle, ms. */
 #define LEAVE_CHECK_MS 20
 #define MAX_AMOUNT 1000000
 #define USEC_PER_MS 1000
@@ -28,7 +28,7 @@
 	struct dff_resources capacity;
 	bool check_epochs;
 	int64_t leave_after_ms;
-	/** (nullable) */
+	/** (nullable): path of the run log; NULL: none. */
 	const char *run_log;
 };
 
@@ -79,7 +79,7 @@
 	event_base_loopbreak (process->base);
 }
 
-/** Says so first, then refuses new work, then ends once what runs has ended. */
+/** Announces that the worker leaves, then refuses new work; the process exits once idle. */
 static void
 leave (evutil_socket_t fd, short events, void *user)
 {
--- a/standin/worker_objects.c
+++ b/standin/worker_objects.c
@@ -16,26 +16,26 @@
 	GQueue jobs;
 };
 
-/** The writing of a result, or the search for a checkpoint: one object after the other. */
+/** The writing of a result or the search for a checkpoint, one object at a time. */
 struct object_job {
 	GList link;
 	struct dff_worker_objects *objects;
 	struct dff_task_id task;
-	/** The next object. */
+	/** Writes or reads the next object. */
 	void (*step) (struct object_job *job);
-	/** INT64_MAX: a call is in progress. */
+	/** Time of the next retry, ms; INT64_MAX: a call is in progress. */
 	int64_t retry_at_ms;
 	GString *key;
 
-	/** Result: */
+	/** Only for a result: */
 	int64_t length;
 	int64_t offset;
 	int64_t chunk_bytes;
 	GString *manifest;
 	crypto_hash_sha256_state digest;
 
-	/** Search: the attempt and the number looked at, and the work kept by the last one found.
-	 */
+	/** Only for a search: the attempt and number of the checkpoint being read, and the work
+	 * saved by the last one found. */
 	int32_t attempt;
 	int32_t number;
 	int64_t done_ms;
@@ -80,7 +80,7 @@
 				task->member);
 }
 
-/** Digest of the bytes written so far, which go on being added to. */
+/** Computes the digest of the bytes written so far; more may follow. */
 static void
 digest_hex (const struct object_job *job, char out[DFF_DIGEST_HEX_LEN + 1])
 {
@@ -90,7 +90,8 @@
 	sodium_bin2hex (out, DFF_DIGEST_HEX_LEN + 1, digest, sizeof (digest));
 }
 
-/** The bytes of a result: the task's name, over and over, so that a wrong chunk shows. */
+/** Fills the next chunk of a result: the task's name repeated, so that a wrong chunk is detected.
+ */
 static void
 fill_chunk (const struct object_job *job, GString *chunk)
 {
--- a/standin/worker_payload.c
+++ b/standin/worker_payload.c
@@ -3,7 +3,7 @@
 #include <jansson.h>
 #include <string.h>
 
-/** Longest run and largest result, so that sums stay in range. */
+/** Longest run and largest result: sums of these do not overflow. */
 #define MAX_RUN_MS (INT64_C (1) << 40)
 #define MAX_BYTES (INT64_C (64) << 20)
 
--- a/standin/worker_server.c
+++ b/standin/worker_server.c
@@ -12,7 +12,7 @@
 #define ADMIN_PATH "/admin/faults"
 #define REQUESTS_SUFFIX "/requests"
 #define MAX_BODY_BYTES (4 << 20)
-/** Longest time between ticks: the object store may have come back. */
+/** Longest time between ticks, ms: calls to an unavailable store are retried in ticks. */
 #define MAX_TICK_MS 100
 #define IDLE_TIMEOUT_S 60
 
@@ -22,21 +22,21 @@
 	struct evhttp *http;
 	struct event *tick;
 	struct dff_worker_faults faults;
-	/** struct evhttp_connection to whether it is silent. */
+	/** Maps a struct evhttp_connection to whether it is silent. */
 	GHashTable *connections;
-	/** Elements: struct exchange, waiting for their answers. */
+	/** Elements: struct exchange, not answered yet. */
 	GQueue exchanges;
 	/** Reused. */
 	GString *payload;
 };
 
-/** A call from its arrival to its answer. */
+/** An HTTP request that has not been answered yet. */
 struct exchange {
 	GList link;
 	struct dff_worker_server *server;
 	struct evhttp_request *request;
 	bool lose_answer;
-	/** (nullable): answers late. */
+	/** (nullable): timer of a delayed answer. */
 	struct event *late;
 	int status;
 	bool leaving;
@@ -69,7 +69,7 @@
 	g_free (exchange);
 }
 
-/* evhttp keeps a request whose connection has gone until it is answered. */
+/* evhttp keeps a request whose connection was closed until it is answered. */
 static void
 send_answer (struct exchange *exchange)
 {
@@ -119,7 +119,7 @@
 	evtimer_add (server->tick, &wait);
 }
 
-/* Not in the callback itself: the task that changed is still being worked on. */
+/* Defers the tick: the callback runs while the changed task is still being modified. */
 static void
 tick_soon (void *ctx)
 {
@@ -285,7 +285,7 @@
 	g_hash_table_remove (server->connections, connection);
 }
 
-/** Returns: whether the request's connection has been told to go silent. */
+/** Returns: whether the request's connection, or the whole server, is silent. */
 static bool
 is_silenced (struct dff_worker_server *server, struct evhttp_request *request)
 {
@@ -307,7 +307,7 @@
 		serve_admin (server, request);
 		return;
 	}
-	/* Left without an answer: the connection stays open and silent. */
+	/* Without an answer the connection stays open and silent. */
 	if (is_silenced (server, request))
 		return;
 	const struct route *route = find_route (request);
--- a/standin/worker_tasks.c
+++ b/standin/worker_tasks.c
@@ -4,7 +4,7 @@
 
 #include "common/log.h"
 
-/** How long ended tasks and tombstones are kept, ms. */
+/** Retention time of ended tasks and tombstones, ms. */
 #define RETENTION_MS (INT64_C (60) * 60 * 1000)
 
 static guint
@@ -97,7 +97,7 @@
 	tasks->accelerators_used ^= task->accelerators;
 }
 
-/** Ends an active task, or turns a new one into a tombstone. */
+/** Moves an active task to a final state, or a new one to a tombstone's. */
 static void
 end_task (struct dff_worker_tasks *tasks, struct dff_task *task, enum dff_task_state state)
 {
@@ -110,7 +110,7 @@
 	dff_worker_tasks_changed (tasks, task);
 }
 
-/** A task that has not run leaves a tombstone. */
+/** A task that has not run becomes a tombstone. */
 void
 dff_worker_tasks_end (struct dff_worker_tasks *tasks, struct dff_task *task)
 {
@@ -124,7 +124,7 @@
 	task->report.ran = true;
 	task->progress_until_ms = now_ms (tasks);
 	dff_worker_tasks_changed (tasks, task);
-	dff_log (DFF_LOG_STANDIN, DFF_LOG_INFO, "Task runs. job=%s attempt=%d member=%d",
+	dff_log (DFF_LOG_STANDIN, DFF_LOG_INFO, "Task started. job=%s attempt=%d member=%d",
 		 task->report.task.job.data, task->report.task.attempt, task->report.task.member);
 	const struct dff_worker_tasks_callbacks *callbacks = &tasks->options.callbacks;
 	if (callbacks->ran != NULL)
@@ -163,13 +163,13 @@
 	return work_is_done (task) || now >= task->lease_until_ms;
 }
 
-/* Work that was done before the lease lapsed counts, even when the tick comes late. */
+/* Work that was done before the lease expired counts, even when the tick comes late. */
 static void
 end_due_task (struct dff_worker_tasks *tasks, struct dff_task *task)
 {
 	if (!work_is_done (task)) {
 		dff_log (DFF_LOG_STANDIN, DFF_LOG_WARNING,
-			 "Task lease lapsed. job=%s attempt=%d member=%d",
+			 "Task lease expired. job=%s attempt=%d member=%d",
 			 task->report.task.job.data, task->report.task.attempt,
 			 task->report.task.member);
 		dff_worker_tasks_end (tasks, task);
@@ -211,7 +211,7 @@
 dff_worker_tasks_tick (struct dff_worker_tasks *tasks)
 {
 	int64_t now = now_ms (tasks);
-	/* A callback may end the task and change the array: begin again after each. */
+	/* A callback may end the task and change the array, so iteration restarts after each. */
 	for (struct dff_task *task = first_due (tasks, now); task != NULL;
 	     task = first_due (tasks, now))
 		end_due_task (tasks, task);
@@ -263,11 +263,11 @@
 			const struct dff_worker_renewal *renewal,
 			GArray *reports)
 {
-	/* What has lapsed stays lapsed: the holder may have counted on it. */
+	/* A task whose lease has expired is ended first: the holder may rely on its end. */
 	dff_worker_tasks_tick (tasks);
-	/* Counted from now, a renewal whose answer is lost, or that was delayed, would keep tasks
-	 * alive past the time after which their holder takes them for lost. A time to come is from
-	 * another machine's clock. */
+	/* The lease counts from from_ms, not from now: a renewal that was delayed, or whose answer
+	 * is lost, must not keep tasks running after the time at which the holder assumes them
+	 * lost. A from_ms in the future is from another machine's clock and extends nothing. */
 	int64_t until_ms = renewal->from_ms + renewal->lease_ms;
 	if (renewal->from_ms > now_ms (tasks))
 		until_ms = 0;
