--- a/client/apply.c
+++ b/client/apply.c
@@ -21,9 +21,9 @@
 	{NULL, 0, NULL, 0},
 };
 
-static const char bootstrap_ended[] =
-	"dragonflyfold: the bootstrap token ends with the first pool; to wait, apply again with an "
-	"operator's token\n";
+static const char bootstrap_ended[] = "dragonflyfold: the bootstrap token expires with the first "
+				      "pool; to wait, apply again with an "
+				      "operator's token\n";
 
 static bool
 parse_generation (const char *text, int64_t *generation)
@@ -41,8 +41,8 @@
 put_pool (struct dff_api_client *client, struct dff_str file, int64_t base, int64_t *generation)
 {
 	g_autofree char *if_match = g_strdup_printf ("\"%" G_GINT64_FORMAT "\"", base);
-	/* The same file on the same base is the same application, so that it may be sent again when
-	 * its answer was lost. */
+	/* Applying the same file to the same base twice has one effect, so the request may be
+	 * repeated when its answer is lost. */
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_PUT,
 		.path = "/v1/pool",
@@ -60,7 +60,7 @@
 	return DFF_EXIT_OK;
 }
 
-/* Asks every server once. Returns: the last answer that was no success; NULL: none. */
+/* Queries every server once. Returns: (nullable): the last answer without success. */
 static struct dff_call_response *
 query_all_servers (struct dff_api_client *client, struct dff_pool_progress *progress)
 {
@@ -77,7 +77,8 @@
 			dff_call_response_free (response);
 			continue;
 		}
-		/* One that cannot be reached is not live; the others' answers tell if it is. */
+		/* An unreachable server is not counted; if it is live, another server reports it.
+		 */
 		if (response->status != 0)
 			dff_pool_progress_add_refusal (progress);
 		dff_call_response_free (failure);
@@ -103,7 +104,7 @@
 		}
 		dff_api_client_sleep (client, POLL_MS);
 	} while (dff_api_client_remaining_ms (client) > 0);
-	fputs ("dragonflyfold: not in force on every live process in time\n", stderr);
+	fputs ("dragonflyfold: not in force on every live process before the timeout\n", stderr);
 	return DFF_EXIT_PENDING;
 }
 
--- a/client/batch.c
+++ b/client/batch.c
@@ -94,7 +94,7 @@
 	bool valid = dff_batch_counts_parse (answer, &counts);
 	json_decref (answer);
 	if (!valid) {
-		fputs ("dragonflyfold: the answer is no batch\n", stderr);
+		fputs ("dragonflyfold: the answer is not a valid batch\n", stderr);
 		return DFF_EXIT_FAILED;
 	}
 	show_progress (&counts);
@@ -113,7 +113,7 @@
 			return exit_code;
 		dff_api_client_sleep (client, POLL_MS);
 	} while (dff_api_client_remaining_ms (client) > 0);
-	fprintf (stderr, "dragonflyfold: batch %s has not ended in time\n", batch->data);
+	fprintf (stderr, "dragonflyfold: batch %s has not ended before the timeout\n", batch->data);
 	return DFF_EXIT_PENDING;
 }
 
--- a/client/call.c
+++ b/client/call.c
@@ -28,7 +28,7 @@
 	int64_t deadline_ms;
 };
 
-/* One exchange in progress. */
+/* A request that waits for its answer. */
 struct exchange {
 	struct event_base *base;
 	struct dff_call_response *response;
@@ -205,15 +205,15 @@
 	return exchange.outcome;
 }
 
-/* Whether the answer asks to come back. With 429 and 503 nothing was done; with 504 it is not
- * known, and the same call again finds out. */
+/* Returns: whether the server asks for a retry. After 429 and 503 the request had no effect. After
+ * 504 its effect is not known, and the same request finds out. */
 static bool
 asks_to_retry (const struct dff_call_response *response)
 {
 	return response->status == 429 || response->status == 503 || response->status == 504;
 }
 
-/* Whether another server, or the same one later, may be asked. */
+/* Returns: whether the request may be sent again, to another server or later to the same one. */
 static bool
 may_retry (const struct dff_call_request *request,
 	   const struct dff_call_response *response,
@@ -226,7 +226,7 @@
 	return asks_to_retry (response) && request->idempotent;
 }
 
-/* Whether it is proven that a call with "Attempt: 1" left nothing on record. */
+/* Returns: whether a request with the header "Attempt: 1" is certain to have had no effect. */
 static bool
 had_no_effect (const struct dff_call_response *response, enum dff_http_outcome outcome)
 {
--- a/client/cancel.c
+++ b/client/cancel.c
@@ -3,11 +3,10 @@
 #include "client/call.h"
 #include "client/command.h"
 
-static const char usage[] =
-	"Usage: dragonflyfold cancel ID | --batch ID | --team TEAM\n"
-	"Puts a cancellation on record for a job, a batch, or every job of a team.\n"
-	"  -B, --batch ID   every job of the batch\n"
-	"  -T, --team TEAM  every job of the team\n" DFF_CONNECTION_USAGE;
+static const char usage[] = "Usage: dragonflyfold cancel ID | --batch ID | --team TEAM\n"
+			    "Requests the cancellation of a job, a batch, or every job of a team.\n"
+			    "  -B, --batch ID   every job of the batch\n"
+			    "  -T, --team TEAM  every job of the team\n" DFF_CONNECTION_USAGE;
 
 static const struct option options[] = {
 	{"batch", required_argument, NULL, 'B'},
@@ -31,7 +30,7 @@
 	if (json_is_integer (count))
 		printf ("cancelling %" JSON_INTEGER_FORMAT "\n", json_integer_value (count));
 	else if (response->status == 200)
-		printf ("had ended: %s\n", outcome != NULL ? outcome : "outcome not told");
+		printf ("had ended: %s\n", outcome != NULL ? outcome : "outcome not reported");
 	else
 		puts ("cancelling");
 	json_decref (answer);
--- a/client/columns.c
+++ b/client/columns.c
@@ -95,7 +95,7 @@
 	return cell_text (value);
 }
 
-/* Members of members get a name with a dot, to @depth levels. */
+/* Collects members as fields. Nested members, down to @depth levels, get names with dots. */
 static void
 collect_fields (const json_t *object, const char *prefix, int depth, GArray *fields)
 {
--- a/client/connection.c
+++ b/client/connection.c
@@ -130,7 +130,7 @@
 	case DFF_OPTION_TLS_CA:
 		return dff_connection_set_tls (connection, optarg);
 	default:
-		/* getopt_long() has said what is wrong. */
+		/* getopt_long() has printed the error. */
 		return false;
 	}
 }
--- a/client/diff.c
+++ b/client/diff.c
@@ -34,7 +34,7 @@
 	struct dff_call_request request = {
 		.method = EVHTTP_REQ_GET, .path = "/v1/pool", .idempotent = true};
 	DFF_AUTO (dff_call_response) response = dff_call (client, &request);
-	/* Before the first apply there is no pool to compare with. */
+	/* Before the first apply there is no pool: the file is compared with nothing. */
 	if (response->status != 404 && !dff_call_response_is_success (response))
 		return dff_call_response_fail (response);
 	json_t *before = response->status == 404 ? NULL : dff_call_response_json (response);
--- a/client/drain.c
+++ b/client/drain.c
@@ -4,8 +4,8 @@
 #include "client/command.h"
 
 static const char usage[] = "Usage: dragonflyfold drain --server IP:PORT\n"
-			    "Asks one process to stop gracefully: unready, no new work, what is in "
-			    "flight to its end.\n" DFF_CONNECTION_USAGE;
+			    "Asks one process to stop gracefully: it becomes unready, takes no new "
+			    "work and finishes\nwhat is in flight.\n" DFF_CONNECTION_USAGE;
 
 static const struct option options[] = {
 	DFF_CONNECTION_OPTIONS,
@@ -27,7 +27,7 @@
 		return dff_usage_fail ("drain", "expected no argument");
 	if (!dff_connection_complete (connection))
 		return DFF_EXIT_USAGE;
-	/* With several servers an answer that was lost would drain a second process. */
+	/* With several servers, the retry of a lost answer would drain a second process. */
 	if (connection->servers->len != 1)
 		return dff_usage_fail ("drain", "expected exactly one --server");
 	DFF_AUTO (dff_api_client) client = dff_api_client_new (connection);
--- a/client/job_options.c
+++ b/client/job_options.c
@@ -88,7 +88,7 @@
 	return strcmp (text, "rack") == 0 ? json_string ("rack") : NULL;
 }
 
-/* JSON text, or "@FILE" that holds it. */
+/* Parses JSON text, or the file after "@". */
 static json_t *
 parse_payload (const char *text)
 {
--- a/client/main.c
+++ b/client/main.c
@@ -11,7 +11,7 @@
 	fputs ("Usage: dragonflyfold COMMAND [OPTION...]\n\nCommands:\n", stream);
 	for (size_t i = 0; i < n_commands; i++)
 		fprintf (stream, "  %-8s %s\n", commands[i].name, commands[i].summary);
-	fputs ("\ndragonflyfold COMMAND --help tells a command's options.\n"
+	fputs ("\ndragonflyfold COMMAND --help prints a command's options.\n"
 	       "Exit codes: 0 ok, 1 failed, 2 usage, 3 refused, 4 unavailable, 5 not completed,\n"
 	       "6 pending, 7 different.\n",
 	       stream);
--- a/client/pool_diff.c
+++ b/client/pool_diff.c
@@ -4,7 +4,7 @@
 
 #define DUMP_FLAGS (JSON_COMPACT | JSON_ENCODE_ANY | JSON_SORT_KEYS)
 
-/* Sections of entries that a name tells apart, and what one entry is called. */
+/* A section of the pool file, whose entries are identified by name, and the word for an entry. */
 struct section {
 	const char *key;
 	const char *entry;
@@ -73,7 +73,7 @@
 	return differs;
 }
 
-/* Entries of @left that @right lacks. */
+/* Appends the entries of @left that are not in @right. Returns: whether there are any. */
 static bool
 list_missing (const struct section *section,
 	      char sign,
@@ -119,7 +119,7 @@
 	return differs;
 }
 
-/* Neighbours stand next to each other in the file, so that the order of racks means something. */
+/* The order of racks is significant: racks next to each other in the file are neighbours. */
 static bool
 diff_rack_order (const json_t *before, const json_t *after, GString *out)
 {
--- a/client/pool_progress.c
+++ b/client/pool_progress.c
@@ -4,7 +4,7 @@
 
 struct dff_pool_progress {
 	int64_t generation;
-	/* Name of a live process to whether it has the generation, as GINT_TO_POINTER(). */
+	/* Maps the name of a live process to whether it has the generation (GINT_TO_POINTER()). */
 	GHashTable *processes;
 	guint n_refusals;
 };
@@ -27,7 +27,7 @@
 	g_free (progress);
 }
 
-/* A generation never goes back, so that whoever says that a process has it is right. */
+/* Generations never decrease, so a report that a process has the generation remains valid. */
 static void
 record_process (struct dff_pool_progress *progress, const json_t *process)
 {
--- a/client/span_tree.c
+++ b/client/span_tree.c
@@ -7,7 +7,7 @@
 
 #define INDENT 2
 #define NAME_WIDTH 24
-/* Bounds the recursion on spans that name each other as parents in a long chain. */
+/* Limits the recursion on long chains of parents. */
 #define MAX_DEPTH 64
 
 struct span {
@@ -118,7 +118,7 @@
 	return strcmp (left->id, right->id);
 }
 
-/* Returns: (nullable): id of the trace asked for, or of the first that has the subject. */
+/* Returns: (nullable): id of the wanted trace, or of the first one with the wanted subject. */
 static const char *
 find_trace (const struct dff_span_tree *tree)
 {
@@ -185,7 +185,7 @@
 		if (!has_parent (spans, span))
 			n_printed += print_span (spans, span, origin_ms, 0, out);
 	}
-	/* Spans that name each other as parents have no root. */
+	/* Spans that are each other's parents have no root and are printed here. */
 	for (guint i = 0; i < spans->len; i++)
 		n_printed += print_span (spans, g_ptr_array_index (spans, i), origin_ms, 0, out);
 	return n_printed;
--- a/client/status.c
+++ b/client/status.c
@@ -8,9 +8,9 @@
 static const char usage[] =
 	"Usage: dragonflyfold status [jobs [ID] | batches ID | teams | racks | capacity |\n"
 	"                            instances]\n"
-	"Shows how things stand. Jobs, teams, racks and capacity come from the process that holds "
-	"the\n"
-	"region's cell; give every --server, and the one that holds it is asked.\n"
+	"Shows the state of the system. Jobs, teams, racks and capacity come from the process "
+	"that\n"
+	"holds the region's cell: give every --server, and the holder is found among them.\n"
 	"  -j, --json  print the answer as JSON\n" DFF_CONNECTION_USAGE;
 
 static const char expected[] =
@@ -22,10 +22,10 @@
 	{NULL, 0, NULL, 0},
 };
 
-/* What can be shown: a member of the answer's cell, of the answer, or an answer of its own. */
+/* A topic: a member of the status, a member of its cell, or a resource with an ID. */
 struct topic {
 	const char *name;
-	/* Prefix of the path that an ID is added to; NULL: takes none. */
+	/* (nullable): path that the ID is appended to; NULL: the topic takes no ID. */
 	const char *path_with_id;
 	bool in_cell;
 };
@@ -66,7 +66,7 @@
 	return json_is_true (json_object_get (json_object_get (status, "cell"), "holder"));
 }
 
-/* Asks each server for its status until one holds the cell; the last answer else. */
+/* Queries the servers for their status until one is the holder. Returns: the last answer. */
 static struct dff_call_response *
 call_status (struct dff_api_client *client, bool of_holder, json_t **status)
 {
@@ -112,7 +112,7 @@
 {
 	struct dff_name name;
 	if (!dff_name_parse (dff_str_from (id), &name)) {
-		fprintf (stderr, "dragonflyfold: '%s' is no id\n", id);
+		fprintf (stderr, "dragonflyfold: '%s' is not a valid id\n", id);
 		return DFF_EXIT_USAGE;
 	}
 	g_autofree char *path = g_strconcat (topic->path_with_id, name.data, NULL);
--- a/client/submit.c
+++ b/client/submit.c
@@ -8,7 +8,7 @@
 #include "client/job_options.h"
 #include "client/result.h"
 
-/* Room for the options below and the end mark. */
+/* Maximum number of the options below, including the end marker. */
 #define SUBMIT_OPTIONS_MAX 16
 
 static const char usage[] =
@@ -17,7 +17,7 @@
 	"Submits one job, or a batch in JSON lines (- is standard input), and prints its id.\n"
 	"  -f, --file FILE    the job as a JSON object; job options add to it\n"
 	"  -B, --batch FILE   one job a line\n"
-	"  -k, --key KEY      Idempotency-Key (default: a new one); the same key again is the\n"
+	"  -k, --key KEY      Idempotency-Key (default: a new one); repeating a key repeats the\n"
 	"                     same submission\n"
 	"  -w, --wait         wait for the end and fetch the whole results\n"
 	"  -o, --output PATH  where results go (default: standard output)\n" DFF_CONNECTION_USAGE
@@ -31,9 +31,9 @@
 
 G_STATIC_ASSERT (G_N_ELEMENTS (submit_options) < SUBMIT_OPTIONS_MAX);
 
-/* What the command line asks for. */
+/* Parsed command line. */
 struct submission {
-	/* Object built from the job options. */
+	/* JSON object with the values of the job options. */
 	json_t *job;
 	bool has_job_options;
 	const char *file;
@@ -43,7 +43,7 @@
 	bool wait;
 };
 
-/* Every submission has a key, so that it can be sent again when its answer was lost. */
+/* Every submission has a key, so that it can be repeated when its answer is lost. */
 static char *
 choose_key (const struct submission *submission)
 {
@@ -57,7 +57,7 @@
 	struct dff_str text = {json_string_value (value), json_string_length (value)};
 	if (dff_name_parse (text, name))
 		return true;
-	fputs ("dragonflyfold: the answer holds no id\n", stderr);
+	fputs ("dragonflyfold: the answer has no valid id\n", stderr);
 	return false;
 }
 
@@ -122,7 +122,7 @@
 	};
 	DFF_AUTO (dff_call_response) response = dff_call (client, &request);
 	if (!dff_call_response_is_success (response)) {
-		/* The same key finds out what became of a submission whose answer was lost. */
+		/* Submitting with the same key again shows whether the request took effect. */
 		if (response->uncertain)
 			fprintf (stderr, "dragonflyfold: submit again with --key %s\n", key);
 		return dff_call_response_fail (response);
@@ -146,7 +146,7 @@
 	return post (client, submission, body, count);
 }
 
-/* The file's members, with those of the command line over them. Returns: (nullable): the object. */
+/* Returns: (nullable): the job of the file, whose members the command line overrides. */
 static json_t *
 merge_job (const struct submission *submission)
 {
--- a/include/client/batch.h
+++ b/include/client/batch.h
@@ -3,10 +3,10 @@
 
 #include "client/call.h"
 
-/** Counts the lines of JSON lines that are not empty. */
+/** Returns: number of lines in JSON Lines text that are not blank. */
 size_t dff_batch_count_lines (struct dff_str lines);
 
-/** How many of a batch's jobs stand where. */
+/** Number of jobs of a batch in each state. */
 struct dff_batch_counts {
 	int64_t manifest;
 	int64_t accepted;
@@ -19,10 +19,10 @@
 	int64_t queued;
 };
 
-/** Reads the answer of GET /v1/batches/ID. Returns: false when it is none. */
+/** Parses the answer of GET /v1/batches/ID. Returns: false when it is invalid. */
 bool dff_batch_counts_parse (const json_t *answer, struct dff_batch_counts *counts);
 
-/** Whether every job of the manifest has ended. */
+/** Returns: whether every job of the manifest has ended. */
 bool dff_batch_counts_ended (const struct dff_batch_counts *counts);
 
 /**
@@ -30,16 +30,16 @@
  *
  * Waits until every job has ended, with progress on a terminal.
  *
- * Returns: DFF_EXIT_OK, DFF_EXIT_NOT_COMPLETED when one ended otherwise than completed,
- * DFF_EXIT_PENDING when time was over, or why it could not be asked.
+ * Returns: DFF_EXIT_OK when all completed, DFF_EXIT_NOT_COMPLETED when some ended otherwise,
+ * DFF_EXIT_PENDING on a timeout, or the exit code of a failed query.
  */
 int dff_batch_wait (struct dff_api_client *client, const struct dff_name *batch);
 
 /**
  * dff_batch_collect:
  * @jobs: array of job ids
- * @directory: (nullable): where each whole result goes to ID.result and the outcomes to
- *   outcomes.jsonl; NULL: JSON lines on standard output, results in base64
+ * @directory: (nullable): receives each whole result as ID.result and the outcomes as
+ *   outcomes.jsonl; NULL: JSON Lines on standard output, results in base64
  *
  * Returns: the exit code.
  */
--- a/include/client/call.h
+++ b/include/client/call.h
@@ -11,15 +11,15 @@
 #include "common/cleanup.h"
 #include "common/str.h"
 
-/* One call at a time to any of several servers: runs the event loop until the whole answer is
- * there. */
+/* Calls to any of several servers, one at a time. A call runs the event loop until the whole answer
+ * has arrived. */
 
 struct dff_api_client;
 
-/** Returns: (transfer full): a client over a copy of @connection's options. */
+/** Returns: (transfer full): a client with a copy of the options in @connection. */
 struct dff_api_client *dff_api_client_new (const struct dff_connection *connection);
 
-/** Like dff_api_client_new(), over @base, which the client then owns. */
+/** Like dff_api_client_new(), with the event loop @base, which the client then owns. */
 struct dff_api_client *dff_api_client_new_on (const struct dff_connection *connection,
 					      struct event_base *base);
 
@@ -32,19 +32,19 @@
 	/** Path with query. */
 	const char *path;
 	struct dff_str body;
-	/** (nullable): of @body. */
+	/** (nullable): media type of @body. */
 	const char *content_type;
-	/** (nullable): values of Idempotency-Key, If-Match and Batch-Count. */
+	/** (nullable): values of the headers Idempotency-Key, If-Match and Batch-Count. */
 	const char *idempotency_key;
 	const char *if_match;
 	const char *batch_count;
-	/** No earlier call carried @idempotency_key: a refusal then proves that nothing ran. */
+	/** No earlier call used @idempotency_key: a refusal then proves that nothing ran. */
 	bool key_is_new;
-	/** May be sent again when it is not known whether it took effect. */
+	/** Whether the request may be repeated when it is not known whether it took effect. */
 	bool idempotent;
-	/** Send once and take what comes. */
+	/** Whether to send once and return the first outcome. */
 	bool no_retry;
-	/** Time to wait for one answer, ms; 0: 10 seconds. */
+	/** Timeout of one answer, ms; 0: 10 seconds. */
 	int32_t answer_timeout_ms;
 	/** Index of the only server to ask, plus 1; 0: any. */
 	guint only_server;
@@ -53,12 +53,12 @@
 struct dff_call_response {
 	/** HTTP status; 0: no answer. */
 	int status;
-	/** No answer, and it may have taken effect. */
+	/** Whether there is no answer, and the request may have taken effect. */
 	bool uncertain;
-	/** An answer, but not the bytes that its digest states. */
+	/** Whether the body does not match the digest in its answer. */
 	bool digest_mismatch;
 	GString *body;
-	/** Empty where the header is missing. */
+	/** Values of the headers; empty when the header is missing. */
 	GString *etag;
 	GString *digest;
 	int64_t retry_after_s;
@@ -74,17 +74,17 @@
 /**
  * dff_call:
  *
- * Sends @request to each server in turn until one answers for good: a request that was not sent, or
- * is idempotent, goes to the next server; 429, 503 and 504 to an idempotent one are obeyed: it
- * comes back after the time that the server named. Gives up when the connection's time is over.
+ * Sends @request to the servers in turn until one gives a final answer or the time is over. A
+ * request that was not sent, or is idempotent and has no answer, goes to the next server. An
+ * idempotent one that gets 429, 503 or 504 is retried, after Retry-After once all were asked.
  */
 struct dff_call_response *dff_call (struct dff_api_client *client,
 				    const struct dff_call_request *request);
 
-/** Returns: ms left of the time that the command line allows, 0 when it is over. */
+/** Returns: time left until the timeout of the command line, ms; 0: expired. */
 int64_t dff_api_client_remaining_ms (const struct dff_api_client *client);
 
-/** Lets @ms pass, at most what remains. */
+/** Sleeps for @ms, at most for the time that is left. */
 void dff_api_client_sleep (struct dff_api_client *client, int64_t ms);
 
 /** Returns: number of servers. */
@@ -93,16 +93,16 @@
 /** Returns: (transfer full) (nullable): the body as JSON. */
 json_t *dff_call_response_json (const struct dff_call_response *response);
 
-/** Whether the status is one of 200 to 299. */
+/** Returns: whether the status is in the range 200 to 299. */
 bool dff_call_response_is_success (const struct dff_call_response *response);
 
-/** Says on standard error why a call was not answered with success. Returns: the exit code. */
+/** Prints on standard error why a call did not succeed. Returns: the exit code. */
 int dff_call_response_fail (const struct dff_call_response *response);
 
 /** Returns: the exit code for an HTTP status; 0: no answer. */
 int dff_exit_code_for_status (int status);
 
-/** Whether the body has the SHA-256 that the Digest header states; true without the header. */
+/** Returns: whether the body matches the SHA-256 in the Digest header, or there is no header. */
 bool dff_call_response_matches_digest (const struct dff_call_response *response);
 
 #endif
--- a/include/client/columns.h
+++ b/include/client/columns.h
@@ -4,12 +4,11 @@
 #include <glib.h>
 #include <jansson.h>
 
-/** Appends a JSON array of objects as aligned columns, one line each, under the first one's keys.
- */
+/** Appends a JSON array of objects as aligned columns, a line per object. The first object's keys
+ * are the headings. */
 void dff_columns_print (const json_t *rows, GString *out);
 
-/** Appends an object as "key  value" lines; members of members as "key.key", arrays as their size.
- */
+/** Appends an object as "key  value" lines. Nested keys are "key.key"; an array is its size. */
 void dff_fields_print (const json_t *object, GString *out);
 
 #endif
--- a/include/client/command.h
+++ b/include/client/command.h
@@ -3,18 +3,18 @@
 
 #include <stddef.h>
 
-/* The sub-commands of the program, one file each. Each parses its own options with getopt_long()
- * and returns an exit code; argv[0] is the sub-command's name. */
+/* The subcommands of the program, one file each. Each parses its own options with getopt_long() and
+ * returns an exit code; argv[0] is the subcommand's name. */
 
 /** Exit codes, documented in dragonflyfold(1). */
 enum dff_exit_code {
 	DFF_EXIT_OK = 0,
-	DFF_EXIT_FAILED = 1,        /**< A fault of this program or its machine. */
+	DFF_EXIT_FAILED = 1,        /**< An error of this program or its machine. */
 	DFF_EXIT_USAGE = 2,         /**< The command line is wrong. */
-	DFF_EXIT_REFUSED = 3,       /**< Invalid, not allowed, not found, or lost a race. */
-	DFF_EXIT_UNAVAILABLE = 4,   /**< No process answered, or all said to come back later. */
+	DFF_EXIT_REFUSED = 3,       /**< Invalid, not allowed, not found, or a conflict. */
+	DFF_EXIT_UNAVAILABLE = 4,   /**< No process answered, or all asked for a later retry. */
 	DFF_EXIT_NOT_COMPLETED = 5, /**< Work ended with another outcome than completed. */
-	DFF_EXIT_PENDING = 6,       /**< Not ended, or not in force, within the time to wait. */
+	DFF_EXIT_PENDING = 6,       /**< Not ended, or not in force, before the timeout. */
 	DFF_EXIT_DIFFERENT = 7,     /**< diff: the file would change the pool. */
 };
 
@@ -30,7 +30,7 @@
 /** Returns: (nullable): the command called @name. */
 const struct dff_cli_command *dff_cli_command_find (const char *name);
 
-/** Says on standard error that the command line is wrong. Returns: DFF_EXIT_USAGE. */
+/** Prints on standard error what was expected. Returns: DFF_EXIT_USAGE. */
 int dff_usage_fail (const char *command, const char *expected);
 
 int dff_command_apply (int argc, char **argv);
--- a/include/client/connection.h
+++ b/include/client/connection.h
@@ -8,7 +8,7 @@
 
 #include "common/cleanup.h"
 
-/* Options that every command which talks to a server takes. */
+/* Options of all commands that connect to a server. */
 
 /** Values of the long options; a command's own start at DFF_OPTION_COMMAND_FIRST. */
 enum dff_option {
@@ -44,7 +44,6 @@
 	"                         (default: DRAGONFLYFOLD_TLS_CA; none: plain HTTP)\n"             \
 	"  -h, --help             print this text\n"
 
-/* OpenSSL's SSL_CTX. */
 struct ssl_ctx_st;
 
 struct dff_connection {
@@ -52,11 +51,11 @@
 	GArray *servers;
 	GString *token;
 	int64_t timeout_ms;
-	/** (nullable): NULL speaks plain HTTP. */
+	/** (nullable): OpenSSL's SSL_CTX; NULL: plain HTTP. */
 	struct ssl_ctx_st *tls;
 };
 
-/** Returns: (transfer full): options as the environment sets them. */
+/** Returns: (transfer full): the options set by the environment, else the defaults. */
 struct dff_connection *dff_connection_new (void);
 
 void dff_connection_free (struct dff_connection *connection);
@@ -67,25 +66,26 @@
  * dff_connection_handle_option:
  * @option: what getopt_long() returned
  * @usage: text for --help
- * @exit_code: (out): set when the command is to end
+ * @exit_code: (out): set when the command must exit
  *
- * Takes one option of DFF_CONNECTION_OPTIONS, or any that is not known.
+ * Handles an option of DFF_CONNECTION_OPTIONS, or an unknown option.
  *
- * Returns: false when the command is to end with @exit_code.
+ * Returns: false when the command must exit with @exit_code.
  */
 bool dff_connection_handle_option (struct dff_connection *connection,
 				   int option,
 				   const char *usage,
 				   int *exit_code);
 
-/** Takes from the environment what the command line did not give. Returns: false, and says so, when
- * there is no server. */
+/** Adds from the environment what the command line did not set. Returns: false, after an error
+ * message, when there is no server. */
 bool dff_connection_complete (struct dff_connection *connection);
 
-/** Sets up TLS that trusts the certificates in a PEM file; says on standard error why it cannot. */
+/** Enables TLS that trusts the certificates in a PEM file. Returns: false, after an error message,
+ * when the file cannot be used. */
 bool dff_connection_set_tls (struct dff_connection *connection, const char *path);
 
-/** Reads a count of seconds, fractions allowed, into ms. Returns: false when it is none. */
+/** Parses a number of seconds, which may have a fraction. Returns: false when it is invalid. */
 bool dff_parse_seconds (const char *text, int64_t *ms);
 
 #endif
--- a/include/client/file.h
+++ b/include/client/file.h
@@ -6,12 +6,11 @@
 
 #include "common/str.h"
 
-/** Reads a whole file, "-" for standard input; says on standard error why it cannot. Returns:
- * (transfer full) (nullable): its bytes. */
+/** Reads a whole file; "-": standard input. Returns: (transfer full) (nullable): its bytes; NULL
+ * after an error message. */
 GString *dff_file_read (const char *path);
 
-/** Writes a whole file or nothing, "-" for standard output; says on standard error why it cannot.
- */
+/** Writes a file atomically; "-": standard output. Returns: false after an error message. */
 bool dff_file_write (const char *path, struct dff_str bytes);
 
 #endif
--- a/include/client/job_options.h
+++ b/include/client/job_options.h
@@ -5,21 +5,21 @@
 #include <jansson.h>
 #include <stdbool.h>
 
-/* Command-line options that describe one job, put into its JSON form. */
+/* Command-line options that describe a job, and their conversion to its JSON form. */
 
-/** Value of the first job option; the others follow it. */
+/** Value of the first job option; the others have the values that follow. */
 #define DFF_JOB_OPTION_FIRST 1000
 
-/** Appends the long options of a job to @options, which has room for DFF_JOB_OPTIONS_MAX more.
- * Returns: how many. */
+/** Appends the long options of a job to @options, which needs space for DFF_JOB_OPTIONS_MAX more.
+ * Returns: number of options appended. */
 #define DFF_JOB_OPTIONS_MAX 20
 size_t dff_job_options_append (struct option *options);
 
-/** Whether @option is one of a job's. */
+/** Returns: whether @option is a job option. */
 bool dff_job_option_is (int option);
 
-/** Puts the value of one option into @job. Returns: false, and says on standard error what was
- * expected, when the value is wrong. */
+/** Sets the member of @job for an option. Returns: false, after an error message, when the value is
+ * invalid. */
 bool dff_job_option_set (json_t *job, int option, const char *value);
 
 /** Lines for --help. */
--- a/include/client/pool_diff.h
+++ b/include/client/pool_diff.h
@@ -9,7 +9,7 @@
  * dff_pool_diff:
  * @before: (nullable): pool file in force
  * @after: pool file to be applied
- * @out: one line each change is appended: "+" added, "-" removed, "~" changed
+ * @out: receives one line per change: "+" added, "-" removed, "~" changed
  *
  * Returns: whether anything differs.
  */
--- a/include/client/pool_progress.h
+++ b/include/client/pool_progress.h
@@ -8,8 +8,8 @@
 
 #include "common/cleanup.h"
 
-/* Which live processes have a pool generation in force, put together from the answers of several:
- * a process that started a moment ago may not know the others yet. */
+/* Tracks which live processes have a pool generation in force. It merges the answers of several
+ * processes, as one that has just started may not know all others yet. */
 
 struct dff_pool_progress;
 
@@ -19,16 +19,16 @@
 
 DFF_DEFINE_CLEANUP (dff_pool_progress, dff_pool_progress_free);
 
-/** Takes in what a process answered to GET /v1/status. */
+/** Adds the answer of a process to GET /v1/status. */
 void dff_pool_progress_add_status (struct dff_pool_progress *progress, const json_t *status);
 
-/** A live process would not tell its status, for want of the pool that holds the token. */
+/** Adds a live process that refused to answer, as it does not have the pool with the token yet. */
 void dff_pool_progress_add_refusal (struct dff_pool_progress *progress);
 
-/** Returns: number of live processes; 0: none has answered. */
+/** Returns: number of known live processes; 0: none has answered. */
 guint dff_pool_progress_n_live (const struct dff_pool_progress *progress);
 
-/** Returns: number of live processes that do not have the generation. */
+/** Returns: number of live processes that do not have the generation yet. */
 guint dff_pool_progress_n_behind (const struct dff_pool_progress *progress);
 
 #endif
--- a/include/client/span_tree.h
+++ b/include/client/span_tree.h
@@ -6,21 +6,21 @@
 #include "common/cleanup.h"
 #include "common/str.h"
 
-/* The spans of one trace or of one job, read from JSON lines of several processes, as one tree. */
+/* A tree of the spans of one trace or job, read from the JSON Lines of several processes. */
 
 struct dff_span_tree;
 
-/** @wanted: a trace id, or the subject (job or request id) of one of its spans. */
+/** @wanted: a trace id, or the subject (job or request id) of a span in the trace. */
 struct dff_span_tree *dff_span_tree_new (struct dff_str wanted);
 
 void dff_span_tree_free (struct dff_span_tree *tree);
 
 DFF_DEFINE_CLEANUP (dff_span_tree, dff_span_tree_free);
 
-/** Takes in JSON lines. Returns: number of lines that are not spans. */
+/** Adds the spans in JSON Lines text. Returns: number of lines that are not spans. */
 guint dff_span_tree_add (struct dff_span_tree *tree, struct dff_str lines);
 
-/** Appends the tree, times in ms from its first span. Returns: number of spans printed. */
+/** Appends the tree; times are relative to the first span, ms. Returns: number of spans printed. */
 guint dff_span_tree_print (struct dff_span_tree *tree, GString *out);
 
 #endif
--- a/tests/client/test-call.c
+++ b/tests/client/test-call.c
@@ -20,14 +20,14 @@
 /* One answer of the scripted server. */
 struct step {
 	int status;
-	/* Close the connection instead, after the request was read. */
+	/* Whether to close the connection after the request was read, without an answer. */
 	bool disconnect;
 	const char *body;
 	const char *header;
 	const char *value;
 };
 
-/* A server in the client's own loop that answers step by step, and notes what it was requests. */
+/* A server in the client's event loop that gives scripted answers and records the requests. */
 struct server {
 	struct evhttp *http;
 	struct dff_name address;
@@ -35,7 +35,7 @@
 	size_t n_steps;
 	size_t n_requests;
 	GString *requests;
-	/* The last request said that no earlier one carried its key. */
+	/* Whether the last request had the header "Attempt", which marks its key as new. */
 	bool marked_first;
 };
 
@@ -115,49 +115,48 @@
 };
 
 static const struct call_case call_cases[] = {
-	{"an answer is final",
+	{"a 404 is final",
 	 {{.status = 404, .body = "{}"}},
 	 {{0}},
 	 .idempotent = true,
 	 .status = 404,
 	 .first_requests = 1},
-	{"a process that says to come back is left for another",
+	{"after a 503, another server is asked",
 	 {{.status = 503, .body = "{}", .header = "Retry-After", .value = "1"}},
 	 {{.status = 200, .body = "{}"}},
 	 .idempotent = true,
 	 .status = 200,
 	 .first_requests = 1,
 	 .second_requests = 1},
-	{"a process that cannot tell whether it acted is asked again through another",
+	{"after a 504, whose effect is unknown, an idempotent call is sent to another server",
 	 {{.status = 504, .body = "{}", .header = "Retry-After", .value = "1"}},
 	 {{.status = 200, .body = "{}"}},
 	 .idempotent = true,
 	 .status = 200,
 	 .first_requests = 1,
 	 .second_requests = 1},
-	{"a server that cut the connection may have acted: an idempotent call is repeated",
+	{"after a disconnection, an idempotent call is repeated",
 	 {{.disconnect = true}},
 	 {{.status = 200, .body = "{}"}},
 	 .idempotent = true,
 	 .status = 200,
 	 .first_requests = 1,
 	 .second_requests = 1},
-	{"a server that cut the connection may have acted: any other call is not repeated",
+	{"after a disconnection, a call that is not idempotent is not repeated",
 	 {{.disconnect = true}},
 	 {{0}},
 	 .uncertain = true,
 	 .first_requests = 1},
-	{"a refusal for now is the answer to a call that is not idempotent",
+	{"a 503 is final for a call that is not idempotent",
 	 {{.status = 503, .body = "{}"}},
 	 {{0}},
 	 .status = 503,
 	 .first_requests = 1},
 };
 
-/* Symptom: an apply or a submission takes effect twice, or is given up while another process would
- * answer. Sequence: a process dies or is overloaded while it answers; the client asks the next.
- * Cause: no difference made between a request that was not sent, one that may have taken effect,
- * and one that was refused. */
+/* Guards against a request that takes effect twice, or is given up although another server would
+ * answer. The client must distinguish requests that were not sent, may have taken effect, or were
+ * refused when a server dies or is overloaded. */
 static void
 test_which_calls_are_retried (void **state)
 {
@@ -192,13 +191,13 @@
 struct first_case {
 	struct step first;
 	bool key_is_new;
-	/** What the call to the second server says. */
+	/** Whether the request to the second server has the header "Attempt". */
 	bool marked_first;
 };
 
-/* Symptom: a client is told that its job was not run, and it runs. Sequence: the first process
- * takes the submission and its answer is lost; the second refuses. Cause: the second call claimed
- * to be the first. */
+/* Guards against reporting a job as not run although it runs. The first server accepts the
+ * submission and its answer is lost; the second refuses. The second request must not be marked as
+ * the first attempt. */
 static void
 test_attempt_header_only_before_any_effect (void **state)
 {
@@ -236,8 +235,8 @@
 	}
 }
 
-/* Symptom: every call fails while one of two processes is up. Sequence: the first address given is
- * that of a process that was replaced. Cause: a refused connection taken for an answer. */
+/* Guards against failing while one of two servers is up: the first address is that of a process
+ * that was replaced, and its refused connection must not count as an answer. */
 static void
 test_unreachable_server_is_skipped (void **state)
 {
--- a/tests/client/test-command-line.c
+++ b/tests/client/test-command-line.c
@@ -15,11 +15,11 @@
 #define DATA "tests/client/data/"
 #define MAX_ARGS 16
 
-/* Set to write the golden files anew; the difference is then read in review. */
+/* When set, the golden files are rewritten; their changes are then reviewed. */
 #define WRITE_VARIABLE "DFF_WRITE_GOLDEN"
 
 struct line_case {
-	/* Name of the golden file: exit code, standard output, standard error. */
+	/* Name of the golden file, which holds exit code, standard output and standard error. */
 	const char *golden;
 	const char *line;
 };
@@ -51,7 +51,7 @@
 	{"trace-unknown", "trace j9 --file " DATA "spans-1.jsonl"},
 };
 
-/* Where a stream of this process goes while a command runs. */
+/* Redirects a stream of this process to a file while a command runs. */
 struct capture {
 	FILE *stream;
 	FILE *file;
@@ -137,8 +137,7 @@
 	assert_null (dff_cli_command_find ("none"));
 }
 
-/* Symptom: completion does not know an option. Sequence: an option is added to a command, the
- * completion file is forgotten. Cause: two places that list the same. */
+/* Guards against an option of a command that is missing from the completion file. */
 static void
 test_completion_lists_every_option (void **state)
 {
--- a/tests/client/test-pool-progress.c
+++ b/tests/client/test-pool-progress.c
@@ -14,22 +14,22 @@
 	"{\"instance\":\"" name "\",\"generation\":" generation ",\"instances\":[" members "]}"
 
 struct progress_case {
-	/* Answers of the servers that can be reached; "": it would not tell. */
+	/* Answers of the reachable servers; "": the server refused. */
 	const char *answers[MAX_ANSWERS];
 	guint n_live;
 	guint n_behind;
 };
 
-/* Symptom: an apply is said to be in force everywhere, and a client meets a process without it.
- * Sequence: three processes start, the first gets the file before it has heard of the others and
- * is asked alone. Cause: one process's view of who is live taken for the truth. */
+/* Guards against reporting an apply as in force everywhere while a live process lacks it. The first
+ * of three processes that have just started gets the file before it knows the others: its view
+ * alone must not decide. */
 static const struct progress_case progress_cases[] = {
 	{{NULL}, 0, 0},
 	{{STATUS ("a", "2", MEMBER ("a", "alive", "2"))}, 1, 0},
 	{{STATUS ("a", "2", MEMBER ("a", "alive", "2")), STATUS ("b", "1", "")}, 2, 1},
 	{{STATUS ("a", "2", ""), ""}, 1, 1},
 	{{"", ""}, 0, 2},
-	/* A later view that lags does not take back what a process said of itself. */
+	/* A later, stale view does not override what a process reported of itself. */
 	{{STATUS ("a", "2", ""), STATUS ("b", "2", MEMBER ("a", "alive", "1"))}, 2, 0},
 	{{STATUS ("a", "2", MEMBER ("b", "suspect", "1"))}, 2, 1},
 	{{STATUS ("a", "2", MEMBER ("b", "dead", "1") "," MEMBER ("c", "leaving", "1"))}, 1, 0},
--- a/tests/client/test-span-tree.c
+++ b/tests/client/test-span-tree.c
@@ -20,7 +20,7 @@
 };
 
 static const struct tree_case tree_cases[] = {
-	/* Children are ordered by time, and spans of other traces stay out. */
+	/* Children are ordered by time; spans of other traces are left out. */
 	{"t1",
 	 SPAN ("t1", "c", "a", "run", "j1", "1020", "5")
 		 SPAN ("t1", "b", "a", "queue", "j1", "1010", "8")
@@ -38,12 +38,12 @@
 	 "entry                          +0 ms        1 ms  e1  ok  \n"
 	 "  run                          +1 ms        2 ms  e1  ok  j1\n",
 	 0},
-	/* The parent's process died before it wrote its span: the child is shown all the same. */
+	/* The parent's process died before it wrote its span: the child is printed as a root. */
 	{"t1", SPAN ("t1", "b", "lost", "run", "j1", "6", "2"),
 	 "trace t1\n"
 	 "run                            +0 ms        2 ms  e1  ok  j1\n",
 	 0},
-	/* Spans that name each other as parents are shown once. */
+	/* Spans that are each other's parents are printed once. */
 	{"t1",
 	 SPAN ("t1", "a", "b", "run", "j1", "6", "2") SPAN ("t1", "b", "a", "run", "j1", "7", "2"),
 	 "trace t1\n"
--- a/tests/client/test-tls.c
+++ b/tests/client/test-tls.c
@@ -21,7 +21,7 @@
 #define TIMEOUT_MS 1500
 #define CERTIFICATE_S 3600
 
-/* A key and a certificate of its own for one IP number. */
+/* A key and a self-signed certificate for one IP address. */
 struct identity {
 	EVP_PKEY *key;
 	X509 *certificate;
@@ -76,7 +76,7 @@
 }
 
 struct tls_case {
-	/* Number that the server's certificate names. */
+	/* IP address in the server's certificate. */
 	const char *ip;
 	bool trusted;
 	int status;
@@ -88,9 +88,8 @@
 	{"127.0.0.2", true, 0},
 };
 
-/* Symptom: an operator's token is read by another process. Sequence: the client connects to an
- * address that somebody else has taken, and sends its request. Cause: a certificate that is not
- * checked, or not against the number that is asked. */
+/* Guards against sending an operator's token to another process that listens on the server's
+ * address: the certificate must be verified, also against the IP address. */
 static void
 test_token_sent_only_to_verified_server (void **state)
 {
