--- a/cell/batches.c
+++ b/cell/batches.c
@@ -61,18 +61,18 @@
 }
 
 static void
-look_at (struct dff_cell *cell, struct dff_cell_batch *batch)
+check_batch (struct dff_cell *cell, struct dff_cell_batch *batch)
 {
 	int64_t limit_ms = cell->options.batch_stall_ms + DECLARED_FACTOR * batch->declared_ms;
-	int64_t still_ms = dff_cell_now_ms (cell) - batch->changed_ms;
-	if (batch->stalled || still_ms < limit_ms)
+	int64_t idle_ms = dff_cell_now_ms (cell) - batch->changed_ms;
+	if (batch->stalled || idle_ms < limit_ms)
 		return;
 	batch->stalled = true;
 	*cell->metrics.batches_stalled += 1;
 	*cell->metrics.batch_stalls += 1;
 	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING,
 		 "Batch makes no progress. batch=%s jobs=%d ms=%" PRId64, batch->name.data,
-		 batch->remaining, still_ms);
+		 batch->remaining, idle_ms);
 }
 
 void
@@ -85,5 +85,5 @@
 	gpointer value;
 	g_hash_table_iter_init (&iter, cell->batches);
 	while (g_hash_table_iter_next (&iter, NULL, &value))
-		look_at (cell, value);
+		check_batch (cell, value);
 }
--- a/cell/calls.c
+++ b/cell/calls.c
@@ -30,7 +30,10 @@
 }
 
 static void
-repeat (struct dff_cell *cell, struct dff_cell_job *job, struct dff_cell_member *member, int32_t i)
+schedule_retry (struct dff_cell *cell,
+		struct dff_cell_job *job,
+		struct dff_cell_member *member,
+		int32_t i)
 {
 	*cell->metrics.retries += 1;
 	struct dff_cell_due due = {
@@ -44,15 +47,15 @@
 }
 
 static void
-settle_start (struct dff_cell *cell,
-	      struct dff_cell_job *job,
-	      const struct dff_task_id *task,
-	      enum dff_worker_outcome outcome)
+handle_start_result (struct dff_cell *cell,
+		     struct dff_cell_job *job,
+		     const struct dff_task_id *task,
+		     enum dff_worker_outcome outcome)
 {
 	struct dff_cell_member *member = dff_cell_job_member (job, task);
 	bool unsent = outcome == DFF_WORKER_UNSENT;
-	bool hopeless = outcome == DFF_WORKER_REFUSED ||
-			(unsent && member->tries + 1 >= DFF_CELL_START_TRIES);
+	bool failed = outcome == DFF_WORKER_REFUSED ||
+		      (unsent && member->tries + 1 >= DFF_CELL_START_TRIES);
 	if (outcome == DFF_WORKER_OK || member->started) {
 		member->wanted = DFF_CELL_WANT_NOTHING;
 		dff_cell_member_started (cell, job, member);
@@ -62,37 +65,38 @@
 		member->sent = false;
 		member->released = false;
 	}
-	bool once = !member->held && !job->row->spec.idempotent;
+	bool at_most_once = !member->held && !job->row->spec.idempotent;
 	/* A copy of the start may still be under way and find the worker in a better mood. Symptom:
-	 * work that may run once runs here after it was started elsewhere. A tombstone ends that.
+	 * work that may run at_most_once runs here after it was started elsewhere. A tombstone ends
+	 * that.
 	 */
-	if (outcome == DFF_WORKER_REFUSED && once) {
+	if (outcome == DFF_WORKER_REFUSED && at_most_once) {
 		member->refused = true;
-		dff_cell_want (cell, job, task->member, DFF_CELL_WANT_STOP);
+		dff_cell_set_wanted (cell, job, task->member, DFF_CELL_WANT_STOP);
 		return;
 	}
 	/* A refusal of a repeated start proves nothing about the first, whose answer was lost: it
 	 * stays open until a stop is answered. */
-	if (hopeless && !member->in_doubt) {
-		dff_cell_member_over (cell, job, member, DFF_EVENT_TASK_START_FAILED, false);
+	if (failed && !member->in_doubt) {
+		dff_cell_member_ended (cell, job, member, DFF_EVENT_TASK_START_FAILED, false);
 		return;
 	}
 	member->in_doubt = member->in_doubt || outcome == DFF_WORKER_UNCERTAIN;
 	/* The worker may have run the task, started anew and forgotten it. Symptom: work that may
-	 * run once runs twice. The worker is asked what it knows; if that settles nothing, the
-	 * core's time-out stops the task. */
-	if (member->in_doubt && once) {
+	 * run at_most_once runs twice. The worker is asked what it knows; if that settles nothing,
+	 * the core's time-out stops the task. */
+	if (member->in_doubt && at_most_once) {
 		dff_cell_worker_query (cell, &member->placement.worker, dff_cell_now_ms (cell));
 		return;
 	}
-	repeat (cell, job, member, task->member);
+	schedule_retry (cell, job, member, task->member);
 }
 
 static void
-settle_release (struct dff_cell *cell,
-		struct dff_cell_job *job,
-		const struct dff_task_id *task,
-		enum dff_worker_outcome outcome)
+handle_release_result (struct dff_cell *cell,
+		       struct dff_cell_job *job,
+		       const struct dff_task_id *task,
+		       enum dff_worker_outcome outcome)
 {
 	struct dff_cell_member *member = dff_cell_job_member (job, task);
 	if (outcome == DFF_WORKER_OK) {
@@ -102,18 +106,18 @@
 	/* The worker does not know the task any more: its whole answer tells what became of it. */
 	if (outcome == DFF_WORKER_REFUSED)
 		dff_cell_worker_query (cell, &member->placement.worker, dff_cell_now_ms (cell));
-	repeat (cell, job, member, task->member);
+	schedule_retry (cell, job, member, task->member);
 }
 
 static void
-settle_checkpoint (struct dff_cell *cell,
-		   struct dff_cell_job *job,
-		   const struct dff_task_id *task,
-		   enum dff_worker_outcome outcome)
+handle_checkpoint_result (struct dff_cell *cell,
+			  struct dff_cell_job *job,
+			  const struct dff_task_id *task,
+			  enum dff_worker_outcome outcome)
 {
 	struct dff_cell_member *member = dff_cell_job_member (job, task);
 	if (outcome == DFF_WORKER_UNSENT || outcome == DFF_WORKER_UNCERTAIN) {
-		repeat (cell, job, member, task->member);
+		schedule_retry (cell, job, member, task->member);
 		return;
 	}
 	member->wanted = DFF_CELL_WANT_NOTHING;
@@ -125,41 +129,43 @@
 		.attempt = task->attempt,
 		.member = task->member,
 	};
-	dff_cell_event (cell, &event);
+	dff_cell_queue_event (cell, &event);
 }
 
 static void
-settle (struct dff_cell *cell, const struct dff_cell_call *call, enum dff_worker_outcome outcome)
+handle_task_result (struct dff_cell *cell,
+		    const struct dff_cell_call *call,
+		    enum dff_worker_outcome outcome)
 {
 	struct dff_cell_job *job = dff_cell_job_find (cell, &call->task.job);
 	struct dff_cell_member *member =
 		job != NULL ? dff_cell_job_member (job, &call->task) : NULL;
-	if (member == NULL || member->over || member->wanted_seq != call->wanted_seq)
+	if (member == NULL || member->ended || member->wanted_seq != call->wanted_seq)
 		return;
 	switch (member->wanted) {
 	case DFF_CELL_WANT_NOTHING:
 		break;
 	case DFF_CELL_WANT_START:
-		settle_start (cell, job, &call->task, outcome);
+		handle_start_result (cell, job, &call->task, outcome);
 		break;
 	case DFF_CELL_WANT_RELEASE:
-		settle_release (cell, job, &call->task, outcome);
+		handle_release_result (cell, job, &call->task, outcome);
 		break;
 	case DFF_CELL_WANT_CHECKPOINT:
-		settle_checkpoint (cell, job, &call->task, outcome);
+		handle_checkpoint_result (cell, job, &call->task, outcome);
 		break;
 	case DFF_CELL_WANT_STOP:
 		/* A refused stop may mean that a newer holder is known there. */
 		if (outcome == DFF_WORKER_REFUSED)
 			dff_lease_request_renewal (cell->lease);
-		repeat (cell, job, member, call->task.member);
+		schedule_retry (cell, job, member, call->task.member);
 		break;
 	}
 }
 
 /* The start that was refused or lost is in doubt even when a stop has superseded it meanwhile. */
 static void
-note_doubt (struct dff_cell *cell, const struct dff_cell_call *call)
+mark_in_doubt (struct dff_cell *cell, const struct dff_cell_call *call)
 {
 	struct dff_cell_job *job = dff_cell_job_find (cell, &call->task.job);
 	struct dff_cell_member *member =
@@ -179,11 +185,11 @@
 	if (answered)
 		dff_cell_worker_answered (cell, &call.worker, result);
 	else if (result->outcome == DFF_WORKER_UNCERTAIN)
-		note_doubt (cell, &call);
+		mark_in_doubt (cell, &call);
 	const struct dff_task_report *report = find_report (result, &call.task);
 	if (answered && report != NULL)
-		dff_cell_take_report (cell, &call.worker, result->incarnation, report);
-	settle (cell, &call, result->outcome);
+		dff_cell_apply_report (cell, &call.worker, result->incarnation, report);
+	handle_task_result (cell, &call, result->outcome);
 }
 
 static void
@@ -245,7 +251,7 @@
 {
 	struct dff_cell_job *job = dff_cell_job_find (cell, &due->task.job);
 	struct dff_cell_member *member = job != NULL ? dff_cell_job_member (job, &due->task) : NULL;
-	if (member == NULL || member->over || member->wanted_seq != due->wanted_seq ||
+	if (member == NULL || member->ended || member->wanted_seq != due->wanted_seq ||
 	    member->wanted == DFF_CELL_WANT_NOTHING)
 		return;
 	struct dff_cell_call *call = dff_cell_call_begin (cell, DFF_CELL_CALL_TASK);
@@ -279,7 +285,7 @@
 	if (cell->phase == DFF_CELL_QUERYING)
 		dff_cell_recovery_answer (cell, &call.worker, result);
 	else if (answered)
-		dff_cell_take_whole (cell, &call.worker, result, call.sent_ms);
+		dff_cell_apply_full_report (cell, &call.worker, result, call.sent_ms);
 	else
 		dff_cell_worker_unanswered (cell, &call.worker);
 }
@@ -301,7 +307,7 @@
 }
 
 static void
-on_orphan (void *user, const struct dff_worker_result *result)
+on_orphan_stop (void *user, const struct dff_worker_result *result)
 {
 	struct dff_cell_call call;
 	if (!dff_cell_call_end (user, &call))
@@ -332,5 +338,5 @@
 	call->tries = due->tries;
 	struct dff_name copy = *address;
 	const struct dff_worker_client *workers = cell->options.workers;
-	workers->stop (workers->ctx, &copy, &due->task, cell->epoch, on_orphan, call);
+	workers->stop (workers->ctx, &copy, &due->task, cell->epoch, on_orphan_stop, call);
 }
--- a/cell/cell.c
+++ b/cell/cell.c
@@ -105,7 +105,8 @@
 	cell->batches = g_hash_table_new_full (dff_name_hash, dff_name_equal_func, NULL, g_free);
 	cell->agenda = g_sequence_new (g_free);
 	cell->calls = g_hash_table_new_full (NULL, NULL, g_free, NULL);
-	cell->recovery.found = g_array_new (FALSE, TRUE, sizeof (struct dff_cell_found));
+	cell->recovery.reports =
+		g_array_new (FALSE, TRUE, sizeof (struct dff_cell_recovery_report));
 	dff_cell_retention_init (cell);
 	dff_cell_attempts_init (cell);
 	open_metrics (cell, options->metrics);
@@ -162,7 +163,7 @@
 	g_string_free (cell->prefix, TRUE);
 	g_array_unref (cell->events);
 	g_array_unref (cell->commands);
-	g_array_unref (cell->recovery.found);
+	g_array_unref (cell->recovery.reports);
 	g_hash_table_unref (cell->jobs);
 	g_hash_table_unref (cell->workers);
 	g_hash_table_unref (cell->batches);
@@ -172,13 +173,13 @@
 }
 
 void
-dff_cell_event (struct dff_cell *cell, const struct dff_event *event)
+dff_cell_queue_event (struct dff_cell *cell, const struct dff_event *event)
 {
 	g_array_append_val (cell->events, *event);
 }
 
 void
-dff_cell_deliver (struct dff_cell *cell)
+dff_cell_deliver_events (struct dff_cell *cell)
 {
 	int64_t now_ms = dff_cell_now_ms (cell);
 	for (guint i = 0; i < cell->events->len; i++) {
@@ -211,7 +212,7 @@
 
 /** Forgets everything that was held; answers that are still on their way are ignored. */
 static void
-drop (struct dff_cell *cell)
+step_down (struct dff_cell *cell)
 {
 	bool was_active = cell->phase == DFF_CELL_ACTIVE;
 	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING, "Cell dropped. region=%s epoch=%" PRId64,
@@ -225,12 +226,12 @@
 }
 
 static void
-follow_lease (struct dff_cell *cell)
+update_phase (struct dff_cell *cell)
 {
 	bool held = dff_lease_is_held (cell->lease);
 	bool ours = held && dff_lease_epoch (cell->lease) == cell->epoch;
 	if (cell->phase != DFF_CELL_STANDBY && !ours)
-		drop (cell);
+		step_down (cell);
 	if (cell->phase == DFF_CELL_STANDBY && held && !cell->draining)
 		dff_cell_recovery_begin (cell);
 }
@@ -257,7 +258,7 @@
 		return;
 	}
 	if (cell->phase != DFF_CELL_STANDBY)
-		drop (cell);
+		step_down (cell);
 	if (!cell->released) {
 		cell->released = true;
 		dff_lease_release (cell->lease);
@@ -272,7 +273,7 @@
 	if (cell->events->len == 0 && now_ms < dff_core_next_wake_ms (cell->core))
 		return;
 	cell->decide_ms = now_ms;
-	dff_cell_deliver (cell);
+	dff_cell_deliver_events (cell);
 	dff_core_tick (cell->core, now_ms, cell->commands);
 	dff_cell_execute (cell, cell->commands);
 }
@@ -282,7 +283,7 @@
  * list takes the cell instead, or it stays without a holder, who could do nothing, until one has.
  */
 static bool
-may_hold (const struct dff_cell *cell)
+may_take_lease (const struct dff_cell *cell)
 {
 	return cell->pool != NULL && cell->instances_known && !cell->draining;
 }
@@ -290,9 +291,9 @@
 void
 dff_cell_tick (struct dff_cell *cell)
 {
-	dff_lease_set_candidate (cell->lease, may_hold (cell));
+	dff_lease_set_candidate (cell->lease, may_take_lease (cell));
 	dff_lease_tick (cell->lease);
-	follow_lease (cell);
+	update_phase (cell);
 	if (cell->draining) {
 		drain_tick (cell);
 		return;
@@ -321,7 +322,7 @@
 		dff_core_set_pool (cell->core, cell->pool, dff_cell_now_ms (cell));
 	/* Workers that the new pool declares are unknown to the core until it is told of them. */
 	if (cell->core != NULL)
-		dff_cell_workers_tell (cell, true);
+		dff_cell_workers_report (cell, true);
 }
 
 void
@@ -335,7 +336,7 @@
 {
 	(void)job;
 	cell->feed.hinted = true;
-	if (!cell->feed.reading)
+	if (!cell->feed.scanning)
 		cell->feed.due_ms = 0;
 }
 
--- a/cell/cell_private.h
+++ b/cell/cell_private.h
@@ -51,9 +51,9 @@
 	bool started;
 	int64_t started_ms;
 	/** The core knows how it ended. */
-	bool over;
+	bool ended;
 	/** Take-over: what its worker said; DFF_TASK_UNKNOWN also for no answer. */
-	enum dff_task_state found;
+	enum dff_task_state recovered_state;
 };
 
 enum dff_cell_write_type {
@@ -85,9 +85,9 @@
 	/** The head is with the recorder, or its conflict is being looked into. */
 	bool writing;
 	int32_t write_tries;
-	bool cancel_told;
+	bool cancel_reported;
 	/** Somebody else ended it, or its row is gone: it only has to leave the core. */
-	bool gone;
+	bool ended_elsewhere;
 	struct dff_result_ref result;
 	/** The hop that the job is in; its name is NULL: none. */
 	struct dff_span span;
@@ -98,17 +98,17 @@
 	/** Empty: never listed. */
 	struct dff_name address;
 	bool listed;
-	bool list_leaving;
-	bool said_leaving;
+	bool listed_leaving;
+	bool reports_leaving;
 	bool reachable;
-	bool told;
-	enum dff_worker_state told_state;
+	bool reported;
+	enum dff_worker_state reported_state;
 	/** Of its last answer; 0: none yet. */
 	int64_t incarnation;
 	/** When it entered this table. */
 	int64_t since_ms;
-	/** Latest time at which it is known to have answered a renewal; 0: no sighting yet. */
-	int64_t answered_ms;
+	/** Latest time at which it is known to have answered a renewal; 0: no report yet. */
+	int64_t renewed_ms;
 	bool querying;
 	/** When it was last asked for its tasks. */
 	int64_t queried_ms;
@@ -180,9 +180,9 @@
 struct dff_cell_feed {
 	int64_t cursor;
 	/** Revision of the table when every row was last read. */
-	int64_t seen;
+	int64_t scanned_revision;
 	int64_t due_ms;
-	bool reading;
+	bool scanning;
 	bool hinted;
 	int32_t tries;
 };
@@ -191,12 +191,12 @@
 	int64_t begun_ms;
 	int64_t query_until_ms;
 	int32_t n_queries;
-	/** Elements: struct dff_cell_found. */
-	GArray *found;
+	/** Elements: struct dff_cell_recovery_report. */
+	GArray *reports;
 };
 
 /** A report that came while taking over, kept until the core is rebuilt. */
-struct dff_cell_found {
+struct dff_cell_recovery_report {
 	struct dff_name worker;
 	int64_t incarnation;
 	struct dff_task_report report;
@@ -228,7 +228,7 @@
 	int64_t *guarantees_missing;
 	int64_t *fragmentation;
 	/** Of the core at the last look. */
-	struct dff_core_stats seen;
+	struct dff_core_stats published;
 	int64_t due_ms;
 };
 
@@ -294,10 +294,10 @@
 int64_t dff_cell_backoff_ms (struct dff_cell *cell, int32_t tries);
 
 /** Keeps an event for the core until the next tick. */
-void dff_cell_event (struct dff_cell *cell, const struct dff_event *event);
+void dff_cell_queue_event (struct dff_cell *cell, const struct dff_event *event);
 
 /** Tells the core what was kept. */
-void dff_cell_deliver (struct dff_cell *cell);
+void dff_cell_deliver_events (struct dff_cell *cell);
 
 struct dff_cell_call *dff_cell_call_begin (struct dff_cell *cell, enum dff_cell_call_type type);
 
@@ -373,10 +373,10 @@
 void dff_cell_execute (struct dff_cell *cell, const GArray *commands);
 
 /** Sets what a member is to be brought to do, and has it sent. */
-void dff_cell_want (struct dff_cell *cell,
-		    struct dff_cell_job *job,
-		    int32_t member,
-		    enum dff_cell_wanted wanted);
+void dff_cell_set_wanted (struct dff_cell *cell,
+			  struct dff_cell_job *job,
+			  int32_t member,
+			  enum dff_cell_wanted wanted);
 
 /* calls.c */
 
@@ -389,22 +389,22 @@
 /* reports.c */
 
 /**
- * dff_cell_take_report:
+ * dff_cell_apply_report:
  * @incarnation: of the worker that answered; 0: not known
  *
  * Takes in what a worker says about one task.
  */
-void dff_cell_take_report (struct dff_cell *cell,
-			   const struct dff_name *worker,
-			   int64_t incarnation,
-			   const struct dff_task_report *report);
+void dff_cell_apply_report (struct dff_cell *cell,
+			    const struct dff_name *worker,
+			    int64_t incarnation,
+			    const struct dff_task_report *report);
 
 /** Tells the core how a member ended, once. */
-void dff_cell_member_over (struct dff_cell *cell,
-			   struct dff_cell_job *job,
-			   struct dff_cell_member *member,
-			   enum dff_event_type type,
-			   bool ran);
+void dff_cell_member_ended (struct dff_cell *cell,
+			    struct dff_cell_job *job,
+			    struct dff_cell_member *member,
+			    enum dff_event_type type,
+			    bool ran);
 
 /** Tells the core that a member has started, once. */
 void dff_cell_member_started (struct dff_cell *cell,
@@ -412,14 +412,15 @@
 			      struct dff_cell_member *member);
 
 /** Every task that is placed on @worker and not over is lost. */
-void dff_cell_lose_tasks (struct dff_cell *cell, const struct dff_name *worker);
+void dff_cell_mark_tasks_lost (struct dff_cell *cell, const struct dff_name *worker);
 
-/** A whole answer of @worker to a query sent at @asked_ms: what it does not know any more is lost.
+/** A whole answer of @worker to a query sent at @query_sent_ms: what it does not know any more is
+ * lost.
  */
-void dff_cell_take_whole (struct dff_cell *cell,
-			  const struct dff_name *worker,
-			  const struct dff_worker_result *result,
-			  int64_t asked_ms);
+void dff_cell_apply_full_report (struct dff_cell *cell,
+				 const struct dff_name *worker,
+				 const struct dff_worker_result *result,
+				 int64_t query_sent_ms);
 
 /* workers.c */
 
@@ -443,14 +444,14 @@
 void dff_cell_workers_tick (struct dff_cell *cell);
 
 /** Tells a new core about every worker. */
-void dff_cell_workers_tell (struct dff_cell *cell, bool again);
+void dff_cell_workers_report (struct dff_cell *cell, bool again);
 
 /* recovery.c */
 
 void dff_cell_recovery_begin (struct dff_cell *cell);
 
 /** Takes in a row while taking over; takes @row over. */
-void dff_cell_recovery_take_row (struct dff_cell *cell, struct dff_job_row *row);
+void dff_cell_recovery_apply_row (struct dff_cell *cell, struct dff_job_row *row);
 
 /** Every row has been read. */
 void dff_cell_recovery_scanned (struct dff_cell *cell);
--- a/cell/core_metrics.c
+++ b/cell/core_metrics.c
@@ -7,7 +7,7 @@
  * and a process's counters must not go back, so that what was added since the last look is added.
  */
 
-#define LOOK_INTERVAL_MS 1000
+#define PUBLISH_INTERVAL_MS 1000
 #define PERMILLE 1000
 
 void
@@ -36,15 +36,15 @@
 static void
 publish (struct dff_cell_core_metrics *m, const struct dff_core_stats *now)
 {
-	*m->reclaims += now->reclaims - m->seen.reclaims;
-	*m->preemptions += now->preemptions - m->seen.preemptions;
-	*m->moves += now->moves - m->seen.moves;
-	*m->start_failures += now->start_failures - m->seen.start_failures;
-	*m->retries += now->retries - m->seen.retries;
+	*m->reclaims += now->reclaims - m->published.reclaims;
+	*m->preemptions += now->preemptions - m->published.preemptions;
+	*m->moves += now->moves - m->published.moves;
+	*m->start_failures += now->start_failures - m->published.start_failures;
+	*m->retries += now->retries - m->published.retries;
 	*m->quarantined = now->workers_quarantined;
 	*m->guarantees_missing = now->witnesses_missing;
 	*m->fragmentation = (int64_t)(now->fragmentation * PERMILLE);
-	m->seen = *now;
+	m->published = *now;
 }
 
 void
@@ -54,7 +54,7 @@
 	int64_t now_ms = dff_cell_now_ms (cell);
 	if (now_ms < m->due_ms)
 		return;
-	m->due_ms = now_ms + LOOK_INTERVAL_MS;
+	m->due_ms = now_ms + PUBLISH_INTERVAL_MS;
 	struct dff_core_stats stats;
 	dff_core_get_stats (cell->core, &stats);
 	publish (m, &stats);
@@ -67,7 +67,7 @@
 	struct dff_core_stats stats;
 	dff_core_get_stats (cell->core, &stats);
 	publish (m, &stats);
-	memset (&m->seen, 0, sizeof (m->seen));
+	memset (&m->published, 0, sizeof (m->published));
 	*m->quarantined = 0;
 	*m->guarantees_missing = 0;
 	*m->fragmentation = 0;
--- a/cell/executor.c
+++ b/cell/executor.c
@@ -4,14 +4,14 @@
  * the core sends START_TASK only after ATTEMPT_RECORDED. */
 
 void
-dff_cell_want (struct dff_cell *cell,
-	       struct dff_cell_job *job,
-	       int32_t member_index,
-	       enum dff_cell_wanted wanted)
+dff_cell_set_wanted (struct dff_cell *cell,
+		     struct dff_cell_job *job,
+		     int32_t member_index,
+		     enum dff_cell_wanted wanted)
 {
 	struct dff_cell_member *member =
 		&g_array_index (job->members, struct dff_cell_member, member_index);
-	if (member->over || member->wanted == wanted)
+	if (member->ended || member->wanted == wanted)
 		return;
 	member->wanted = wanted;
 	member->wanted_seq++;
@@ -63,9 +63,9 @@
 		&g_array_index (job->members, struct dff_cell_member, index);
 	/* Nothing was ever sent in this attempt, which this holder itself opened: that is proof. */
 	if (!member->sent && !job->recovered)
-		dff_cell_member_over (cell, job, member, DFF_EVENT_TASK_STOPPED, false);
+		dff_cell_member_ended (cell, job, member, DFF_EVENT_TASK_STOPPED, false);
 	else
-		dff_cell_want (cell, job, index, DFF_CELL_WANT_STOP);
+		dff_cell_set_wanted (cell, job, index, DFF_CELL_WANT_STOP);
 }
 
 static void
@@ -75,7 +75,7 @@
 		&g_array_index (job->members, struct dff_cell_member, command->member);
 	member->held = command->held;
 	*cell->metrics.starts += 1;
-	dff_cell_want (cell, job, command->member, DFF_CELL_WANT_START);
+	dff_cell_set_wanted (cell, job, command->member, DFF_CELL_WANT_START);
 }
 
 static void
@@ -89,10 +89,10 @@
 		start_member (cell, job, command);
 		break;
 	case DFF_COMMAND_RELEASE_TASK:
-		dff_cell_want (cell, job, command->member, DFF_CELL_WANT_RELEASE);
+		dff_cell_set_wanted (cell, job, command->member, DFF_CELL_WANT_RELEASE);
 		break;
 	case DFF_COMMAND_CHECKPOINT_TASK:
-		dff_cell_want (cell, job, command->member, DFF_CELL_WANT_CHECKPOINT);
+		dff_cell_set_wanted (cell, job, command->member, DFF_CELL_WANT_CHECKPOINT);
 		break;
 	case DFF_COMMAND_STOP_TASK:
 		stop_member (cell, job, command->member);
--- a/cell/feed.c
+++ b/cell/feed.c
@@ -31,7 +31,7 @@
 /* Rows that are open or ended here were written by this holder, which knows them, or are older than
  * the end that it wrote: only queued ones can be news. */
 static void
-take_new (struct dff_cell *cell, struct dff_job_row *row)
+handle_new_row (struct dff_cell *cell, struct dff_job_row *row)
 {
 	if (row->state != DFF_JOB_ROW_QUEUED) {
 		dff_job_row_free (row);
@@ -44,13 +44,13 @@
 		.job = row->spec.id,
 		.spec = &row->spec,
 	};
-	dff_cell_event (cell, &event);
+	dff_cell_queue_event (cell, &event);
 	if (row->cancel_requested)
 		dff_cell_job_cancelled (cell, job);
 }
 
 static void
-take_known (struct dff_cell *cell, struct dff_cell_job *job, const struct dff_job_row *row)
+handle_known_row (struct dff_cell *cell, struct dff_cell_job *job, const struct dff_job_row *row)
 {
 	if (row->revision <= job->row->revision || row->state == DFF_JOB_ROW_ENDED)
 		return;
@@ -62,21 +62,21 @@
 }
 
 static void
-take_row (struct dff_cell *cell, const struct dff_table_row *table_row)
+handle_row (struct dff_cell *cell, const struct dff_table_row *table_row)
 {
 	struct dff_job_row *row = decode (cell, table_row);
 	if (row == NULL)
 		return;
 	if (cell->phase == DFF_CELL_SCANNING) {
-		dff_cell_recovery_take_row (cell, row);
+		dff_cell_recovery_apply_row (cell, row);
 		return;
 	}
 	struct dff_cell_job *job = dff_cell_job_find (cell, &row->spec.id);
 	if (job == NULL) {
-		take_new (cell, row);
+		handle_new_row (cell, row);
 		return;
 	}
-	take_known (cell, job, row);
+	handle_known_row (cell, job, row);
 	dff_job_row_free (row);
 }
 
@@ -89,19 +89,19 @@
 	struct dff_cell *cell = call.cell;
 	struct dff_cell_feed *feed = &cell->feed;
 	int64_t now_ms = dff_cell_now_ms (cell);
-	feed->reading = false;
+	feed->scanning = false;
 	if (result->outcome != DFF_TABLE_OK) {
 		feed->due_ms = now_ms + dff_cell_backoff_ms (cell, feed->tries++);
 		return;
 	}
 	feed->tries = 0;
 	for (size_t i = 0; i < result->n_rows; i++) {
-		take_row (cell, &result->rows[i]);
+		handle_row (cell, &result->rows[i]);
 		feed->cursor = result->rows[i].revision;
 	}
 	bool more = result->more;
 	if (!more)
-		feed->seen = result->revision;
+		feed->scanned_revision = result->revision;
 	feed->due_ms = more || feed->hinted ? now_ms : now_ms + FEED_INTERVAL_MS;
 	feed->hinted = false;
 	if (!more && cell->phase == DFF_CELL_SCANNING)
@@ -112,9 +112,9 @@
 dff_cell_feed_tick (struct dff_cell *cell)
 {
 	struct dff_cell_feed *feed = &cell->feed;
-	if (feed->reading || dff_cell_now_ms (cell) < feed->due_ms)
+	if (feed->scanning || dff_cell_now_ms (cell) < feed->due_ms)
 		return;
-	feed->reading = true;
+	feed->scanning = true;
 	feed->hinted = false;
 	struct dff_cell_call *call = dff_cell_call_begin (cell, DFF_CELL_CALL_SCAN);
 	const struct dff_table *table = cell->options.table;
--- a/cell/jobs.c
+++ b/cell/jobs.c
@@ -65,9 +65,9 @@
 dff_cell_job_cancelled (struct dff_cell *cell, struct dff_cell_job *job)
 {
 	job->row->cancel_requested = true;
-	if (job->cancel_told)
+	if (job->cancel_reported)
 		return;
-	job->cancel_told = true;
+	job->cancel_reported = true;
 	struct dff_event event = {.type = DFF_EVENT_JOB_CANCELLED, .job = job->row->spec.id};
-	dff_cell_event (cell, &event);
+	dff_cell_queue_event (cell, &event);
 }
--- a/cell/lease.c
+++ b/cell/lease.c
@@ -66,7 +66,7 @@
 	int64_t call_sent_ms;
 	int64_t next_ms;
 	/** The lease is not taken before. */
-	int64_t hold_off_ms;
+	int64_t take_after_ms;
 	/** Elements: struct lease_call, unanswered and given up. */
 	GHashTable *abandoned;
 	int64_t *takeovers;
@@ -90,7 +90,7 @@
 }
 
 static void
-wait_ms (struct dff_lease *lease, int64_t interval_ms)
+schedule_next (struct dff_lease *lease, int64_t interval_ms)
 {
 	lease->next_ms = now_ms (lease) + jittered (lease, interval_ms);
 }
@@ -182,7 +182,7 @@
 }
 
 static void
-watch_again (struct dff_lease *lease)
+return_to_watching (struct dff_lease *lease)
 {
 	lease->phase = DFF_LEASE_WATCHING;
 	lease->rows.known = false;
@@ -197,7 +197,7 @@
 	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING, "Lease lost. region=%s epoch=%" PRId64,
 		 lease->options.region.data, lease->rows.epoch);
 	*lease->lapses += 1;
-	watch_again (lease);
+	return_to_watching (lease);
 }
 
 void
@@ -251,9 +251,9 @@
 		return;
 	if (result->outcome != DFF_TABLE_OK)
 		return;
-	dff_lease_rows_take (&lease->rows, dff_table_find_row (result, borrow (lease->lease_key)),
-			     dff_table_find_row (result, borrow (lease->epoch_key)),
-			     now_ms (lease));
+	dff_lease_rows_apply (&lease->rows, dff_table_find_row (result, borrow (lease->lease_key)),
+			      dff_table_find_row (result, borrow (lease->epoch_key)),
+			      now_ms (lease));
 	if (lease->rows.malformed)
 		dff_log (DFF_LOG_CELL, DFF_LOG_ERROR, "Epoch row is malformed. region=%s",
 			 lease->options.region.data);
@@ -263,14 +263,14 @@
 read_rows (struct dff_lease *lease)
 {
 	const struct dff_str keys[] = {borrow (lease->lease_key), borrow (lease->epoch_key)};
-	wait_ms (lease, lease->options.renew_ms);
+	schedule_next (lease, lease->options.renew_ms);
 	begin_call (lease, DFF_CALL_READ);
 	const struct dff_table *table = lease->options.table;
 	table->get (table->ctx, keys, G_N_ELEMENTS (keys), on_read, lease->call);
 }
 
 static void
-hold (struct dff_lease *lease, bool taken)
+enter_held (struct dff_lease *lease, bool taken)
 {
 	lease->phase = DFF_LEASE_HELD;
 	lease->held_from_ms = lease->commit.sent_ms;
@@ -301,7 +301,7 @@
 	}
 	/* An answer that comes after the lease was given up does not bring it back. */
 	if (lease->phase == (taken ? DFF_LEASE_WATCHING : DFF_LEASE_HELD))
-		hold (lease, taken);
+		enter_held (lease, taken);
 }
 
 static void
@@ -313,7 +313,7 @@
 	else if (lease->commit.purpose == DFF_LEASE_RENEW)
 		dff_lease_mark_fenced (lease);
 	else if (lease->phase == DFF_LEASE_WATCHING)
-		watch_again (lease);
+		return_to_watching (lease);
 }
 
 static void
@@ -332,8 +332,8 @@
 		break;
 	case DFF_TABLE_UNAVAILABLE:
 		lease->commit.unresolved = false;
-		wait_ms (lease, MAX (lease->options.renew_ms / 4, RETRY_MIN_MS));
-		lease->hold_off_ms = lease->next_ms;
+		schedule_next (lease, MAX (lease->options.renew_ms / 4, RETRY_MIN_MS));
+		lease->take_after_ms = lease->next_ms;
 		break;
 	case DFF_TABLE_UNCERTAIN:
 		*lease->lost_answers += 1;
@@ -355,7 +355,7 @@
 		lease->commit.unresolved = false;
 		lease->next_ms = 0;
 	} else {
-		wait_ms (lease, MAX (lease->options.renew_ms / 4, RETRY_MIN_MS));
+		schedule_next (lease, MAX (lease->options.renew_ms / 4, RETRY_MIN_MS));
 	}
 }
 
@@ -418,13 +418,13 @@
 	const struct dff_lease_rows *rows = &lease->rows;
 	if (!lease->candidate || !rows->known || rows->malformed)
 		return false;
-	if (now_ms (lease) < lease->hold_off_ms)
+	if (now_ms (lease) < lease->take_after_ms)
 		return false;
 	bool own = rows->lease_revision != 0 && rows->lease_revision == lease->own_revision;
 	int64_t wait = own ? 0 : (int64_t)lease->rank * RANK_STEP_MS;
 	if (!rows->is_free && !own)
 		wait += lease->options.lease_ms;
-	return now_ms (lease) >= rows->seen_ms + wait;
+	return now_ms (lease) >= rows->first_seen_ms + wait;
 }
 
 /** A call unanswered this long is given up. */
--- a/cell/lease_rows.c
+++ b/cell/lease_rows.c
@@ -24,11 +24,11 @@
 }
 
 static void
-take_lease (struct dff_lease_rows *rows, const struct dff_table_row *row, int64_t now_ms)
+apply_lease_row (struct dff_lease_rows *rows, const struct dff_table_row *row, int64_t now_ms)
 {
 	int64_t revision = row != NULL ? row->revision : 0;
 	if (!rows->known || rows->lease_revision != revision)
-		rows->seen_ms = now_ms;
+		rows->first_seen_ms = now_ms;
 	rows->lease_revision = revision;
 	rows->is_free = row == NULL;
 	rows->counter = 0;
@@ -44,7 +44,7 @@
 /* An epoch row that cannot be read must not restart the epochs at 1: workers and rows of an older
  * holder would then pass for newer ones. The cell is left alone until an operator mends the row. */
 static void
-take_epoch (struct dff_lease_rows *rows, const struct dff_table_row *row)
+apply_epoch_row (struct dff_lease_rows *rows, const struct dff_table_row *row)
 {
 	rows->epoch_revision = row != NULL ? row->revision : 0;
 	rows->epoch = 0;
@@ -58,13 +58,13 @@
 }
 
 void
-dff_lease_rows_take (struct dff_lease_rows *rows,
-		     const struct dff_table_row *lease,
-		     const struct dff_table_row *epoch,
-		     int64_t now_ms)
+dff_lease_rows_apply (struct dff_lease_rows *rows,
+		      const struct dff_table_row *lease,
+		      const struct dff_table_row *epoch,
+		      int64_t now_ms)
 {
-	take_lease (rows, lease, now_ms);
-	take_epoch (rows, epoch);
+	apply_lease_row (rows, lease, now_ms);
+	apply_epoch_row (rows, epoch);
 	rows->known = true;
 }
 
--- a/cell/lease_rows.h
+++ b/cell/lease_rows.h
@@ -20,7 +20,7 @@
 	int64_t epoch_revision;
 	int64_t epoch;
 	/** When this revision of the lease row was first seen here. */
-	int64_t seen_ms;
+	int64_t first_seen_ms;
 };
 
 /** Returns: (nullable): the row under @key. */
@@ -28,10 +28,10 @@
 						struct dff_str key);
 
 /** Takes both rows in as read; either may be NULL: it does not exist. */
-void dff_lease_rows_take (struct dff_lease_rows *rows,
-			  const struct dff_table_row *lease,
-			  const struct dff_table_row *epoch,
-			  int64_t now_ms);
+void dff_lease_rows_apply (struct dff_lease_rows *rows,
+			   const struct dff_table_row *lease,
+			   const struct dff_table_row *epoch,
+			   int64_t now_ms);
 
 /** Value of the next lease row; an empty @instance releases it. */
 GString *dff_lease_rows_next_lease (const struct dff_lease_rows *rows, const char *instance);
--- a/cell/records.c
+++ b/cell/records.c
@@ -11,7 +11,7 @@
 
 /** A start intent that could not be sent for this long is given up; its workers are wanted by
  * others, ms. */
-#define START_GIVE_UP_MS 5000
+#define START_WRITE_TIMEOUT_MS 5000
 
 void
 dff_cell_write_free (gpointer data)
@@ -25,7 +25,7 @@
 }
 
 static void
-tell_attempt (struct dff_cell *cell, struct dff_cell_job *job, enum dff_event_type type)
+report_attempt (struct dff_cell *cell, struct dff_cell_job *job, enum dff_event_type type)
 {
 	const struct dff_cell_write *write = g_queue_peek_head (&job->writes);
 	struct dff_event event = {
@@ -33,7 +33,7 @@
 		.job = job->row->spec.id,
 		.attempt = write->attempt,
 	};
-	dff_cell_event (cell, &event);
+	dff_cell_queue_event (cell, &event);
 }
 
 /** Goes on to the next write of the job. */
@@ -67,10 +67,10 @@
 
 /** Puts what @write says into @row. Arrays are lent, not copied. */
 static void
-apply (const struct dff_cell *cell,
-       const struct dff_cell_job *job,
-       const struct dff_cell_write *write,
-       struct dff_job_row *row)
+apply_write (const struct dff_cell *cell,
+	     const struct dff_cell_job *job,
+	     const struct dff_cell_write *write,
+	     struct dff_job_row *row)
 {
 	row->epoch = cell->epoch;
 	row->attempt = write->attempt;
@@ -104,19 +104,19 @@
 	struct dff_job_row next = *job->row;
 	next.placements = no_placements;
 	next.incarnations = no_incarnations;
-	apply (cell, job, write, &next);
+	apply_write (cell, job, write, &next);
 	return dff_job_row_encode (&next);
 }
 
 /** The head write is durable. */
 static void
-adopt (struct dff_cell *cell, struct dff_cell_job *job, int64_t revision)
+apply_durable_write (struct dff_cell *cell, struct dff_cell_job *job, int64_t revision)
 {
 	const struct dff_cell_write *write = g_queue_peek_head (&job->writes);
 	struct dff_job_row *row = job->row;
 	GArray *placements = row->placements;
 	GArray *incarnations = row->incarnations;
-	apply (cell, job, write, row);
+	apply_write (cell, job, write, row);
 	row->revision = revision;
 	row->placements = placements;
 	row->incarnations = incarnations;
@@ -136,11 +136,11 @@
 {
 	struct dff_name id = job->row->spec.id;
 	enum dff_outcome outcome = job->row->outcome;
-	bool gone = job->gone;
-	tell_attempt (cell, job, DFF_EVENT_OUTCOME_RECORDED);
-	dff_cell_span_end (cell, job, gone ? "gone" : "ok");
+	bool elsewhere = job->ended_elsewhere;
+	report_attempt (cell, job, DFF_EVENT_OUTCOME_RECORDED);
+	dff_cell_span_end (cell, job, elsewhere ? "gone" : "ok");
 	dff_cell_job_remove (cell, &id);
-	if (gone)
+	if (elsewhere)
 		return;
 	cell->ended[outcome] += 1;
 	if (cell->options.callbacks.job_changed != NULL)
@@ -152,7 +152,7 @@
 {
 	const struct dff_cell_write *write = g_queue_peek_head (&job->writes);
 	enum dff_cell_write_type type = write->type;
-	adopt (cell, job, revision);
+	apply_durable_write (cell, job, revision);
 	if (type == DFF_CELL_WRITE_END) {
 		end_job (cell, job);
 		return;
@@ -160,7 +160,7 @@
 	dff_cell_batch_progress (cell, job->row);
 	if (type == DFF_CELL_WRITE_START) {
 		dff_cell_span_next (cell, job, "ok", "start");
-		tell_attempt (cell, job, DFF_EVENT_ATTEMPT_RECORDED);
+		report_attempt (cell, job, DFF_EVENT_ATTEMPT_RECORDED);
 	}
 	if (cell->options.callbacks.job_changed != NULL)
 		cell->options.callbacks.job_changed (cell->options.callbacks.ctx,
@@ -172,16 +172,16 @@
 refuse_start (struct dff_cell *cell, struct dff_cell_job *job)
 {
 	dff_cell_span_next (cell, job, "refused", "queue");
-	tell_attempt (cell, job, DFF_EVENT_ATTEMPT_REFUSED);
+	report_attempt (cell, job, DFF_EVENT_ATTEMPT_REFUSED);
 	next_write (cell, job);
 }
 
-/* The row was ended by somebody else or is gone: the job only has to leave the core. Nothing is
- * written and nothing counted. */
+/* The row was ended by somebody else or is elsewhere: the job only has to abandon_job the core.
+ * Nothing is written and nothing counted. */
 static void
-leave (struct dff_cell *cell, struct dff_cell_job *job)
+abandon_job (struct dff_cell *cell, struct dff_cell_job *job)
 {
-	job->gone = true;
+	job->ended_elsewhere = true;
 	dff_cell_job_cancelled (cell, job);
 	const struct dff_cell_write *write = g_queue_peek_head (&job->writes);
 	if (write->type == DFF_CELL_WRITE_END)
@@ -194,11 +194,11 @@
 
 /** The row as it is after a conflict. */
 static void
-take_conflict (struct dff_cell *cell, struct dff_cell_job *job, const struct dff_job_row *row)
+resolve_conflict (struct dff_cell *cell, struct dff_cell_job *job, const struct dff_job_row *row)
 {
 	const struct dff_cell_write *write = g_queue_peek_head (&job->writes);
 	if (row == NULL || row->state == DFF_JOB_ROW_ENDED) {
-		leave (cell, job);
+		abandon_job (cell, job);
 		return;
 	}
 	job->row->revision = row->revision;
@@ -242,7 +242,7 @@
 	DFF_AUTO (dff_job_row) row = NULL;
 	if (found != NULL)
 		row = dff_job_row_decode (found->value, found->revision, NULL);
-	take_conflict (cell, job, row);
+	resolve_conflict (cell, job, row);
 }
 
 /** Finds out whose write was in the way. */
@@ -294,8 +294,8 @@
 	const struct dff_cell_write *write = g_queue_peek_head (&job->writes);
 	if (write == NULL || job->writing)
 		return;
-	if (job->gone) {
-		leave (cell, job);
+	if (job->ended_elsewhere) {
+		abandon_job (cell, job);
 		return;
 	}
 	job->writing = true;
@@ -313,7 +313,8 @@
 		.n_conditions = G_N_ELEMENTS (conditions),
 		.writes = &table_write,
 		.n_writes = 1,
-		.queue_timeout_ms = write->type == DFF_CELL_WRITE_START ? START_GIVE_UP_MS : 0,
+		.queue_timeout_ms =
+			write->type == DFF_CELL_WRITE_START ? START_WRITE_TIMEOUT_MS : 0,
 	};
 	struct dff_cell_call *call = dff_cell_call_begin (cell, DFF_CELL_CALL_WRITE);
 	call->task.job = job->row->spec.id;
--- a/cell/recovery.c
+++ b/cell/recovery.c
@@ -11,7 +11,7 @@
  */
 
 /** Longest wait for the workers' answers: a worker that is down must not hold up the others. */
-#define QUERY_LIMIT_MS 1500
+#define QUERY_TIMEOUT_MS 1500
 
 void
 dff_cell_recovery_begin (struct dff_cell *cell)
@@ -21,12 +21,12 @@
 	cell->recovery.begun_ms = dff_cell_now_ms (cell);
 	cell->recovery.n_queries = 0;
 	cell->recovery.query_until_ms = 0;
-	g_array_set_size (cell->recovery.found, 0);
+	g_array_set_size (cell->recovery.reports, 0);
 	dff_cell_feed_start (cell);
 }
 
 void
-dff_cell_recovery_take_row (struct dff_cell *cell, struct dff_job_row *row)
+dff_cell_recovery_apply_row (struct dff_cell *cell, struct dff_job_row *row)
 {
 	const struct dff_name id = row->spec.id;
 	/* A row that changed while the pages were read comes again, newer. */
@@ -69,17 +69,17 @@
 {
 	int64_t now_ms = dff_cell_now_ms (cell);
 	add_placed_workers (cell);
-	cell->recovery.query_until_ms = now_ms + QUERY_LIMIT_MS;
+	cell->recovery.query_until_ms = now_ms + QUERY_TIMEOUT_MS;
 	GHashTableIter iter;
 	gpointer value;
 	g_hash_table_iter_init (&iter, cell->workers);
 	while (g_hash_table_iter_next (&iter, NULL, &value)) {
 		struct dff_cell_worker *worker = value;
 		worker->since_ms = now_ms;
-		worker->answered_ms = 0;
+		worker->renewed_ms = 0;
 		worker->reachable = true;
 		worker->querying = false;
-		worker->told = false;
+		worker->reported = false;
 		cell->recovery.n_queries += 1;
 		dff_cell_worker_query (cell, &worker->name, now_ms);
 	}
@@ -96,34 +96,35 @@
 		return;
 	}
 	for (size_t i = 0; i < result->n_reports; i++) {
-		struct dff_cell_found found = {
+		struct dff_cell_recovery_report found = {
 			.worker = *name,
 			.incarnation = result->incarnation,
 			.report = result->reports[i],
 		};
-		g_array_append_val (cell->recovery.found, found);
+		g_array_append_val (cell->recovery.reports, found);
 	}
 }
 
 static void
-note_found (struct dff_cell *cell)
+set_recovered_states (struct dff_cell *cell)
 {
-	for (guint i = 0; i < cell->recovery.found->len; i++) {
-		const struct dff_cell_found *found =
-			&g_array_index (cell->recovery.found, struct dff_cell_found, i);
+	for (guint i = 0; i < cell->recovery.reports->len; i++) {
+		const struct dff_cell_recovery_report *found =
+			&g_array_index (cell->recovery.reports, struct dff_cell_recovery_report, i);
 		struct dff_cell_job *job = dff_cell_job_find (cell, &found->report.task.job);
 		struct dff_cell_member *member =
 			job != NULL ? dff_cell_job_member (job, &found->report.task) : NULL;
 		if (member != NULL && dff_name_equal (&member->placement.worker, &found->worker))
-			member->found = found->report.state;
+			member->recovered_state = found->report.state;
 	}
 }
 
 static bool
 is_present (const struct dff_cell_member *member)
 {
-	return member->found == DFF_TASK_HELD || member->found == DFF_TASK_RUNNING ||
-	       member->found == DFF_TASK_COMPLETED;
+	return member->recovered_state == DFF_TASK_HELD ||
+	       member->recovered_state == DFF_TASK_RUNNING ||
+	       member->recovered_state == DFF_TASK_COMPLETED;
 }
 
 /** Whether every member is held, runs or has completed: the attempt can go on as a whole. */
@@ -144,8 +145,8 @@
 	for (guint i = 0; i < job->members->len; i++) {
 		struct dff_cell_member *member =
 			&g_array_index (job->members, struct dff_cell_member, i);
-		bool runs = whole || member->found == DFF_TASK_RUNNING ||
-			    member->found == DFF_TASK_COMPLETED;
+		bool runs = whole || member->recovered_state == DFF_TASK_RUNNING ||
+			    member->recovered_state == DFF_TASK_COMPLETED;
 		member->sent = true;
 		member->in_doubt = true;
 		member->started = runs;
@@ -163,8 +164,8 @@
 	for (guint i = 0; i < job->members->len; i++) {
 		const struct dff_cell_member *member =
 			&g_array_index (job->members, struct dff_cell_member, i);
-		if (member->found == DFF_TASK_HELD)
-			dff_cell_want (cell, job, (int32_t)i, DFF_CELL_WANT_RELEASE);
+		if (member->recovered_state == DFF_TASK_HELD)
+			dff_cell_set_wanted (cell, job, (int32_t)i, DFF_CELL_WANT_RELEASE);
 	}
 }
 
@@ -178,7 +179,7 @@
 	job->recovered = open;
 	if (whole || !open)
 		dff_cell_span_next (cell, job, "ok", whole ? "run" : "queue");
-	job->cancel_told = row->cancel_requested;
+	job->cancel_reported = row->cancel_requested;
 	const struct dff_recovered_attempt recovered = {
 		.attempt = row->attempt,
 		.open = open,
@@ -222,14 +223,14 @@
 }
 
 static void
-take_found (struct dff_cell *cell)
+apply_reports (struct dff_cell *cell)
 {
-	for (guint i = 0; i < cell->recovery.found->len; i++) {
-		const struct dff_cell_found *found =
-			&g_array_index (cell->recovery.found, struct dff_cell_found, i);
-		dff_cell_take_report (cell, &found->worker, found->incarnation, &found->report);
+	for (guint i = 0; i < cell->recovery.reports->len; i++) {
+		const struct dff_cell_recovery_report *found =
+			&g_array_index (cell->recovery.reports, struct dff_cell_recovery_report, i);
+		dff_cell_apply_report (cell, &found->worker, found->incarnation, &found->report);
 	}
-	g_array_set_size (cell->recovery.found, 0);
+	g_array_set_size (cell->recovery.reports, 0);
 }
 
 static void
@@ -238,14 +239,14 @@
 	int64_t now_ms = dff_cell_now_ms (cell);
 	cell->core = dff_core_new (&cell->options.core);
 	dff_core_set_pool (cell->core, cell->pool, now_ms);
-	dff_cell_workers_tell (cell, true);
-	dff_cell_deliver (cell);
-	note_found (cell);
+	dff_cell_workers_report (cell, true);
+	dff_cell_deliver_events (cell);
+	set_recovered_states (cell);
 	g_autoptr (GPtrArray) jobs = jobs_in_order (cell);
 	for (guint i = 0; i < jobs->len; i++)
 		recover_job (cell, g_ptr_array_index (jobs, i));
 	cell->phase = DFF_CELL_ACTIVE;
-	take_found (cell);
+	apply_reports (cell);
 	int64_t took_ms = now_ms - cell->recovery.begun_ms;
 	*cell->metrics.recoveries += 1;
 	*cell->metrics.recovery_ms = took_ms;
--- a/cell/reports.c
+++ b/cell/reports.c
@@ -11,11 +11,11 @@
 }
 
 static void
-tell (struct dff_cell *cell,
-      const struct dff_cell_job *job,
-      const struct dff_cell_member *member,
-      enum dff_event_type type,
-      bool ran)
+queue_member_event (struct dff_cell *cell,
+		    const struct dff_cell_job *job,
+		    const struct dff_cell_member *member,
+		    enum dff_event_type type,
+		    bool ran)
 {
 	struct dff_event event = {
 		.type = type,
@@ -24,24 +24,24 @@
 		.member = member_index (job, member),
 		.ran = ran,
 	};
-	dff_cell_event (cell, &event);
+	dff_cell_queue_event (cell, &event);
 }
 
 void
-dff_cell_member_over (struct dff_cell *cell,
-		      struct dff_cell_job *job,
-		      struct dff_cell_member *member,
-		      enum dff_event_type type,
-		      bool ran)
+dff_cell_member_ended (struct dff_cell *cell,
+		       struct dff_cell_job *job,
+		       struct dff_cell_member *member,
+		       enum dff_event_type type,
+		       bool ran)
 {
-	if (member->over)
+	if (member->ended)
 		return;
-	member->over = true;
+	member->ended = true;
 	member->wanted = DFF_CELL_WANT_NOTHING;
 	member->wanted_seq++;
 	if (type == DFF_EVENT_TASK_LOST)
 		*cell->metrics.lost += 1;
-	tell (cell, job, member, type, ran);
+	queue_member_event (cell, job, member, type, ran);
 }
 
 void
@@ -49,16 +49,16 @@
 			 struct dff_cell_job *job,
 			 struct dff_cell_member *member)
 {
-	if (member->over || member->started)
+	if (member->ended || member->started)
 		return;
 	member->started = true;
 	member->started_ms = dff_cell_now_ms (cell);
-	tell (cell, job, member, DFF_EVENT_TASK_STARTED, false);
+	queue_member_event (cell, job, member, DFF_EVENT_TASK_STARTED, false);
 	dff_cell_span_started (cell, job);
 }
 
 static void
-take_result (struct dff_cell_job *job, const struct dff_task_report *report)
+store_result (struct dff_cell_job *job, const struct dff_task_report *report)
 {
 	if (report->task.member != 0)
 		return;
@@ -72,31 +72,31 @@
  * only from the incarnation that was there when the intent was recorded, or for a member that was
  * held and that nobody can have let go. */
 static void
-take_tombstone (struct dff_cell *cell,
-		struct dff_cell_job *job,
-		struct dff_cell_member *member,
-		int64_t incarnation)
+handle_tombstone (struct dff_cell *cell,
+		  struct dff_cell_job *job,
+		  struct dff_cell_member *member,
+		  int64_t incarnation)
 {
-	bool vouched = incarnation != 0 && incarnation == member->incarnation;
-	bool never_let_go = !job->recovered && !member->released;
-	enum dff_event_type proven =
+	bool same_incarnation = incarnation != 0 && incarnation == member->incarnation;
+	bool never_released = !job->recovered && !member->released;
+	enum dff_event_type ended_type =
 		member->refused ? DFF_EVENT_TASK_START_FAILED : DFF_EVENT_TASK_STOPPED;
-	if (vouched || never_let_go)
-		dff_cell_member_over (cell, job, member, proven, false);
+	if (same_incarnation || never_released)
+		dff_cell_member_ended (cell, job, member, ended_type, false);
 	else if (incarnation == 0)
 		dff_cell_worker_query (cell, &member->placement.worker, dff_cell_now_ms (cell));
 	else
-		dff_cell_member_over (cell, job, member, DFF_EVENT_TASK_LOST, true);
+		dff_cell_member_ended (cell, job, member, DFF_EVENT_TASK_LOST, true);
 }
 
 static void
-take_current (struct dff_cell *cell,
-	      struct dff_cell_job *job,
-	      struct dff_cell_member *member,
-	      int64_t incarnation,
-	      const struct dff_task_report *report)
+apply_task_state (struct dff_cell *cell,
+		  struct dff_cell_job *job,
+		  struct dff_cell_member *member,
+		  int64_t incarnation,
+		  const struct dff_task_report *report)
 {
-	if (member->over)
+	if (member->ended)
 		return;
 	member->released = member->released || report->ran;
 	switch (report->state) {
@@ -107,17 +107,17 @@
 		dff_cell_member_started (cell, job, member);
 		break;
 	case DFF_TASK_COMPLETED:
-		take_result (job, report);
-		dff_cell_member_over (cell, job, member, DFF_EVENT_TASK_COMPLETED, true);
+		store_result (job, report);
+		dff_cell_member_ended (cell, job, member, DFF_EVENT_TASK_COMPLETED, true);
 		break;
 	case DFF_TASK_FAILED:
-		dff_cell_member_over (cell, job, member, DFF_EVENT_TASK_FAILED, report->ran);
+		dff_cell_member_ended (cell, job, member, DFF_EVENT_TASK_FAILED, report->ran);
 		break;
 	case DFF_TASK_STOPPED:
-		dff_cell_member_over (cell, job, member, DFF_EVENT_TASK_STOPPED, report->ran);
+		dff_cell_member_ended (cell, job, member, DFF_EVENT_TASK_STOPPED, report->ran);
 		break;
 	case DFF_TASK_REFUSED:
-		take_tombstone (cell, job, member, incarnation);
+		handle_tombstone (cell, job, member, incarnation);
 		break;
 	}
 }
@@ -146,16 +146,16 @@
 }
 
 void
-dff_cell_take_report (struct dff_cell *cell,
-		      const struct dff_name *worker,
-		      int64_t incarnation,
-		      const struct dff_task_report *report)
+dff_cell_apply_report (struct dff_cell *cell,
+		       const struct dff_name *worker,
+		       int64_t incarnation,
+		       const struct dff_task_report *report)
 {
 	struct dff_cell_job *job = dff_cell_job_find (cell, &report->task.job);
 	struct dff_cell_member *member =
 		job != NULL ? dff_cell_job_member (job, &report->task) : NULL;
 	if (member != NULL && dff_name_equal (&member->placement.worker, worker)) {
-		take_current (cell, job, member, incarnation, report);
+		apply_task_state (cell, job, member, incarnation, report);
 		return;
 	}
 	/* An attempt that is newer than the row known here belongs to a later holder. */
@@ -182,35 +182,35 @@
 		for (guint i = 0; i < job->members->len; i++) {
 			struct dff_cell_member *member =
 				&g_array_index (job->members, struct dff_cell_member, i);
-			if (!member->over && dff_name_equal (&member->placement.worker, worker))
+			if (!member->ended && dff_name_equal (&member->placement.worker, worker))
 				visit (cell, job, member, user);
 		}
 	}
 }
 
 static void
-lose (struct dff_cell *cell,
-      struct dff_cell_job *job,
-      struct dff_cell_member *member,
-      G_GNUC_UNUSED const void *user)
+mark_lost (struct dff_cell *cell,
+	   struct dff_cell_job *job,
+	   struct dff_cell_member *member,
+	   G_GNUC_UNUSED const void *user)
 {
 	if (member->sent || job->recovered)
-		dff_cell_member_over (cell, job, member, DFF_EVENT_TASK_LOST, member->released);
+		dff_cell_member_ended (cell, job, member, DFF_EVENT_TASK_LOST, member->released);
 }
 
 void
-dff_cell_lose_tasks (struct dff_cell *cell, const struct dff_name *worker)
+dff_cell_mark_tasks_lost (struct dff_cell *cell, const struct dff_name *worker)
 {
-	for_each_member_at (cell, worker, lose, NULL);
+	for_each_member_at (cell, worker, mark_lost, NULL);
 }
 
-struct whole_answer {
+struct full_report {
 	const struct dff_worker_result *result;
-	int64_t asked_ms;
+	int64_t query_sent_ms;
 };
 
 static bool
-knows (const struct dff_worker_result *result, const struct dff_task_id *task)
+has_task (const struct dff_worker_result *result, const struct dff_task_id *task)
 {
 	for (size_t i = 0; i < result->n_reports; i++) {
 		const struct dff_task_id *id = &result->reports[i].task;
@@ -224,31 +224,31 @@
 /* Only a member that had started before the worker was asked can be missed: a start that is still
  * on its way is not lost. */
 static void
-lose_if_unknown (struct dff_cell *cell,
-		 struct dff_cell_job *job,
-		 struct dff_cell_member *member,
-		 const void *user)
+mark_lost_if_missing (struct dff_cell *cell,
+		      struct dff_cell_job *job,
+		      struct dff_cell_member *member,
+		      const void *user)
 {
-	const struct whole_answer *answer = user;
+	const struct full_report *answer = user;
 	const struct dff_task_id task = {
 		job->row->spec.id,
 		job->row->attempt,
 		member_index (job, member),
 	};
-	if (!member->started || member->started_ms >= answer->asked_ms ||
-	    knows (answer->result, &task))
+	if (!member->started || member->started_ms >= answer->query_sent_ms ||
+	    has_task (answer->result, &task))
 		return;
-	dff_cell_member_over (cell, job, member, DFF_EVENT_TASK_LOST, member->released);
+	dff_cell_member_ended (cell, job, member, DFF_EVENT_TASK_LOST, member->released);
 }
 
 void
-dff_cell_take_whole (struct dff_cell *cell,
-		     const struct dff_name *worker,
-		     const struct dff_worker_result *result,
-		     int64_t asked_ms)
+dff_cell_apply_full_report (struct dff_cell *cell,
+			    const struct dff_name *worker,
+			    const struct dff_worker_result *result,
+			    int64_t query_sent_ms)
 {
 	for (size_t i = 0; i < result->n_reports; i++)
-		dff_cell_take_report (cell, worker, result->incarnation, &result->reports[i]);
-	struct whole_answer answer = {.result = result, .asked_ms = asked_ms};
-	for_each_member_at (cell, worker, lose_if_unknown, &answer);
+		dff_cell_apply_report (cell, worker, result->incarnation, &result->reports[i]);
+	struct full_report answer = {.result = result, .query_sent_ms = query_sent_ms};
+	for_each_member_at (cell, worker, mark_lost_if_missing, &answer);
 }
--- a/cell/retention.c
+++ b/cell/retention.c
@@ -13,33 +13,33 @@
  */
 
 /** Time for which this holder has to have known a row as ended, by its monotonic clock, ms. */
-#define SEEN_MIN_MS 600000
+#define KNOWN_MIN_MS 600000
 /** Interval at which the feed's place is noted, ms. */
-#define NOTE_INTERVAL_MS 30000
+#define SAMPLE_INTERVAL_MS 30000
 /** Wait between two sweeps, ms. */
 #define SWEEP_INTERVAL_MS 600000
 /** Units deleted at once, and the wait before the next ones, ms. */
 #define DELETE_UNITS 30
 #define DELETE_INTERVAL_MS 1000
 /** Wait between two reads about a batch, ms. */
-#define JUDGE_INTERVAL_MS 50
+#define CHECK_INTERVAL_MS 50
 /** A deletion that could not be sent for this long is left to the next sweep, ms. */
-#define DELETE_GIVE_UP_MS 5000
+#define DELETE_TIMEOUT_MS 5000
 /** Ended rows in a row that are too young before a sweep stops. One alone may have its time from a
  * clock that was wrong. */
-#define YOUNG_MAX 64
+#define RECENT_MAX 64
 #define MS_PER_S 1000
 
 /** What the sweep knows of a batch. */
-enum verdict {
-	DFF_VERDICT_NONE,
-	DFF_VERDICT_KEPT,
+enum batch_check {
+	DFF_BATCH_NOT_CHECKED,
+	DFF_BATCH_KEPT,
 	/** Its own row is gone. */
-	DFF_VERDICT_GONE,
+	DFF_BATCH_DELETED,
 };
 
 /** What revision of the table the feed had seen at a time. */
-struct note {
+struct revision_sample {
 	int64_t at_ms;
 	int64_t revision;
 };
@@ -56,9 +56,9 @@
 dff_cell_retention_init (struct dff_cell *cell)
 {
 	struct dff_cell_retention *retention = &cell->retention;
-	retention->notes = g_array_new (FALSE, TRUE, sizeof (struct note));
+	retention->samples = g_array_new (FALSE, TRUE, sizeof (struct revision_sample));
 	retention->expired = g_array_new (FALSE, TRUE, sizeof (struct expired));
-	retention->verdicts =
+	retention->batch_checks =
 		g_hash_table_new_full (dff_name_hash, dff_name_equal_func, g_free, NULL);
 	dff_cell_retention_clear (cell);
 }
@@ -67,49 +67,51 @@
 dff_cell_retention_clear (struct dff_cell *cell)
 {
 	struct dff_cell_retention *retention = &cell->retention;
-	g_array_set_size (retention->notes, 0);
+	g_array_set_size (retention->samples, 0);
 	g_array_set_size (retention->expired, 0);
-	g_hash_table_remove_all (retention->verdicts);
+	g_hash_table_remove_all (retention->batch_checks);
 	retention->next = 0;
 	retention->cursor = 0;
 	retention->more = true;
-	retention->n_young = 0;
-	retention->n_waiting = 0;
-	retention->judging = false;
+	retention->n_recent = 0;
+	retention->n_outstanding = 0;
+	retention->checking = false;
 	retention->due_ms = 0;
 }
 
 void
 dff_cell_retention_free (struct dff_cell *cell)
 {
-	g_array_unref (cell->retention.notes);
+	g_array_unref (cell->retention.samples);
 	g_array_unref (cell->retention.expired);
-	g_hash_table_unref (cell->retention.verdicts);
+	g_hash_table_unref (cell->retention.batch_checks);
 }
 
 /* A row whose revision is not above one that the table had at a time has stood as it is since then.
- * One note for each interval tells that of any number of rows. */
+ * One revision_sample for each interval tells that of any number of rows. */
 static void
-take_note (struct dff_cell *cell)
+take_sample (struct dff_cell *cell)
 {
-	GArray *notes = cell->retention.notes;
+	GArray *samples = cell->retention.samples;
 	int64_t now_ms = dff_cell_now_ms (cell);
-	if (notes->len > 0 &&
-	    now_ms < g_array_index (notes, struct note, notes->len - 1).at_ms + NOTE_INTERVAL_MS)
+	if (samples->len > 0 &&
+	    now_ms < g_array_index (samples, struct revision_sample, samples->len - 1).at_ms +
+			     SAMPLE_INTERVAL_MS)
 		return;
-	struct note note = {.at_ms = now_ms, .revision = cell->feed.seen};
-	g_array_append_val (notes, note);
-	while (notes->len > 1 &&
-	       g_array_index (notes, struct note, 1).at_ms <= now_ms - SEEN_MIN_MS)
-		g_array_remove_index (notes, 0);
+	struct revision_sample sample = {.at_ms = now_ms, .revision = cell->feed.scanned_revision};
+	g_array_append_val (samples, sample);
+	while (samples->len > 1 &&
+	       g_array_index (samples, struct revision_sample, 1).at_ms <= now_ms - KNOWN_MIN_MS)
+		g_array_remove_index (samples, 0);
 }
 
 /* Returns: the revision up to which rows have stood for long enough; 0: none. */
 static int64_t
-seen_revision (const struct dff_cell *cell)
+settled_revision (const struct dff_cell *cell)
 {
-	const struct note *first = &g_array_index (cell->retention.notes, struct note, 0);
-	return first->at_ms <= dff_cell_now_ms (cell) - SEEN_MIN_MS ? first->revision : 0;
+	const struct revision_sample *first =
+		&g_array_index (cell->retention.samples, struct revision_sample, 0);
+	return first->at_ms <= dff_cell_now_ms (cell) - KNOWN_MIN_MS ? first->revision : 0;
 }
 
 /* The wall clock, which may be wrong, says that the retention is over; the monotonic one, which
@@ -119,7 +121,7 @@
 {
 	int64_t age_ms = dff_clock_wall_ms (cell->options.clock) - ended_wall_ms;
 	return ended_wall_ms > 0 && age_ms >= (int64_t)cell->options.retention_s * MS_PER_S &&
-	       revision <= seen_revision (cell);
+	       revision <= settled_revision (cell);
 }
 
 static bool
@@ -133,7 +135,7 @@
 static struct dff_cell_call *
 begin_call (struct dff_cell *cell, enum dff_cell_call_type type)
 {
-	cell->retention.n_waiting += 1;
+	cell->retention.n_outstanding += 1;
 	return dff_cell_call_begin (cell, type);
 }
 
@@ -143,7 +145,7 @@
 {
 	if (!dff_cell_call_end (user, call))
 		return false;
-	call->cell->retention.n_waiting -= 1;
+	call->cell->retention.n_outstanding -= 1;
 	return true;
 }
 
@@ -153,12 +155,12 @@
 {
 	if (result->outcome == DFF_TABLE_OK)
 		return true;
-	cell->retention.due_ms = dff_cell_now_ms (cell) + DELETE_GIVE_UP_MS;
+	cell->retention.due_ms = dff_cell_now_ms (cell) + DELETE_TIMEOUT_MS;
 	return false;
 }
 
 static void
-take_row (struct dff_cell *cell, const struct dff_table_row *table_row)
+handle_row (struct dff_cell *cell, const struct dff_table_row *table_row)
 {
 	struct dff_cell_retention *retention = &cell->retention;
 	DFF_AUTO (dff_job_row)
@@ -167,10 +169,10 @@
 	if (row == NULL || row->state != DFF_JOB_ROW_ENDED)
 		return;
 	if (!is_expired (cell, row)) {
-		retention->n_young += 1;
+		retention->n_recent += 1;
 		return;
 	}
-	retention->n_young = 0;
+	retention->n_recent = 0;
 	struct expired expired = {
 		.id = row->spec.id,
 		.batch = row->batch,
@@ -188,8 +190,8 @@
 		return;
 	struct dff_cell_retention *retention = &call.cell->retention;
 	for (size_t i = 0; i < result->n_rows; i++)
-		take_row (call.cell, &result->rows[i]);
-	retention->more = result->more && retention->n_young < YOUNG_MAX;
+		handle_row (call.cell, &result->rows[i]);
+	retention->more = result->more && retention->n_recent < RECENT_MAX;
 }
 
 static void
@@ -222,12 +224,12 @@
 }
 
 static void
-set_verdict (struct dff_cell *cell, enum verdict verdict)
+set_batch_check (struct dff_cell *cell, enum batch_check batch_check)
 {
 	struct dff_cell_retention *retention = &cell->retention;
-	retention->judging = false;
-	g_hash_table_insert (retention->verdicts, dff_name_dup (&retention->batch),
-			     GINT_TO_POINTER (verdict));
+	retention->checking = false;
+	g_hash_table_insert (retention->batch_checks, dff_name_dup (&retention->batch),
+			     GINT_TO_POINTER (batch_check));
 }
 
 static void
@@ -236,8 +238,8 @@
 	(void)revision;
 	struct dff_cell_call call;
 	if (end_call (user, &call))
-		set_verdict (call.cell,
-			     outcome == DFF_RECORD_COMMITTED ? DFF_VERDICT_GONE : DFF_VERDICT_KEPT);
+		set_batch_check (call.cell, outcome == DFF_RECORD_COMMITTED ? DFF_BATCH_DELETED
+									    : DFF_BATCH_KEPT);
 }
 
 /* Deletes @key, and "idem/HASH" with it unless @hash is NULL, if @condition holds, and @key is
@@ -268,7 +270,7 @@
 		.n_conditions = condition != NULL ? 3 : 2,
 		.writes = writes,
 		.n_writes = hash != NULL ? 2 : 1,
-		.queue_timeout_ms = DELETE_GIVE_UP_MS,
+		.queue_timeout_ms = DELETE_TIMEOUT_MS,
 	};
 	call->ticket = dff_recorder_write (cell->options.recorder, &record, done, call);
 }
@@ -287,7 +289,7 @@
 		row = dff_job_row_decode (found->value, found->revision, NULL);
 		retention->batch_cursor = found->revision;
 		if (row == NULL || !is_expired (cell, row)) {
-			set_verdict (cell, DFF_VERDICT_KEPT);
+			set_batch_check (cell, DFF_BATCH_KEPT);
 			return;
 		}
 	}
@@ -300,11 +302,11 @@
 
 /* Reads the next page of the batch's jobs. */
 static void
-judge_jobs (struct dff_cell *cell)
+check_jobs (struct dff_cell *cell)
 {
 	struct dff_cell_retention *retention = &cell->retention;
 	const struct dff_table *table = cell->options.table;
-	retention->due_ms = dff_cell_now_ms (cell) + JUDGE_INTERVAL_MS;
+	retention->due_ms = dff_cell_now_ms (cell) + CHECK_INTERVAL_MS;
 	g_autoptr (GString) prefix = g_string_new (NULL);
 	g_string_printf (prefix, "job/%s/%s.", cell->options.region.data, retention->batch.data);
 	table->scan (table->ctx, (struct dff_str){prefix->str, prefix->len},
@@ -320,22 +322,22 @@
 		return;
 	struct dff_cell_retention *retention = &call.cell->retention;
 	if (result->n_rows == 0) {
-		set_verdict (call.cell, DFF_VERDICT_GONE);
+		set_batch_check (call.cell, DFF_BATCH_DELETED);
 		return;
 	}
-	retention->judging = true;
+	retention->checking = true;
 	retention->batch_revision = result->rows[0].revision;
 	retention->batch_cursor = 0;
 }
 
 static void
-judge_batch (struct dff_cell *cell, const struct dff_name *batch)
+check_batch (struct dff_cell *cell, const struct dff_name *batch)
 {
 	const struct dff_table *table = cell->options.table;
 	g_autoptr (GString) key = batch_key (cell, batch);
 	const struct dff_str text = {key->str, key->len};
 	cell->retention.batch = *batch;
-	cell->retention.due_ms = dff_cell_now_ms (cell) + JUDGE_INTERVAL_MS;
+	cell->retention.due_ms = dff_cell_now_ms (cell) + CHECK_INTERVAL_MS;
 	table->get (table->ctx, &text, 1, on_batch_row, begin_call (cell, DFF_CELL_CALL_READ));
 }
 
@@ -379,15 +381,15 @@
 	while (retention->next < retention->expired->len && units < DELETE_UNITS) {
 		const struct expired *expired =
 			&g_array_index (retention->expired, struct expired, retention->next);
-		gpointer found = g_hash_table_lookup (retention->verdicts, &expired->batch);
-		enum verdict verdict = (enum verdict)GPOINTER_TO_INT (found);
+		gpointer found = g_hash_table_lookup (retention->batch_checks, &expired->batch);
+		enum batch_check batch_check = (enum batch_check)GPOINTER_TO_INT (found);
 		bool single = dff_name_is_empty (&expired->batch);
-		if (!single && verdict == DFF_VERDICT_NONE) {
-			judge_batch (cell, &expired->batch);
+		if (!single && batch_check == DFF_BATCH_NOT_CHECKED) {
+			check_batch (cell, &expired->batch);
 			return;
 		}
 		retention->next += 1;
-		if (!single && verdict == DFF_VERDICT_KEPT)
+		if (!single && batch_check == DFF_BATCH_KEPT)
 			continue;
 		delete_job (cell, expired);
 		units += 1;
@@ -398,10 +400,10 @@
 end_sweep (struct dff_cell *cell)
 {
 	struct dff_cell_retention *retention = &cell->retention;
-	g_hash_table_remove_all (retention->verdicts);
+	g_hash_table_remove_all (retention->batch_checks);
 	retention->cursor = 0;
 	retention->more = true;
-	retention->n_young = 0;
+	retention->n_recent = 0;
 	retention->due_ms = dff_cell_now_ms (cell) + SWEEP_INTERVAL_MS;
 }
 
@@ -409,12 +411,12 @@
 dff_cell_retention_tick (struct dff_cell *cell)
 {
 	struct dff_cell_retention *retention = &cell->retention;
-	take_note (cell);
-	if (retention->n_waiting > 0 || dff_cell_now_ms (cell) < retention->due_ms ||
-	    seen_revision (cell) == 0 || dff_recorder_is_breaker_open (cell->options.recorder))
+	take_sample (cell);
+	if (retention->n_outstanding > 0 || dff_cell_now_ms (cell) < retention->due_ms ||
+	    settled_revision (cell) == 0 || dff_recorder_is_breaker_open (cell->options.recorder))
 		return;
-	if (retention->judging)
-		judge_jobs (cell);
+	if (retention->checking)
+		check_jobs (cell);
 	else if (retention->next < retention->expired->len)
 		delete_some (cell);
 	else if (retention->more)
--- a/cell/retention.h
+++ b/cell/retention.h
@@ -15,7 +15,7 @@
 struct dff_cell_retention {
 	/** Revisions of the table that were seen when, back to the time that a row has to be known
 	 * for. */
-	GArray *notes;
+	GArray *samples;
 	/** Rows of the last page that may go, and the next one of them. */
 	GArray *expired;
 	guint next;
@@ -23,15 +23,15 @@
 	int64_t cursor;
 	bool more;
 	/** Ended rows read in a row that are too young. */
-	int32_t n_young;
+	int32_t n_recent;
 	/** Calls whose answers are awaited. */
-	int32_t n_waiting;
+	int32_t n_outstanding;
 	int64_t due_ms;
 	/** struct dff_name of a batch to what the sweep knows of it. */
-	GHashTable *verdicts;
+	GHashTable *batch_checks;
 	/** The batch whose jobs are being read. */
 	struct dff_name batch;
-	bool judging;
+	bool checking;
 	int64_t batch_revision;
 	int64_t batch_cursor;
 };
@@ -43,9 +43,9 @@
 	guint next;
 	int64_t cursor;
 	bool more;
-	int32_t n_young;
+	int32_t n_recent;
 	/** Calls whose answers are awaited. */
-	int32_t n_waiting;
+	int32_t n_outstanding;
 	int64_t due_ms;
 };
 
--- a/cell/retention_attempts.c
+++ b/cell/retention_attempts.c
@@ -15,12 +15,12 @@
 #define STEP_INTERVAL_MS 2000
 /** Rows deleted at once. */
 #define DELETE_UNITS 30
-#define DELETE_GIVE_UP_MS 5000
+#define DELETE_TIMEOUT_MS 5000
 /** Rows in a row that are too young before a sweep stops. */
-#define YOUNG_MAX 64
+#define RECENT_MAX 64
 /** Rows read at once: a sweep that finds nothing reads one page, and stays within the bytes that a
  * process may spend on control. */
-#define PAGE_ROWS YOUNG_MAX
+#define PAGE_ROWS RECENT_MAX
 
 struct expired {
 	struct dff_name hash;
@@ -42,8 +42,8 @@
 	attempts->next = 0;
 	attempts->cursor = 0;
 	attempts->more = true;
-	attempts->n_young = 0;
-	attempts->n_waiting = 0;
+	attempts->n_recent = 0;
+	attempts->n_outstanding = 0;
 	attempts->due_ms = 0;
 }
 
@@ -81,17 +81,17 @@
 }
 
 static void
-take_row (struct dff_cell *cell, const struct dff_table_row *row)
+handle_row (struct dff_cell *cell, const struct dff_table_row *row)
 {
 	struct dff_cell_attempt_retention *attempts = &cell->attempt_retention;
 	const size_t skipped = strlen (PREFIX);
 	struct expired expired = {.revision = row->revision};
 	attempts->cursor = row->revision;
 	if (!is_expired (cell, row)) {
-		attempts->n_young += 1;
+		attempts->n_recent += 1;
 		return;
 	}
-	attempts->n_young = 0;
+	attempts->n_recent = 0;
 	const struct dff_str hash = {row->key.data + skipped, row->key.len - skipped};
 	if (dff_name_parse (hash, &expired.hash))
 		g_array_append_val (attempts->expired, expired);
@@ -104,12 +104,12 @@
 	if (!dff_cell_call_end (user, &call))
 		return;
 	struct dff_cell_attempt_retention *attempts = &call.cell->attempt_retention;
-	attempts->n_waiting -= 1;
+	attempts->n_outstanding -= 1;
 	if (result->outcome != DFF_TABLE_OK)
 		return;
 	for (size_t i = 0; i < result->n_rows; i++)
-		take_row (call.cell, &result->rows[i]);
-	attempts->more = result->more && attempts->n_young < YOUNG_MAX;
+		handle_row (call.cell, &result->rows[i]);
+	attempts->more = result->more && attempts->n_recent < RECENT_MAX;
 }
 
 static void
@@ -119,7 +119,7 @@
 	const struct dff_table *table = cell->options.table;
 	g_array_set_size (attempts->expired, 0);
 	attempts->next = 0;
-	attempts->n_waiting += 1;
+	attempts->n_outstanding += 1;
 	table->scan (table->ctx, dff_str_from (PREFIX), attempts->cursor, PAGE_ROWS, on_page,
 		     dff_cell_call_begin (cell, DFF_CELL_CALL_SCAN));
 }
@@ -131,7 +131,7 @@
 	struct dff_cell_call call;
 	if (!dff_cell_call_end (user, &call))
 		return;
-	call.cell->attempt_retention.n_waiting -= 1;
+	call.cell->attempt_retention.n_outstanding -= 1;
 	if (outcome == DFF_RECORD_COMMITTED)
 		*call.cell->metrics.attempts_expired += 1;
 }
@@ -150,10 +150,10 @@
 		.n_conditions = G_N_ELEMENTS (conditions),
 		.writes = &deletion,
 		.n_writes = 1,
-		.queue_timeout_ms = DELETE_GIVE_UP_MS,
+		.queue_timeout_ms = DELETE_TIMEOUT_MS,
 	};
 	struct dff_cell_call *call = dff_cell_call_begin (cell, DFF_CELL_CALL_WRITE);
-	cell->attempt_retention.n_waiting += 1;
+	cell->attempt_retention.n_outstanding += 1;
 	call->ticket = dff_recorder_write (cell->options.recorder, &record, on_deleted, call);
 }
 
@@ -172,7 +172,7 @@
 {
 	struct dff_cell_attempt_retention *attempts = &cell->attempt_retention;
 	int64_t now_ms = dff_cell_now_ms (cell);
-	if (attempts->n_waiting > 0 || now_ms < attempts->due_ms ||
+	if (attempts->n_outstanding > 0 || now_ms < attempts->due_ms ||
 	    dff_recorder_is_breaker_open (cell->options.recorder))
 		return;
 	attempts->due_ms = now_ms + STEP_INTERVAL_MS;
@@ -186,6 +186,6 @@
 	}
 	attempts->cursor = 0;
 	attempts->more = true;
-	attempts->n_young = 0;
+	attempts->n_recent = 0;
 	attempts->due_ms = now_ms + SWEEP_INTERVAL_MS;
 }
--- a/cell/status.c
+++ b/cell/status.c
@@ -64,14 +64,14 @@
 static json_t *
 teams_status (const struct dff_cell *cell, GHashTable *usages)
 {
-	static const struct usage none = {0};
+	static const struct usage no_usage = {0};
 	json_t *teams = json_array ();
 	for (guint i = 0; cell->pool != NULL && i < cell->pool->teams->len; i++) {
 		const struct dff_team *team =
 			&g_array_index (cell->pool->teams, struct dff_team, i);
 		const struct usage *usage = g_hash_table_lookup (usages, &team->name);
 		if (usage == NULL)
-			usage = &none;
+			usage = &no_usage;
 		json_array_append_new (teams,
 				       json_pack ("{s:s,s:I,s:I,s:I}", "team", team->name.data,
 						  "queued", (json_int_t)usage->queued, "running",
@@ -88,7 +88,7 @@
 	for (guint i = 0; i < rack->workers->len; i++) {
 		const struct dff_name *name = &g_array_index (rack->workers, struct dff_name, i);
 		const struct dff_cell_worker *worker = dff_cell_worker_find (cell, name);
-		up += worker != NULL && worker->told && worker->told_state == DFF_WORKER_UP;
+		up += worker != NULL && worker->reported && worker->reported_state == DFF_WORKER_UP;
 	}
 	return up;
 }
@@ -122,9 +122,9 @@
 		const struct dff_cell_batch *batch = value;
 		if (!batch->stalled)
 			continue;
-		json_int_t still_ms = dff_cell_now_ms (cell) - batch->changed_ms;
+		json_int_t idle_ms = dff_cell_now_ms (cell) - batch->changed_ms;
 		json_t *entry = json_pack ("{s:s,s:i,s:I}", "batch", batch->name.data, "jobs",
-					   (int)batch->remaining, "still_ms", still_ms);
+					   (int)batch->remaining, "still_ms", idle_ms);
 		json_array_append_new (batches, entry);
 	}
 	return batches;
--- a/cell/workers.c
+++ b/cell/workers.c
@@ -44,12 +44,12 @@
 	if (worker == NULL)
 		return;
 	worker->reachable = true;
-	worker->said_leaving = result->leaving;
+	worker->reports_leaving = result->leaving;
 	if (result->incarnation == 0 || result->incarnation == worker->incarnation)
 		return;
-	bool anew = worker->incarnation != 0;
+	bool restarted = worker->incarnation != 0;
 	worker->incarnation = result->incarnation;
-	if (!anew)
+	if (!restarted)
 		return;
 	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING,
 		 "Worker started anew. worker=%s incarnation=%" PRId64, name->data,
@@ -79,7 +79,7 @@
 static int64_t
 silent_ms (const struct dff_cell *cell, const struct dff_cell_worker *worker)
 {
-	int64_t last_ms = worker->answered_ms != 0 ? worker->answered_ms : worker->since_ms;
+	int64_t last_ms = worker->renewed_ms != 0 ? worker->renewed_ms : worker->since_ms;
 	return dff_cell_now_ms (cell) - last_ms;
 }
 
@@ -100,7 +100,7 @@
 	worker->reachable = false;
 	if (!lease_lapsed (cell, worker))
 		return;
-	dff_cell_lose_tasks (cell, name);
+	dff_cell_mark_tasks_lost (cell, name);
 	if (!worker->listed)
 		g_hash_table_remove (cell->workers, name);
 }
@@ -110,45 +110,45 @@
 {
 	if (!worker->listed || !worker->reachable)
 		return DFF_WORKER_DOWN;
-	if (worker->list_leaving || worker->said_leaving)
+	if (worker->listed_leaving || worker->reports_leaving)
 		return DFF_WORKER_LEAVING;
 	return DFF_WORKER_UP;
 }
 
 static void
-tell_state (struct dff_cell *cell, struct dff_cell_worker *worker)
+report_state (struct dff_cell *cell, struct dff_cell_worker *worker)
 {
 	enum dff_worker_state state = state_of (worker);
-	if (worker->told && worker->told_state == state)
+	if (worker->reported && worker->reported_state == state)
 		return;
-	worker->told = true;
-	worker->told_state = state;
+	worker->reported = true;
+	worker->reported_state = state;
 	struct dff_event event = {
 		.type = DFF_EVENT_WORKER_STATE,
 		.worker = worker->name,
 		.worker_state = state,
 	};
-	dff_cell_event (cell, &event);
+	dff_cell_queue_event (cell, &event);
 }
 
 void
-dff_cell_workers_tell (struct dff_cell *cell, bool again)
+dff_cell_workers_report (struct dff_cell *cell, bool again)
 {
 	GHashTableIter iter;
 	gpointer value;
 	g_hash_table_iter_init (&iter, cell->workers);
 	while (g_hash_table_iter_next (&iter, NULL, &value)) {
 		struct dff_cell_worker *worker = value;
-		worker->told = worker->told && !again;
-		tell_state (cell, worker);
+		worker->reported = worker->reported && !again;
+		report_state (cell, worker);
 	}
 }
 
 static void
-suspect (struct dff_cell *cell, struct dff_cell_worker *worker)
+query_if_silent (struct dff_cell *cell, struct dff_cell_worker *worker)
 {
-	bool quiet = !worker->reachable || !worker->listed;
-	if (!quiet || worker->querying)
+	bool unavailable = !worker->reachable || !worker->listed;
+	if (!unavailable || worker->querying)
 		return;
 	/* Before its lease has lapsed it is asked now and then, so that it is soon of use again. */
 	int64_t now_ms = dff_cell_now_ms (cell);
@@ -168,7 +168,7 @@
 		for (guint i = 0; i < job->members->len; i++) {
 			struct dff_cell_member *member =
 				&g_array_index (job->members, struct dff_cell_member, i);
-			if (member->started && !member->over)
+			if (member->started && !member->ended)
 				g_hash_table_add (busy, &member->placement.worker);
 		}
 	}
@@ -207,12 +207,12 @@
 	if (dff_cell_now_ms (cell) < cell->workers_due_ms)
 		return;
 	cell->workers_due_ms = dff_cell_now_ms (cell) + WORKERS_INTERVAL_MS;
-	dff_cell_workers_tell (cell, false);
+	dff_cell_workers_report (cell, false);
 	GHashTableIter iter;
 	gpointer value;
 	g_hash_table_iter_init (&iter, cell->workers);
 	while (g_hash_table_iter_next (&iter, NULL, &value))
-		suspect (cell, value);
+		query_if_silent (cell, value);
 	audit (cell);
 }
 
@@ -233,7 +233,7 @@
 			continue;
 		struct dff_cell_worker *worker = dff_cell_worker_add (cell, &instance->id);
 		worker->listed = true;
-		worker->list_leaving = instance->leaving;
+		worker->listed_leaving = instance->leaving;
 		worker->address = instance->address;
 		if (worker->incarnation == 0 && cell->phase == DFF_CELL_ACTIVE)
 			dff_cell_worker_query (cell, &worker->name, dff_cell_now_ms (cell));
@@ -243,7 +243,7 @@
 }
 
 static bool
-misses_a_task (const struct dff_cell *cell, const struct dff_worker_report *sighting)
+misses_task (const struct dff_cell *cell, const struct dff_worker_report *worker_report)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -254,34 +254,35 @@
 		for (guint i = 0; i < job->members->len; i++) {
 			const struct dff_cell_member *member =
 				&g_array_index (job->members, struct dff_cell_member, i);
-			placed += member->started && !member->over &&
-				  dff_name_equal (&member->placement.worker, &sighting->worker);
+			placed +=
+				member->started && !member->ended &&
+				dff_name_equal (&member->placement.worker, &worker_report->worker);
 		}
 	}
-	for (size_t i = 0; i < sighting->n_reports; i++) {
-		const struct dff_task_report *report = &sighting->reports[i];
+	for (size_t i = 0; i < worker_report->n_reports; i++) {
+		const struct dff_task_report *report = &worker_report->reports[i];
 		struct dff_cell_job *job = dff_cell_job_find (cell, &report->task.job);
 		const struct dff_cell_member *member =
 			job != NULL ? dff_cell_job_member (job, &report->task) : NULL;
-		placed -= member != NULL && member->started && !member->over;
+		placed -= member != NULL && member->started && !member->ended;
 	}
 	return placed > 0;
 }
 
 void
-dff_cell_handle_worker_report (struct dff_cell *cell, const struct dff_worker_report *sighting)
+dff_cell_handle_worker_report (struct dff_cell *cell, const struct dff_worker_report *worker_report)
 {
-	struct dff_cell_worker *worker = dff_cell_worker_find (cell, &sighting->worker);
+	struct dff_cell_worker *worker = dff_cell_worker_find (cell, &worker_report->worker);
 	if (worker == NULL || !dff_cell_is_holder (cell))
 		return;
 	int64_t now_ms = dff_cell_now_ms (cell);
-	worker->answered_ms = MAX (worker->answered_ms, now_ms - sighting->silent_ms);
-	worker->reachable = sighting->reachable;
-	if (sighting->reachable)
-		worker->said_leaving = sighting->leaving;
+	worker->renewed_ms = MAX (worker->renewed_ms, now_ms - worker_report->silent_ms);
+	worker->reachable = worker_report->reachable;
+	if (worker_report->reachable)
+		worker->reports_leaving = worker_report->leaving;
 	cell->workers_due_ms = 0;
-	if (sighting->complete && misses_a_task (cell, sighting))
-		dff_cell_worker_query (cell, &sighting->worker, now_ms);
-	for (size_t i = 0; i < sighting->n_reports; i++)
-		dff_cell_take_report (cell, &sighting->worker, 0, &sighting->reports[i]);
+	if (worker_report->complete && misses_task (cell, worker_report))
+		dff_cell_worker_query (cell, &worker_report->worker, now_ms);
+	for (size_t i = 0; i < worker_report->n_reports; i++)
+		dff_cell_apply_report (cell, &worker_report->worker, 0, &worker_report->reports[i]);
 }
--- a/include/cell/cell.h
+++ b/include/cell/cell.h
@@ -103,8 +103,7 @@
 };
 
 /** Takes in what a watcher (this process or a peer) saw. Ignored unless holder. */
-void dff_cell_handle_worker_report (struct dff_cell *cell,
-				    const struct dff_worker_report *sighting);
+void dff_cell_handle_worker_report (struct dff_cell *cell, const struct dff_worker_report *report);
 
 /** Whether this process holds the cell, its lease is good for more than the margin, and its tables
  * are rebuilt. */
--- a/tests/cell/cell_faults.h
+++ b/tests/cell/cell_faults.h
@@ -24,7 +24,7 @@
 
 /** Ends of work that runs once, after one fault of a process. */
 static inline bool
-is_honest_end (const struct shape *shape, enum dff_outcome outcome)
+is_allowed_outcome (const struct shape *shape, enum dff_outcome outcome)
 {
 	if (outcome == DFF_OUTCOME_COMPLETED)
 		return true;
@@ -43,10 +43,11 @@
 }
 
 static inline void
-check_end (struct harness *harness, int job, const struct shape *shape, const char *fault, int step)
+check_outcome (
+	struct harness *harness, int job, const struct shape *shape, const char *fault, int step)
 {
 	enum dff_outcome outcome = harness_run_job (harness, job, JOB_LIMIT_MS);
-	if (!is_honest_end (shape, outcome))
+	if (!is_allowed_outcome (shape, outcome))
 		fail_msg ("%s, %s at step %d: %s", shape->name, fault, step,
 			  dff_outcome_name (outcome));
 	harness_clear (harness);
--- a/tests/cell/cell_harness.h
+++ b/tests/cell/cell_harness.h
@@ -43,9 +43,9 @@
 	uint64_t seed;
 	/** Of the cells to be born; 0: the default. */
 	int32_t lease_ms;
-	int n_births;
+	int n_starts;
 	/** The cells to be born have not heard of any instance. */
-	bool list_unknown;
+	bool no_instance_list;
 	/** Of the jobs to be submitted; empty: none. */
 	struct dff_name batch;
 	int n_jobs;
@@ -55,13 +55,13 @@
 	/** Bit i: nobody renews leases at worker i. */
 	uint64_t unwatched;
 	/** Bit i: leases at worker i are renewed, but the cells are told that it is silent. */
-	uint64_t unseen;
-	int32_t sighting_loss_permille;
+	uint64_t reported_silent;
+	int32_t report_loss_permille;
 	/** Last renewal of each worker's leases. */
 	int64_t renewed_ms[HARNESS_WORKERS];
 	int64_t next_watch_ms;
 	/** What the promises were last checked for. */
-	int checked_notes;
+	int checked_records;
 	int64_t checked_revision;
 	/** The entry that submits and cancels. */
 	struct dff_memory_handle *entry;
@@ -82,10 +82,10 @@
 }
 
 static inline void
-harness_birth (struct harness *harness, int index)
+harness_start (struct harness *harness, int index)
 {
 	struct harness_process *process = &harness->processes[index];
-	uint64_t seed = harness->seed * 1000 + (uint64_t)++harness->n_births;
+	uint64_t seed = harness->seed * 1000 + (uint64_t)++harness->n_starts;
 	process->alive = true;
 	process->paused = false;
 	process->caller = dff_memory_open (harness->memory);
@@ -97,7 +97,7 @@
 	recorder_options.table = &process->caller->table;
 	recorder_options.clock = &harness->clock.clock;
 	recorder_options.metrics = harness->metrics;
-	recorder_options.writer = dff_name_printf ("p%d.%d", index, harness->n_births);
+	recorder_options.writer = dff_name_printf ("p%d.%d", index, harness->n_starts);
 	recorder_options.seed = seed;
 	process->recorder = dff_recorder_new (&recorder_options);
 	struct dff_cell_options options;
@@ -120,7 +120,7 @@
 	process->cell = dff_cell_new (&options);
 	dff_cell_set_rank (process->cell, index);
 	dff_cell_set_pool (process->cell, &harness->pool);
-	if (!harness->list_unknown)
+	if (!harness->no_instance_list)
 		harness_set_instances (harness, process->cell);
 }
 
@@ -146,7 +146,7 @@
 }
 
 static inline void
-harness_take_span (void *ctx, struct dff_str line)
+harness_append_span (void *ctx, struct dff_str line)
 {
 	g_string_append_len (ctx, line.data, (gssize)line.len);
 	g_string_append_c (ctx, '\n');
@@ -165,8 +165,8 @@
 	harness->metrics = dff_metrics_new ();
 	const struct dff_name instance = dff_name_from ("test");
 	harness->spans = g_string_new (NULL);
-	harness->tracer = dff_tracer_new (&harness->clock.clock, &instance, seed, harness_take_span,
-					  harness->spans);
+	harness->tracer = dff_tracer_new (&harness->clock.clock, &instance, seed,
+					  harness_append_span, harness->spans);
 	fixture_pool_init (&harness->pool, 2, HARNESS_WORKERS / 2, 8);
 	fixture_pool_add_team (&harness->pool, "a", 0, 0);
 	fake_fleet_init (&harness->fleet, &harness->clock.clock, HARNESS_WORKERS, (guint32)seed);
@@ -175,7 +175,7 @@
 	harness->links = g_ptr_array_new_with_free_func (g_free);
 	harness->entry = dff_memory_open (harness->memory);
 	for (int i = 0; i < HARNESS_PROCESSES; i++)
-		harness_birth (harness, i);
+		harness_start (harness, i);
 }
 
 static inline void
--- a/tests/cell/cell_promises.h
+++ b/tests/cell/cell_promises.h
@@ -52,7 +52,7 @@
 		bool reachable = !worker->down && (harness->unwatched >> i & 1) == 0;
 		if (reachable)
 			harness_renew (worker, now_ms + 10000);
-		reachable = reachable && (harness->unseen >> i & 1) == 0;
+		reachable = reachable && (harness->reported_silent >> i & 1) == 0;
 		if (reachable)
 			harness->renewed_ms[i] = now_ms;
 		g_autoptr (GArray) reports =
@@ -60,7 +60,7 @@
 		for (guint j = 0; reachable && j < worker->tasks->len; j++)
 			g_array_append_val (
 				reports, g_array_index (worker->tasks, struct fake_task, j).report);
-		const struct dff_worker_report sighting = {
+		const struct dff_worker_report worker_report = {
 			.worker = worker->name,
 			.reachable = reachable,
 			.leaving = worker->leaving,
@@ -71,9 +71,9 @@
 		};
 		for (int j = 0; j < HARNESS_PROCESSES; j++) {
 			const struct harness_process *process = &harness->processes[j];
-			bool lost = fake_chance (&harness->fleet, harness->sighting_loss_permille);
+			bool lost = fake_chance (&harness->fleet, harness->report_loss_permille);
 			if (process->alive && !process->paused && !lost)
-				dff_cell_handle_worker_report (process->cell, &sighting);
+				dff_cell_handle_worker_report (process->cell, &worker_report);
 		}
 	}
 }
@@ -124,10 +124,10 @@
 {
 	int holder = harness_holder (harness);
 	int64_t revision = dff_memory_revision (harness->memory);
-	if (harness->fleet.n_notes == harness->checked_notes &&
+	if (harness->fleet.n_records == harness->checked_records &&
 	    revision == harness->checked_revision)
 		return;
-	harness->checked_notes = harness->fleet.n_notes;
+	harness->checked_records = harness->fleet.n_records;
 	harness->checked_revision = revision;
 	for (int i = 0; i < harness->n_jobs; i++)
 		harness_check_job (harness, i);
--- a/tests/cell/fake_link.h
+++ b/tests/cell/fake_link.h
@@ -18,7 +18,7 @@
 	uint64_t cut;
 	int32_t delay_max_ms;
 	int32_t lose_permille;
-	int32_t double_permille;
+	int32_t duplicate_permille;
 	/** The next so many calls are carried out and their answers lost. */
 	int32_t lose_answers;
 };
@@ -34,7 +34,7 @@
 	/** INT64_MAX: does not arrive, or is not answered. */
 	int64_t arrives_ms;
 	int64_t answered_ms;
-	int64_t gives_up_ms;
+	int64_t times_out_ms;
 	/** NULL: answered already, or a double. */
 	dff_worker_func done;
 	void *user;
@@ -109,11 +109,12 @@
 	m->arrives_ms = now_ms + (delay_ms > 0 ? g_rand_int_range (fleet->rand, 1, delay_ms) : 0);
 	bool cut = (link->cut >> m->worker & 1) != 0;
 	m->unsent = cut && fake_chance (fleet, 500);
-	if (!m->unsent && fake_chance (fleet, link->double_permille)) {
-		struct fake_message *twin = fake_message_add (fleet, m);
-		twin->arrives_ms += g_rand_int_range (fleet->rand, 0, 4 * FAKE_CALL_TIMEOUT_MS);
-		twin->answered_ms = INT64_MAX;
-		twin->gives_up_ms = INT64_MAX;
+	if (!m->unsent && fake_chance (fleet, link->duplicate_permille)) {
+		struct fake_message *duplicate = fake_message_add (fleet, m);
+		duplicate->arrives_ms +=
+			g_rand_int_range (fleet->rand, 0, 4 * FAKE_CALL_TIMEOUT_MS);
+		duplicate->answered_ms = INT64_MAX;
+		duplicate->times_out_ms = INT64_MAX;
 	}
 	m->answered_ms =
 		m->arrives_ms + (delay_ms > 0 ? g_rand_int_range (fleet->rand, 1, delay_ms) : 0);
@@ -123,7 +124,7 @@
 	link->lose_answers -= link->lose_answers > 0;
 	if (lost || m->arrives_ms == INT64_MAX)
 		m->answered_ms = INT64_MAX;
-	m->gives_up_ms = now_ms + FAKE_CALL_TIMEOUT_MS;
+	m->times_out_ms = now_ms + FAKE_CALL_TIMEOUT_MS;
 	m->done = done;
 	m->user = user;
 	fake_message_add (fleet, m);
@@ -134,7 +135,7 @@
 {
 	if (m->done == NULL || m->link->paused)
 		return;
-	if (now_ms < m->answered_ms && now_ms < m->gives_up_ms)
+	if (now_ms < m->answered_ms && now_ms < m->times_out_ms)
 		return;
 	struct dff_worker_result timed_out = {
 		.outcome = m->unsent ? DFF_WORKER_UNSENT : DFF_WORKER_UNCERTAIN,
--- a/tests/cell/fake_worker.h
+++ b/tests/cell/fake_worker.h
@@ -44,7 +44,7 @@
 	/** On their way. Elements: struct fake_message *. */
 	GPtrArray *messages;
 	/** Runs and holds noted so far. */
-	int n_notes;
+	int n_records;
 	/** struct dff_task_id to the times it began to run. */
 	GHashTable *runs;
 	/** The same, of members that were held or ran. */
@@ -95,7 +95,7 @@
 }
 
 static inline void
-fake_note (GHashTable *table, const struct dff_task_id *task)
+fake_increment (GHashTable *table, const struct dff_task_id *task)
 {
 	int count = fake_count (table, task) + 1;
 	g_hash_table_replace (table, g_memdup2 (task, sizeof (*task)), GINT_TO_POINTER (count));
@@ -126,8 +126,8 @@
 	task->report.state = DFF_TASK_RUNNING;
 	task->report.ran = true;
 	task->ends_ms = dff_clock_now_ms (fleet->clock) + fleet->run_ms;
-	fleet->n_notes++;
-	fake_note (fleet->runs, &task->report.task);
+	fleet->n_records++;
+	fake_increment (fleet->runs, &task->report.task);
 }
 
 static inline enum dff_worker_outcome
@@ -142,7 +142,7 @@
 		return DFF_WORKER_REFUSED;
 	task = fake_add (worker, &command->task, DFF_TASK_HELD);
 	task->lease_until_ms = dff_clock_now_ms (fleet->clock) + command->lease_ms;
-	fake_note (fleet->held, &command->task);
+	fake_increment (fleet->held, &command->task);
 	if (!command->held)
 		fake_run (fleet, task);
 	return DFF_WORKER_OK;
--- a/tests/cell/test-cell-workers.c
+++ b/tests/cell/test-cell-workers.c
@@ -6,7 +6,7 @@
  * answer to one call to a worker is lost, at any step. Cause: a call without an answer was taken
  * for one that was not carried out. */
 static void
-test_answer_of_a_worker_lost_at_every_step (void **state)
+test_worker_answer_lost_at_every_step (void **state)
 {
 	(void)state;
 	for (int i = 0; i < (int)G_N_ELEMENTS (shapes) * FAULT_STEPS; i++) {
@@ -25,13 +25,13 @@
 /* Symptom: a job that has ended counts as running for ever. Sequence: every message of the watchers
  * is lost on its way to the holder. Cause: the holder learned of ends from them alone. */
 static void
-test_job_ends_although_no_watcher_is_heard (void **state)
+test_job_ends_without_watcher_reports (void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS (shapes); i++) {
 		struct harness harness;
 		begin (&harness, 14);
-		harness.sighting_loss_permille = 1000;
+		harness.report_loss_permille = 1000;
 		int job = harness_submit (&harness, shapes[i].gang, shapes[i].idempotent);
 		assert_int_equal (harness_run_job (&harness, job, 20000), DFF_OUTCOME_COMPLETED);
 		harness_clear (&harness);
@@ -81,7 +81,7 @@
  * starts anew, the next holder asks it to stop the task it has never seen. Cause: a tombstone of
  * another incarnation was taken as proof. */
 static void
-test_forgetful_worker_proves_nothing_to_the_next_holder (void **state)
+test_restarted_worker_proves_nothing_to_next_holder (void **state)
 {
 	(void)state;
 	for (int step = 0; step < FAULT_STEPS; step++) {
@@ -93,7 +93,7 @@
 		harness_run (&harness, 1000);
 		for (int i = 0; i < HARNESS_WORKERS; i++)
 			fake_worker_restart (&harness.fleet.workers[i]);
-		check_end (&harness, job, &shapes[1], "death and restart", step);
+		check_outcome (&harness, job, &shapes[1], "death and restart", step);
 	}
 }
 
@@ -109,7 +109,7 @@
 		begin (&harness, 100 + (uint64_t)seed);
 		struct fake_worker *worker = &harness.fleet.workers[0];
 		worker->refuses_starts = true;
-		harness.processes[0].link->double_permille = 1000;
+		harness.processes[0].link->duplicate_permille = 1000;
 		int jobs[HARNESS_WORKERS];
 		for (int i = 0; i < HARNESS_WORKERS; i++)
 			jobs[i] = harness_submit (&harness, 1, false);
@@ -126,7 +126,7 @@
  * worker starts anew, the start is sent again. Cause: a repeated start counts as the same start
  * only while the worker remembers the first. Found by seed 255 of the schedules. */
 static void
-test_doubtful_start_is_not_repeated_after_a_restart (void **state)
+test_start_in_doubt_is_not_repeated_after_restart (void **state)
 {
 	(void)state;
 	for (int step = 0; step < FAULT_STEPS; step++) {
@@ -139,7 +139,7 @@
 			fake_worker_restart (&harness.fleet.workers[i]);
 		harness_run (&harness, 1000);
 		harness.processes[0].link->lose_answers = 0;
-		check_end (&harness, job, &shapes[1], "lost answer and restart", step);
+		check_outcome (&harness, job, &shapes[1], "lost answer and restart", step);
 	}
 }
 
@@ -147,17 +147,17 @@
  * the repeats are proven unsent. Cause: what is true of the repeats was taken to be true of the
  * first. */
 static void
-test_unsent_repeats_say_nothing_about_the_first_start (void **state)
+test_unsent_retries_do_not_fail_the_first_start (void **state)
 {
 	(void)state;
 	for (int seed = 0; seed < FAULT_STEPS; seed++) {
 		struct harness harness;
 		begin (&harness, 200 + (uint64_t)seed);
 		harness.fleet.run_ms = 60000;
-		harness.sighting_loss_permille = 1000;
+		harness.report_loss_permille = 1000;
 		harness.processes[0].link->lose_answers = 1;
 		int job = harness_submit (&harness, 1, true);
-		while (harness.fleet.n_notes == 0)
+		while (harness.fleet.n_records == 0)
 			harness_step (&harness);
 		const struct dff_job_row *row = harness_row (&harness, job);
 		const struct dff_name name =
@@ -174,7 +174,7 @@
  * as lost and is started elsewhere; the cut heals. Cause: nobody stops what no open attempt owns.
  */
 static void
-test_task_that_no_attempt_owns_is_stopped (void **state)
+test_orphaned_run_is_stopped (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -186,14 +186,14 @@
 	const struct dff_name name =
 		g_array_index (row->placements, struct dff_placement, 0).worker;
 	int index = name.data[1] - '0';
-	harness.unseen = (uint64_t)1 << index;
-	harness.processes[0].link->cut = harness.unseen;
+	harness.reported_silent = (uint64_t)1 << index;
+	harness.processes[0].link->cut = harness.reported_silent;
 	harness_run (&harness, 16000);
 	const struct dff_task_id first = {harness_job_id (job), 1, 0};
 	struct fake_worker *worker = &harness.fleet.workers[index];
 	assert_int_equal (fake_find (worker, &first)->report.state, DFF_TASK_RUNNING);
 	assert_int_equal (harness_runs (&harness, job), 2);
-	harness.unseen = 0;
+	harness.reported_silent = 0;
 	harness.processes[0].link->cut = 0;
 	harness_run (&harness, 2000);
 	assert_int_equal (fake_find (worker, &first)->report.state, DFF_TASK_STOPPED);
@@ -205,7 +205,7 @@
  * Sequence: jobs run and end, then nothing happens. Cause: workers without work were asked in turn,
  * and named every task that had ended. */
 static void
-test_idle_workers_are_not_asked (void **state)
+test_idle_workers_are_not_queried (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -225,15 +225,15 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_answer_of_a_worker_lost_at_every_step),
-		cmocka_unit_test (test_job_ends_although_no_watcher_is_heard),
-		cmocka_unit_test (test_idle_workers_are_not_asked),
+		cmocka_unit_test (test_worker_answer_lost_at_every_step),
+		cmocka_unit_test (test_job_ends_without_watcher_reports),
+		cmocka_unit_test (test_idle_workers_are_not_queried),
 		cmocka_unit_test (test_worker_is_lost),
-		cmocka_unit_test (test_forgetful_worker_proves_nothing_to_the_next_holder),
+		cmocka_unit_test (test_restarted_worker_proves_nothing_to_next_holder),
 		cmocka_unit_test (test_refused_start_runs_elsewhere_once),
-		cmocka_unit_test (test_doubtful_start_is_not_repeated_after_a_restart),
-		cmocka_unit_test (test_unsent_repeats_say_nothing_about_the_first_start),
-		cmocka_unit_test (test_task_that_no_attempt_owns_is_stopped),
+		cmocka_unit_test (test_start_in_doubt_is_not_repeated_after_restart),
+		cmocka_unit_test (test_unsent_retries_do_not_fail_the_first_start),
+		cmocka_unit_test (test_orphaned_run_is_stopped),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/cell/test-cell.c
+++ b/tests/cell/test-cell.c
@@ -55,7 +55,7 @@
 		int step = i % FAULT_STEPS;
 		harness_run (&harness, (int64_t)step * HARNESS_STEP_MS);
 		harness_kill (&harness, 0);
-		check_end (&harness, job, shape, "death", step);
+		check_outcome (&harness, job, shape, "death", step);
 	}
 }
 
@@ -77,7 +77,7 @@
 		harness_pause (&harness, 0, true);
 		harness_run (&harness, 5400);
 		harness_pause (&harness, 0, false);
-		check_end (&harness, job, shape, "pause", step);
+		check_outcome (&harness, job, shape, "pause", step);
 	}
 }
 
@@ -85,7 +85,7 @@
  * not. Sequence: the answer to any one write of the holder is lost, the write itself taking effect
  * at once, late or never. Cause: a lost answer was taken for a failed write. */
 static void
-test_answer_of_the_table_lost_at_every_step (void **state)
+test_table_answer_lost_at_every_step (void **state)
 {
 	(void)state;
 	static const struct dff_memory_faults faults[] = {
@@ -141,7 +141,7 @@
  * than the lease while tasks run; they end meanwhile. Cause: the next holder starts attempts anew
  * instead of asking the workers. */
 static void
-test_tasks_outlive_a_store_outage (void **state)
+test_tasks_survive_store_outage (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -161,7 +161,7 @@
 }
 
 static void
-test_drain_hands_over_without_a_wait (void **state)
+test_drain_releases_lease_early (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -213,7 +213,7 @@
  * again; the holder dies and the process takes the cell anew. Cause: the core's counts began at
  * zero with each core and stood in no metric. */
 static void
-test_counts_of_the_core_are_published (void **state)
+test_core_counters_are_published (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -246,7 +246,7 @@
 
 /** Time from the holder's death until the next one decides, ms. */
 static int64_t
-take_over_ms (int32_t lease_ms, int phase)
+takeover_ms (int32_t lease_ms, int phase)
 {
 	struct harness harness;
 	harness_init (&harness, 1000 + (uint64_t)phase);
@@ -254,7 +254,7 @@
 		harness_kill (&harness, i);
 	harness.lease_ms = lease_ms;
 	for (int i = 0; i < HARNESS_PROCESSES; i++)
-		harness_birth (&harness, i);
+		harness_start (&harness, i);
 	harness_run_holder (&harness, 10000);
 	harness_submit (&harness, 3, true);
 	harness_run (&harness, 1000 + (int64_t)phase * 100);
@@ -265,14 +265,14 @@
 }
 
 static void
-test_take_over_time_follows_the_lease (void **state)
+test_takeover_time_follows_the_lease (void **state)
 {
 	(void)state;
 	static const int32_t leases_ms[] = {1000, 2000, 4000, 8000, 16000};
 	for (size_t i = 0; i < G_N_ELEMENTS (leases_ms); i++) {
 		int64_t took_ms[30];
 		for (int phase = 0; phase < (int)G_N_ELEMENTS (took_ms); phase++)
-			took_ms[phase] = take_over_ms (leases_ms[i], phase);
+			took_ms[phase] = takeover_ms (leases_ms[i], phase);
 		qsort (took_ms, G_N_ELEMENTS (took_ms), sizeof (took_ms[0]), compare_ms);
 		int64_t worst_ms = took_ms[G_N_ELEMENTS (took_ms) - 1];
 		print_message ("lease %d ms: take-over median %d ms, worst %d ms\n", leases_ms[i],
@@ -286,7 +286,7 @@
  * network, the holder dies, the next one cannot place the job yet, the intent arrives. Cause: the
  * write was conditional on the job's row alone. The harness checks the writer of every row. */
 static void
-test_write_of_a_former_holder_comes_too_late (void **state)
+test_late_write_of_former_holder_is_rejected (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -313,14 +313,14 @@
 		cmocka_unit_test (test_jobs_complete),
 		cmocka_unit_test (test_holder_dies_at_every_step),
 		cmocka_unit_test (test_holder_is_paused_at_every_step),
-		cmocka_unit_test (test_answer_of_the_table_lost_at_every_step),
+		cmocka_unit_test (test_table_answer_lost_at_every_step),
 		cmocka_unit_test (test_cancelled_at_every_step),
-		cmocka_unit_test (test_tasks_outlive_a_store_outage),
-		cmocka_unit_test (test_drain_hands_over_without_a_wait),
+		cmocka_unit_test (test_tasks_survive_store_outage),
+		cmocka_unit_test (test_drain_releases_lease_early),
 		cmocka_unit_test (test_batch_without_progress_is_reported),
-		cmocka_unit_test (test_counts_of_the_core_are_published),
-		cmocka_unit_test (test_take_over_time_follows_the_lease),
-		cmocka_unit_test (test_write_of_a_former_holder_comes_too_late),
+		cmocka_unit_test (test_core_counters_are_published),
+		cmocka_unit_test (test_takeover_time_follows_the_lease),
+		cmocka_unit_test (test_late_write_of_former_holder_is_rejected),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/cell/test-job-row.c
+++ b/tests/cell/test-job-row.c
@@ -132,7 +132,7 @@
  * row is as large as is taken; the start intent, the result and the reason are added. Cause: too
  * little room was left for them. */
 static void
-test_largest_row_has_room_to_grow (void **state)
+test_largest_row_fits_after_growth (void **state)
 {
 	(void)state;
 	g_autofree char *longest = g_strnfill (DFF_NAME_MAX, 'n');
@@ -178,7 +178,7 @@
 		cmocka_unit_test (test_region_of_id),
 		cmocka_unit_test (test_round_trip),
 		cmocka_unit_test (test_malformed_rows_are_refused),
-		cmocka_unit_test (test_largest_row_has_room_to_grow),
+		cmocka_unit_test (test_largest_row_fits_after_growth),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/cell/test-late-start.c
+++ b/tests/cell/test-late-start.c
@@ -14,7 +14,7 @@
  * has not seen it, starts the job elsewhere; then the first start arrives. Cause: "I have sent
  * nothing in this attempt" was taken for proof by a holder that did not open the attempt. */
 static void
-test_start_arrives_after_the_take_over (void **state)
+test_start_arrives_after_takeover (void **state)
 {
 	(void)state;
 	for (int i = 0; i < SEEDS * (int)G_N_ELEMENTS (shapes); i++) {
@@ -27,7 +27,7 @@
 		harness_run (&harness, 400);
 		harness_kill (&harness, 0);
 		enum dff_outcome outcome = harness_run_job (&harness, job, JOB_LIMIT_MS);
-		if (!is_honest_end (shape, outcome))
+		if (!is_allowed_outcome (shape, outcome))
 			fail_msg ("%s, seed %d: %s", shape->name, i, dff_outcome_name (outcome));
 		/* Whatever is still under way arrives. */
 		harness_run (&harness, LATE_MAX_MS);
@@ -45,7 +45,7 @@
  * worker says that it is leaving; jobs come 3 s later, more than the others can run at once. Cause:
  * the holder went by the instance list, which lags, or by the worker's being up. */
 static void
-test_leaving_worker_gets_nothing_new (void **state)
+test_leaving_worker_gets_no_new_tasks (void **state)
 {
 	(void)state;
 	for (int leaving = 0; leaving < HARNESS_WORKERS; leaving++) {
@@ -69,8 +69,8 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_start_arrives_after_the_take_over),
-		cmocka_unit_test (test_leaving_worker_gets_nothing_new),
+		cmocka_unit_test (test_start_arrives_after_takeover),
+		cmocka_unit_test (test_leaving_worker_gets_no_new_tasks),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/cell/test-lease.c
+++ b/tests/cell/test-lease.c
@@ -295,7 +295,7 @@
 /* Symptom: epochs start again at 1 and older commands pass for newer ones. Sequence: the epoch row
  * is damaged. Cause: a row that could not be read was taken for one that does not exist. */
 static void
-test_malformed_epoch_row_is_left_alone (void **state)
+test_malformed_epoch_row_blocks_takeover (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -324,7 +324,7 @@
 		cmocka_unit_test (test_renewal_counts_from_when_it_was_sent),
 		cmocka_unit_test (test_clocks_run_at_different_rates),
 		cmocka_unit_test (test_lost_answers_neither_lose_nor_split_the_lease),
-		cmocka_unit_test (test_malformed_epoch_row_is_left_alone),
+		cmocka_unit_test (test_malformed_epoch_row_blocks_takeover),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/cell/test-recovery.c
+++ b/tests/cell/test-recovery.c
@@ -27,7 +27,7 @@
  * asked a second time as soon as it has answered. Cause: the second answer counted for that of a
  * worker that had not answered yet, so that the tables were rebuilt without what it runs. */
 static void
-test_every_worker_is_heard_before_the_rebuild (void **state)
+test_rebuild_waits_for_every_worker (void **state)
 {
 	(void)state;
 	for (int seed = 0; seed < FAULT_STEPS; seed++) {
@@ -57,7 +57,7 @@
  * list is down and the table is not. Cause: a process that knew no worker's address took the cell
  * and asked nobody, and took the silence for an answer. */
 static void
-test_no_take_over_without_the_instance_list (void **state)
+test_no_takeover_without_instance_list (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -66,9 +66,9 @@
 	run_long_job (&harness, &job);
 	for (int i = 0; i < HARNESS_PROCESSES; i++)
 		harness_kill (&harness, i);
-	harness.list_unknown = true;
+	harness.no_instance_list = true;
 	for (int i = 0; i < HARNESS_PROCESSES; i++)
-		harness_birth (&harness, i);
+		harness_start (&harness, i);
 	harness_run (&harness, 10000);
 	for (int i = 0; i < HARNESS_PROCESSES; i++)
 		harness_set_instances (&harness, harness.processes[i].cell);
@@ -80,8 +80,8 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_every_worker_is_heard_before_the_rebuild),
-		cmocka_unit_test (test_no_take_over_without_the_instance_list),
+		cmocka_unit_test (test_rebuild_waits_for_every_worker),
+		cmocka_unit_test (test_no_takeover_without_instance_list),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/cell/test-retention.c
+++ b/tests/cell/test-retention.c
@@ -139,7 +139,7 @@
 }
 
 static void
-test_rows_go_after_the_retention_and_not_before (void **state)
+test_rows_are_deleted_only_after_retention (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -195,7 +195,7 @@
 
 /* The same, with a holder that has held the cell for long. */
 static void
-test_end_that_is_news_stays (void **state)
+test_newly_seen_end_is_kept (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -221,7 +221,7 @@
  * between two deletions, and another one takes over. Cause: two transactions, or a place in the
  * sweep that died with its holder. */
 static void
-test_take_over_in_the_middle (void **state)
+test_takeover_during_sweep (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -250,7 +250,7 @@
 /* Symptom: a change that was answered is lost. Sequence: a row is written between the sweep's read
  * and its deletion. Cause: the deletion not conditional on what was read. */
 static void
-test_row_that_changes_in_between_stays (void **state)
+test_row_changed_after_read_is_kept (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -273,7 +273,7 @@
 /* Symptom: other writes wait while rows are deleted. Sequence: thousands of rows are due at once.
  * Cause: no bound. */
 static void
-test_budget_is_kept (void **state)
+test_deletions_are_rate_limited (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -322,7 +322,7 @@
 	while (!dff_recorder_is_breaker_open (harness.processes[holder].recorder)) {
 		harness.processes[holder].caller->faults.unavailable_permille = 1000;
 		harness_step (&harness);
-		assert_true (cell->retention.n_waiting <= 30);
+		assert_true (cell->retention.n_outstanding <= 30);
 	}
 	guint next = cell->retention.next;
 	for (int step = 0; step < 100 && harness_holder (&harness) == holder; step++) {
@@ -339,7 +339,7 @@
 /* Symptom: a batch's counts no longer add up to what was accepted. Sequence: some jobs of a batch
  * ended long ago, one has not. Cause: rows that go one by one. */
 static void
-test_batch_goes_as_a_whole (void **state)
+test_batch_is_deleted_as_a_whole (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -377,7 +377,7 @@
 /* Symptom: jobs of a batch that was just accepted are gone. Sequence: a batch's row was deleted,
  * and its key is used again before the rows of its jobs are. Cause: they went unconditionally. */
 static void
-test_batch_submitted_anew_keeps_its_rows (void **state)
+test_resubmitted_batch_keeps_its_rows (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -389,7 +389,7 @@
 	}
 	harness_run_holder (&harness, 30000);
 	struct dff_cell *cell = harness.processes[harness_holder (&harness)].cell;
-	while (g_hash_table_size (cell->retention.verdicts) == 0)
+	while (g_hash_table_size (cell->retention.batch_checks) == 0)
 		harness_step (&harness);
 	put_batch (&harness);
 	struct dff_name waiting = member_id (3);
@@ -419,7 +419,7 @@
 /* Symptom: a request that is not idempotent is sent twice. Sequence: its record goes while it is
  * open, or within the retention. Cause: records deleted by age alone. */
 static void
-test_records_of_requests (void **state)
+test_request_records_are_deleted_only_when_ended (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -439,7 +439,7 @@
 
 /* Symptom: as above. Sequence: a record changes between the sweep's read and its deletion. */
 static void
-test_record_that_changes_in_between_stays (void **state)
+test_record_changed_after_read_is_kept (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -457,7 +457,7 @@
 
 /* Symptom: every region's holder reads every record. Cause: no one is chosen. */
 static void
-test_records_are_left_to_the_first_region (void **state)
+test_records_are_swept_by_the_first_region (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -475,18 +475,18 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_rows_go_after_the_retention_and_not_before),
+		cmocka_unit_test (test_rows_are_deleted_only_after_retention),
 		cmocka_unit_test (test_wall_clock_a_year_ahead),
-		cmocka_unit_test (test_end_that_is_news_stays),
-		cmocka_unit_test (test_take_over_in_the_middle),
-		cmocka_unit_test (test_row_that_changes_in_between_stays),
-		cmocka_unit_test (test_budget_is_kept),
+		cmocka_unit_test (test_newly_seen_end_is_kept),
+		cmocka_unit_test (test_takeover_during_sweep),
+		cmocka_unit_test (test_row_changed_after_read_is_kept),
+		cmocka_unit_test (test_deletions_are_rate_limited),
 		cmocka_unit_test (test_open_breaker_stops_the_sweep),
-		cmocka_unit_test (test_batch_goes_as_a_whole),
-		cmocka_unit_test (test_batch_submitted_anew_keeps_its_rows),
-		cmocka_unit_test (test_records_of_requests),
-		cmocka_unit_test (test_record_that_changes_in_between_stays),
-		cmocka_unit_test (test_records_are_left_to_the_first_region),
+		cmocka_unit_test (test_batch_is_deleted_as_a_whole),
+		cmocka_unit_test (test_resubmitted_batch_keeps_its_rows),
+		cmocka_unit_test (test_request_records_are_deleted_only_when_ended),
+		cmocka_unit_test (test_record_changed_after_read_is_kept),
+		cmocka_unit_test (test_records_are_swept_by_the_first_region),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/cell/test-schedules.c
+++ b/tests/cell/test-schedules.c
@@ -106,7 +106,7 @@
 	struct fake_link *link = process->link;
 	link->delay_max_ms = pick (schedule, 2, 600);
 	link->lose_permille = chances[pick (schedule, 0, 3)];
-	link->double_permille = chances[pick (schedule, 0, 3)];
+	link->duplicate_permille = chances[pick (schedule, 0, 3)];
 	link->cut = pick (schedule, 0, 3) == 0 ? (uint64_t)pick (schedule, 0, 16) : 0;
 }
 
@@ -116,7 +116,7 @@
 	static const int32_t chances[] = {0, 0, 500};
 	schedule->harness.unwatched =
 		pick (schedule, 0, 2) == 0 ? (uint64_t)pick (schedule, 0, 16) : 0;
-	schedule->harness.sighting_loss_permille = chances[pick (schedule, 0, 3)];
+	schedule->harness.report_loss_permille = chances[pick (schedule, 0, 3)];
 }
 
 static void
@@ -148,14 +148,14 @@
 }
 
 static void
-come_back (struct schedule *schedule, bool all)
+restore (struct schedule *schedule, bool all)
 {
 	struct harness *harness = &schedule->harness;
 	for (int i = 0; i < HARNESS_PROCESSES; i++) {
 		struct harness_process *process = &harness->processes[i];
 		bool due = all || harness->clock.now_ms >= schedule->back_ms[i];
 		if (due && !process->alive)
-			harness_birth (harness, i);
+			harness_start (harness, i);
 		else if (due && process->paused)
 			harness_pause (harness, i, false);
 		else if (process->alive && !process->paused &&
@@ -177,15 +177,15 @@
 heal (struct schedule *schedule)
 {
 	struct harness *harness = &schedule->harness;
-	come_back (schedule, true);
+	restore (schedule, true);
 	harness->unwatched = 0;
-	harness->sighting_loss_permille = 0;
+	harness->report_loss_permille = 0;
 	for (int i = 0; i < HARNESS_PROCESSES; i++) {
 		harness->processes[i].caller->faults = (struct dff_memory_faults){0};
 		struct fake_link *link = harness->processes[i].link;
 		link->delay_max_ms = 5;
 		link->lose_permille = 0;
-		link->double_permille = 0;
+		link->duplicate_permille = 0;
 		link->cut = 0;
 	}
 	for (int i = 0; i < HARNESS_WORKERS; i++) {
@@ -242,7 +242,7 @@
 	while (harness->clock.now_ms < 1000000 + CHAOS_MS) {
 		if (pick (&schedule, 0, 1000) < ACTION_PERMILLE)
 			act (&schedule);
-		come_back (&schedule, false);
+		restore (&schedule, false);
 		harness_step (harness);
 	}
 	heal (&schedule);
