--- a/cell/agenda.c
+++ b/cell/agenda.c
@@ -40,9 +40,9 @@
 void
 dff_cell_agenda_run (struct dff_cell *cell)
 {
-	/* A process that was paused past its lease and resumes still has commands to send. Symptom:
-	 * it stops or starts members that the next holder decides about. The lease is compared
-	 * with the clock before each batch, not only when it is renewed. */
+	/* Compares the lease with the clock before each batch, not only when the lease is renewed:
+	 * a process that resumes after a pause longer than its lease still has commands to send,
+	 * and would start or stop members that the next holder decides about. */
 	if (!dff_lease_is_held (cell->lease))
 		return;
 	int64_t now_ms = dff_cell_now_ms (cell);
--- a/cell/batches.c
+++ b/cell/batches.c
@@ -4,12 +4,12 @@
 
 #include "common/log.h"
 
-/* Batches whose jobs neither start nor end. An overnight batch that is stuck makes no error and no
- * noise; without this nobody notices before somebody asks for its results. */
+/* Detects batches whose jobs neither start nor end. A stuck overnight batch raises no error, and
+ * would otherwise go unnoticed until its results are requested. */
 
-/** Interval at which batches are looked at, ms. */
+/** Interval at which batches are checked, ms. */
 #define BATCHES_INTERVAL_MS 1000
-/** Times the longest declared run time of a batch's jobs without a change that are in order. */
+/** A batch may go without a change for this many times its longest declared run time. */
 #define DECLARED_FACTOR 3
 
 void
--- a/cell/calls.c
+++ b/cell/calls.c
@@ -2,10 +2,10 @@
 
 #include "common/log.h"
 
-/* Calls to workers. A stop is repeated until the worker has proven that the task is over; a start
- * until it is answered, proven unsent, or superseded by a stop. */
+/* Calls to workers. A stop is repeated until the worker proves that the task has ended. A start is
+ * repeated until it is answered, proven unsent, or superseded by a stop. */
 
-/** Tries of stopping a task that nobody owns; its lease ends it otherwise. */
+/** Attempts to stop an orphaned run. When all fail, the run ends with its lease. */
 #define ORPHAN_TRIES 5
 
 static const struct dff_name *
@@ -66,25 +66,24 @@
 		member->released = false;
 	}
 	bool at_most_once = !member->held && !job->row->spec.idempotent;
-	/* A copy of the start may still be under way and find the worker in a better mood. Symptom:
-	 * work that may run at_most_once runs here after it was started elsewhere. A tombstone ends
-	 * that.
-	 */
+	/* A copy of the refused start may still be on its way, and the worker may accept it. A job
+	 * that may run once would then run here after it was started elsewhere. A stop leaves a
+	 * tombstone, which makes the worker refuse the copy. */
 	if (outcome == DFF_WORKER_REFUSED && at_most_once) {
 		member->refused = true;
 		dff_cell_set_wanted (cell, job, task->member, DFF_CELL_WANT_STOP);
 		return;
 	}
-	/* A refusal of a repeated start proves nothing about the first, whose answer was lost: it
-	 * stays open until a stop is answered. */
+	/* The refusal of a repeated start does not prove that the first one, whose answer was lost,
+	 * was refused too: the member stays open until a stop is answered. */
 	if (failed && !member->in_doubt) {
 		dff_cell_member_ended (cell, job, member, DFF_EVENT_TASK_START_FAILED, false);
 		return;
 	}
 	member->in_doubt = member->in_doubt || outcome == DFF_WORKER_UNCERTAIN;
-	/* The worker may have run the task, started anew and forgotten it. Symptom: work that may
-	 * run at_most_once runs twice. The worker is asked what it knows; if that settles nothing,
-	 * the core's time-out stops the task. */
+	/* The worker may have run the task, restarted and lost its record of the task. A repeated
+	 * start would then run a job twice that may run once. The worker is queried for its tasks
+	 * instead; if the answer does not settle the state, the core's timeout stops the task. */
 	if (member->in_doubt && at_most_once) {
 		dff_cell_worker_query (cell, &member->placement.worker, dff_cell_now_ms (cell));
 		return;
@@ -103,7 +102,7 @@
 		member->wanted = DFF_CELL_WANT_NOTHING;
 		return;
 	}
-	/* The worker does not know the task any more: its whole answer tells what became of it. */
+	/* The worker has no record of the task: its answer to a query shows what happened to it. */
 	if (outcome == DFF_WORKER_REFUSED)
 		dff_cell_worker_query (cell, &member->placement.worker, dff_cell_now_ms (cell));
 	schedule_retry (cell, job, member, task->member);
@@ -155,7 +154,7 @@
 		handle_checkpoint_result (cell, job, &call->task, outcome);
 		break;
 	case DFF_CELL_WANT_STOP:
-		/* A refused stop may mean that a newer holder is known there. */
+		/* A refused stop may mean that the worker knows a newer holder. */
 		if (outcome == DFF_WORKER_REFUSED)
 			dff_lease_request_renewal (cell->lease);
 		schedule_retry (cell, job, member, call->task.member);
@@ -163,7 +162,7 @@
 	}
 }
 
-/* The start that was refused or lost is in doubt even when a stop has superseded it meanwhile. */
+/* A start whose answer was lost is in doubt even when a stop has superseded it meanwhile. */
 static void
 mark_in_doubt (struct dff_cell *cell, const struct dff_cell_call *call)
 {
--- a/cell/cell.c
+++ b/cell/cell.c
@@ -6,7 +6,7 @@
 #include "cell/cell_private.h"
 #include "common/log.h"
 
-/* docs/decisions/ownership.md gives the reasons for these. */
+/* docs/decisions/ownership.md gives the reasons for these defaults. */
 #define DEFAULT_LEASE_MS 4000
 #define DEFAULT_RENEW_MS 1000
 #define DEFAULT_MARGIN_MS 500
@@ -115,8 +115,7 @@
 	return cell;
 }
 
-/* The outcome of a write that was sent is not awaited any more: whoever holds the cell next reads
- * the row. */
+/* Stops waiting for the outcome of writes that were sent: the next holder reads the rows. */
 static void
 abandon_writes (struct dff_cell *cell)
 {
@@ -210,12 +209,12 @@
 	return copy->term == cell->term;
 }
 
-/** Forgets everything that was held; answers that are still on their way are ignored. */
+/** Drops all state of the holder; answers that are still outstanding are ignored. */
 static void
 step_down (struct dff_cell *cell)
 {
 	bool was_active = cell->phase == DFF_CELL_ACTIVE;
-	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING, "Cell dropped. region=%s epoch=%" PRId64,
+	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING, "Stepped down as holder. region=%s epoch=%" PRId64,
 		 cell->options.region.data, cell->epoch);
 	clear_tables (cell);
 	cell->phase = DFF_CELL_STANDBY;
@@ -269,7 +268,7 @@
 decide (struct dff_cell *cell)
 {
 	int64_t now_ms = dff_cell_now_ms (cell);
-	/* An idle tick of a large region costs; without an event or a deadline it is left out. */
+	/* A tick without an event or a due deadline is skipped: it is costly in a large region. */
 	if (cell->events->len == 0 && now_ms < dff_core_next_wake_ms (cell->core))
 		return;
 	cell->decide_ms = now_ms;
@@ -278,10 +277,10 @@
 	dff_cell_execute (cell, cell->commands);
 }
 
-/* A process that knows no worker's address can ask none of them for its tasks. Symptom: it takes
- * the cell and stops whatever runs, as nobody has told it of it. One that has heard of the instance
- * list takes the cell instead, or it stays without a holder, who could do nothing, until one has.
- */
+/* A process that knows no worker's address cannot query the workers for their tasks. If it took the
+ * lease, it would stop everything that runs, as no worker would have reported a task to it. Until a
+ * process has received the instance list, the cell stays without a holder, which could not do
+ * anything anyway. */
 static bool
 may_take_lease (const struct dff_cell *cell)
 {
@@ -316,11 +315,11 @@
 dff_cell_set_pool (struct dff_cell *cell, const struct dff_pool *pool)
 {
 	dff_pool_free (cell->pool);
-	/* The pool is lent for this call, but every take-over starts a new core that needs it. */
+	/* The pool is borrowed for this call, and each takeover creates a core that needs it. */
 	cell->pool = dff_pool_copy (pool);
 	if (cell->core != NULL)
 		dff_core_set_pool (cell->core, cell->pool, dff_cell_now_ms (cell));
-	/* Workers that the new pool declares are unknown to the core until it is told of them. */
+	/* The core does not know the workers that the new pool adds until they are reported. */
 	if (cell->core != NULL)
 		dff_cell_workers_report (cell, true);
 }
--- a/cell/cell_private.h
+++ b/cell/cell_private.h
@@ -7,22 +7,22 @@
 #include "cell/retention.h"
 
 /*
- * The holder's tables and the parts that work on them. Callbacks of the table and of workers only
- * take in what they learn; whatever is sent is sent by the tick, after the lease was compared with
- * the clock. That keeps a process that resumes after a pause from acting on what it believed.
+ * Private tables of the holder and the modules that use them. Callbacks of the table and of workers
+ * only store what they receive; the tick sends everything, after it has compared the lease with the
+ * clock. So a process that resumes after a pause does not act on outdated state.
  */
 
-/** Shortest and longest wait before a call or write is repeated, ms; doubled in between. */
+/** Shortest and longest delay before a call or write is repeated, ms; doubled in between. */
 #define DFF_CELL_RETRY_MIN_MS 50
 #define DFF_CELL_RETRY_MAX_MS 1000
-/** A start that was proven unsent this often fails its attempt: another worker may answer. */
+/** Number of starts proven unsent after which the attempt fails: another worker may answer. */
 #define DFF_CELL_START_TRIES 3
-/** On top of the tasks' lease before a silent worker's tasks count as lost, ms: clocks differ. */
+/** Added to the task lease before a silent worker's tasks count as lost, ms: clock rates differ. */
 #define DFF_CELL_SILENCE_MARGIN_MS 2000
 /** Rows read by one scan. */
 #define DFF_CELL_PAGE_ROWS 256
 
-/** What a member's worker is to be brought to do; the latest command supersedes earlier ones. */
+/** What a member's worker is to do; the latest command supersedes earlier ones. */
 enum dff_cell_wanted {
 	DFF_CELL_WANT_NOTHING,
 	DFF_CELL_WANT_START,
@@ -36,23 +36,23 @@
 	/** Incarnation of the worker when the intent was recorded; 0: not known. */
 	int64_t incarnation;
 	enum dff_cell_wanted wanted;
-	/** Grows with each change of @wanted, so that answers to earlier calls are told apart. */
+	/** Incremented with each change of @wanted, to tell answers to earlier calls apart. */
 	uint32_t wanted_seq;
 	int32_t tries;
 	bool held;
 	/** A start may have reached the worker. */
 	bool sent;
-	/** A start was sent whose answer is not known. */
+	/** A start was sent, and its outcome is not known. */
 	bool in_doubt;
-	/** Its start was refused. */
+	/** The worker refused the start. */
 	bool refused;
-	/** It was, or may have been, let go to run. */
+	/** The member was released to run, or may have been. */
 	bool released;
 	bool started;
 	int64_t started_ms;
-	/** The core knows how it ended. */
+	/** The core has been sent an event for the member's end. */
 	bool ended;
-	/** Take-over: what its worker said; DFF_TASK_UNKNOWN also for no answer. */
+	/** State reported by its worker at a takeover; DFF_TASK_UNKNOWN also without an answer. */
 	enum dff_task_state recovered_state;
 };
 
@@ -62,11 +62,11 @@
 	DFF_CELL_WRITE_END,
 };
 
-/** A change of a job's row that the core asked for. */
+/** A change of a job's row that the core requested. */
 struct dff_cell_write {
 	enum dff_cell_write_type type;
 	int32_t attempt;
-	/** Elements: struct dff_placement, and int64_t; NULL but for starts. */
+	/** Elements: struct dff_placement, and int64_t; NULL except for starts. */
 	GArray *placements;
 	GArray *incarnations;
 	enum dff_outcome outcome;
@@ -74,28 +74,28 @@
 };
 
 struct dff_cell_job {
-	/** As known to be durable. */
+	/** The row as it is known to be durable. */
 	struct dff_job_row *row;
-	/** Elements: struct dff_cell_member, of the open attempt. */
+	/** Members of the open attempt. Elements: struct dff_cell_member. */
 	GArray *members;
-	/** The attempt was opened by a former holder. */
+	/** A former holder opened the attempt. */
 	bool recovered;
-	/** struct dff_cell_write, in order; the head is the one being written. */
+	/** struct dff_cell_write, in order; the head is the one that is written next. */
 	GQueue writes;
-	/** The head is with the recorder, or its conflict is being looked into. */
+	/** The recorder has the head, or its conflict is being resolved. */
 	bool writing;
 	int32_t write_tries;
 	bool cancel_reported;
-	/** Somebody else ended it, or its row is gone: it only has to leave the core. */
+	/** Ended by another process, or its row is deleted: to be removed from the core only. */
 	bool ended_elsewhere;
 	struct dff_result_ref result;
-	/** The hop that the job is in; its name is NULL: none. */
+	/** Span of the stage that the job is in; its name is NULL if there is none. */
 	struct dff_span span;
 };
 
 struct dff_cell_worker {
 	struct dff_name name;
-	/** Empty: never listed. */
+	/** Empty: never in the instance list. */
 	struct dff_name address;
 	bool listed;
 	bool listed_leaving;
@@ -103,24 +103,24 @@
 	bool reachable;
 	bool reported;
 	enum dff_worker_state reported_state;
-	/** Of its last answer; 0: none yet. */
+	/** As in the last answer; 0: none yet. */
 	int64_t incarnation;
-	/** When it entered this table. */
+	/** When the worker was added to this table, or queried at a takeover. */
 	int64_t since_ms;
 	/** Latest time at which it is known to have answered a renewal; 0: no report yet. */
 	int64_t renewed_ms;
 	bool querying;
-	/** When it was last asked for its tasks. */
+	/** When the worker was last queried for its tasks. */
 	int64_t queried_ms;
 };
 
-/** A batch that has jobs which have not ended. */
+/** A batch with jobs that have not ended. */
 struct dff_cell_batch {
 	struct dff_name name;
 	int32_t remaining;
-	/** Longest run time that its jobs declare. */
+	/** Longest run time that its jobs declare, ms. */
 	int64_t declared_ms;
-	/** When a job of it last started or ended. */
+	/** When one of its jobs last started or ended. */
 	int64_t changed_ms;
 	bool stalled;
 };
@@ -134,11 +134,11 @@
 	DFF_CELL_CALL_SCAN,
 };
 
-/** A call to a worker, to the table or to the recorder whose answer is awaited. */
+/** A call to a worker, the table or the recorder that is not answered yet. */
 struct dff_cell_call {
 	struct dff_cell *cell;
 	enum dff_cell_call_type type;
-	/** The cell's term when it was made; an answer of an earlier term is ignored. */
+	/** The cell's term at the time of the call; answers from an earlier term are ignored. */
 	uint64_t term;
 	struct dff_name worker;
 	struct dff_task_id task;
@@ -146,7 +146,7 @@
 	int32_t tries;
 	int64_t sent_ms;
 	uint64_t ticket;
-	/** Of the row that is deleted. */
+	/** Outcome in the row that is deleted. */
 	enum dff_outcome outcome;
 };
 
@@ -157,7 +157,7 @@
 	DFF_CELL_DUE_ORPHAN,
 };
 
-/** Something to be sent at a time. */
+/** A call or write to be sent at a given time. */
 struct dff_cell_due {
 	int64_t due_ms;
 	enum dff_cell_due_type type;
@@ -169,17 +169,17 @@
 
 enum dff_cell_phase {
 	DFF_CELL_STANDBY,
-	/** Take-over: reading the rows, */
+	/** Takeover, reading the job rows. */
 	DFF_CELL_SCANNING,
-	/** then asking the workers. */
+	/** Takeover, querying the workers. */
 	DFF_CELL_QUERYING,
 	DFF_CELL_ACTIVE,
 };
 
-/** The reading of job rows in order of revision. */
+/** State of the scan of job rows in order of revision. */
 struct dff_cell_feed {
 	int64_t cursor;
-	/** Revision of the table when every row was last read. */
+	/** Revision of the table when the scan last reached its end. */
 	int64_t scanned_revision;
 	int64_t due_ms;
 	bool scanning;
@@ -195,7 +195,7 @@
 	GArray *reports;
 };
 
-/** A report that came while taking over, kept until the core is rebuilt. */
+/** A task report that arrived during a takeover, kept until the core is rebuilt. */
 struct dff_cell_recovery_report {
 	struct dff_name worker;
 	int64_t incarnation;
@@ -217,7 +217,7 @@
 	int64_t *attempts_expired;
 };
 
-/** What the core counts, as published. */
+/** The core's counters, as published. */
 struct dff_cell_core_metrics {
 	int64_t *reclaims;
 	int64_t *preemptions;
@@ -227,7 +227,7 @@
 	int64_t *quarantined;
 	int64_t *guarantees_missing;
 	int64_t *fragmentation;
-	/** Of the core at the last look. */
+	/** The core's counters when they were last published. */
 	struct dff_core_stats published;
 	int64_t due_ms;
 };
@@ -240,16 +240,16 @@
 	struct dff_pool *pool;
 	enum dff_cell_phase phase;
 	bool draining;
-	/** A drained cell has given its lease up. */
+	/** The drained cell has released its lease. */
 	bool released;
-	/** Grows when the cell is dropped. */
+	/** Incremented when the cell steps down. */
 	uint64_t term;
 	/** Epoch of this term. */
 	int64_t epoch;
 	struct dff_core *core;
-	/** When the decision under way began. */
+	/** When the current decision began. */
 	int64_t decide_ms;
-	/** Elements: struct dff_event, to be told to the core by the next tick. */
+	/** Events for the core, delivered by the next tick. Elements: struct dff_event. */
 	GArray *events;
 	GArray *commands;
 	/** struct dff_name to struct dff_cell_job. */
@@ -262,15 +262,15 @@
 	bool instances_known;
 	int64_t workers_due_ms;
 	int64_t audit_due_ms;
-	/** struct dff_cell_due, in order of time. */
+	/** struct dff_cell_due, in order of @due_ms. */
 	GSequence *agenda;
-	/** Set of struct dff_cell_call. */
+	/** Outstanding calls, a set of struct dff_cell_call. */
 	GHashTable *calls;
 	struct dff_cell_feed feed;
 	struct dff_cell_recovery recovery;
 	struct dff_cell_retention retention;
 	struct dff_cell_attempt_retention attempt_retention;
-	/** Rows that were found or became ended and are still there, by outcome. */
+	/** Number of rows of ended jobs that still exist, by outcome. */
 	int64_t ended[DFF_OUTCOME_UNKNOWN + 1];
 	struct dff_cell_metrics metrics;
 	struct dff_cell_core_metrics core_metrics;
@@ -280,41 +280,40 @@
 
 void dff_cell_core_metrics_init (struct dff_cell *cell, struct dff_metrics *metrics);
 
-/** Publishes the core's counts once a second. The cell has a core. */
+/** Publishes the core's counters once a second. The cell must have a core. */
 void dff_cell_core_metrics_tick (struct dff_cell *cell);
 
-/** Publishes the last counts of a core that is about to go; what describes now goes to zero. */
+/** Publishes the last counters of a core that is about to be freed, and sets its gauges to zero. */
 void dff_cell_core_metrics_end (struct dff_cell *cell);
 
 /* cell.c */
 
 int64_t dff_cell_now_ms (const struct dff_cell *cell);
 
-/** Wait before the next try, doubled with each and jittered, ms. */
+/** Delay before the next try, doubled with each and jittered, ms. */
 int64_t dff_cell_backoff_ms (struct dff_cell *cell, int32_t tries);
 
-/** Keeps an event for the core until the next tick. */
+/** Queues an event that the next tick delivers to the core. */
 void dff_cell_queue_event (struct dff_cell *cell, const struct dff_event *event);
 
-/** Tells the core what was kept. */
+/** Delivers the queued events to the core. */
 void dff_cell_deliver_events (struct dff_cell *cell);
 
 struct dff_cell_call *dff_cell_call_begin (struct dff_cell *cell, enum dff_cell_call_type type);
 
-/** Takes a call out of the books; @call is a copy from then on. Returns: whether its answer still
- * counts. */
+/** Ends a call; only @copy is valid afterwards. Returns: whether the answer still counts. */
 bool dff_cell_call_end (struct dff_cell_call *call, struct dff_cell_call *copy);
 
 /* agenda.c */
 
 void dff_cell_agenda_add (struct dff_cell *cell, const struct dff_cell_due *due);
 
-/** Sends what is due, as long as the lease holds. */
+/** Sends what is due, as long as the lease is held. */
 void dff_cell_agenda_run (struct dff_cell *cell);
 
 /* jobs.c */
 
-/** Adds a job; takes @row over. */
+/** Adds a job; takes ownership of @row. */
 struct dff_cell_job *dff_cell_job_add (struct dff_cell *cell, struct dff_job_row *row);
 
 struct dff_cell_job *dff_cell_job_find (const struct dff_cell *cell, const struct dff_name *id);
@@ -324,25 +323,25 @@
 /** GDestroyNotify. */
 void dff_cell_job_free (gpointer job);
 
-/** Fills in the members from the row's placements. */
+/** Creates the members from the row's placements. */
 void dff_cell_job_open (struct dff_cell_job *job);
 
-/** Returns: (nullable): the member, when @task is of the open attempt. */
+/** Returns: (nullable): the member, if @task is of the open attempt. */
 struct dff_cell_member *dff_cell_job_member (struct dff_cell_job *job,
 					     const struct dff_task_id *task);
 
-/** Tells the core that a cancellation is on record, once. */
+/** Sends the core an event for the recorded cancellation, once. */
 void dff_cell_job_cancelled (struct dff_cell *cell, struct dff_cell_job *job);
 
 /* batches.c */
 
-/** Counts a job into its batch, if it has one. */
+/** Adds a job to the count of its batch, if it has one. */
 void dff_cell_batch_join (struct dff_cell *cell, const struct dff_job_row *row);
 
-/** A job of the batch has started, or may start again. */
+/** A job of the batch has started, or is queued again. */
 void dff_cell_batch_progress (struct dff_cell *cell, const struct dff_job_row *row);
 
-/** A job of the batch is no longer on the table. */
+/** A job of the batch is removed from the table. */
 void dff_cell_batch_leave (struct dff_cell *cell, const struct dff_job_row *row);
 
 void dff_cell_batches_clear (struct dff_cell *cell);
@@ -358,21 +357,21 @@
 
 /* records.c */
 
-/** Queues a change of a job's row; takes @write over. */
+/** Queues a change of a job's row; takes ownership of @write. */
 void
 dff_cell_record (struct dff_cell *cell, struct dff_cell_job *job, struct dff_cell_write *write);
 
 void dff_cell_write_free (gpointer write);
 
-/** Sends the head of a job's queue. */
+/** Sends the head of a job's write queue. */
 void dff_cell_record_send (struct dff_cell *cell, struct dff_cell_job *job);
 
 /* executor.c */
 
-/** Carries the core's commands out. */
+/** Executes the core's commands. */
 void dff_cell_execute (struct dff_cell *cell, const GArray *commands);
 
-/** Sets what a member is to be brought to do, and has it sent. */
+/** Sets what a member's worker is to do, and schedules the call. */
 void dff_cell_set_wanted (struct dff_cell *cell,
 			  struct dff_cell_job *job,
 			  int32_t member,
@@ -392,31 +391,30 @@
  * dff_cell_apply_report:
  * @incarnation: of the worker that answered; 0: not known
  *
- * Takes in what a worker says about one task.
+ * Applies a worker's report on one task.
  */
 void dff_cell_apply_report (struct dff_cell *cell,
 			    const struct dff_name *worker,
 			    int64_t incarnation,
 			    const struct dff_task_report *report);
 
-/** Tells the core how a member ended, once. */
+/** Sends the core an event for the end of a member, once. */
 void dff_cell_member_ended (struct dff_cell *cell,
 			    struct dff_cell_job *job,
 			    struct dff_cell_member *member,
 			    enum dff_event_type type,
 			    bool ran);
 
-/** Tells the core that a member has started, once. */
+/** Sends the core an event for the start of a member, once. */
 void dff_cell_member_started (struct dff_cell *cell,
 			      struct dff_cell_job *job,
 			      struct dff_cell_member *member);
 
-/** Every task that is placed on @worker and not over is lost. */
+/** Marks every task that is placed on @worker and has not ended as lost. */
 void dff_cell_mark_tasks_lost (struct dff_cell *cell, const struct dff_name *worker);
 
-/** A whole answer of @worker to a query sent at @query_sent_ms: what it does not know any more is
- * lost.
- */
+/** Applies a complete answer of @worker to a query sent at @query_sent_ms: started tasks that it
+ * does not name are lost. */
 void dff_cell_apply_full_report (struct dff_cell *cell,
 				 const struct dff_name *worker,
 				 const struct dff_worker_result *result,
@@ -434,23 +432,23 @@
 			       const struct dff_name *name,
 			       const struct dff_worker_result *result);
 
-/** Has a worker asked for its tasks. */
+/** Schedules a query of a worker for its tasks. */
 void dff_cell_worker_query (struct dff_cell *cell, const struct dff_name *name, int64_t due_ms);
 
-/** A query got no answer. */
+/** A query was not answered. */
 void dff_cell_worker_unanswered (struct dff_cell *cell, const struct dff_name *name);
 
-/** Tells the core which workers may be used, and finds those that are silent too long. */
+/** Reports changed worker states to the core, and queries workers that are silent. */
 void dff_cell_workers_tick (struct dff_cell *cell);
 
-/** Tells a new core about every worker. */
+/** Reports worker states to the core: those that changed, or all with @again. */
 void dff_cell_workers_report (struct dff_cell *cell, bool again);
 
 /* recovery.c */
 
 void dff_cell_recovery_begin (struct dff_cell *cell);
 
-/** Takes in a row while taking over; takes @row over. */
+/** Applies a row during a takeover; takes ownership of @row. */
 void dff_cell_recovery_apply_row (struct dff_cell *cell, struct dff_job_row *row);
 
 /** Every row has been read. */
@@ -458,26 +456,26 @@
 
 void dff_cell_recovery_tick (struct dff_cell *cell);
 
-/** A worker's answer, or its absence, while taking over. */
+/** A worker answered a query of the takeover, or did not answer it. */
 void dff_cell_recovery_answer (struct dff_cell *cell,
 			       const struct dff_name *worker,
 			       const struct dff_worker_result *result);
 
 /* spans.c */
 
-/** Ends the hop that the job is in. @outcome: static word. */
+/** Ends the span of the job's current stage. @outcome: static string. */
 void dff_cell_span_end (struct dff_cell *cell, struct dff_cell_job *job, const char *outcome);
 
-/** Ends the hop that the job is in with @outcome and begins @name. */
+/** Ends the span of the job's current stage with @outcome and begins that of stage @name. */
 void dff_cell_span_next (struct dff_cell *cell,
 			 struct dff_cell_job *job,
 			 const char *outcome,
 			 const char *name);
 
-/** The core has placed the job: from queue through decide to record. */
+/** The core has placed the job: its stage goes from queue through decide to record. */
 void dff_cell_span_decided (struct dff_cell *cell, struct dff_cell_job *job);
 
-/** A member has started: with the last one the job runs. */
+/** A member has started. Once all have, the job is in stage run. */
 void dff_cell_span_started (struct dff_cell *cell, struct dff_cell_job *job);
 
 #endif
--- a/cell/core_metrics.c
+++ b/cell/core_metrics.c
@@ -3,8 +3,8 @@
 #include "cell/cell_private.h"
 
 /*
- * What the decision core counts, in this process's metrics. A core begins at zero at each take-over
- * and a process's counters must not go back, so that what was added since the last look is added.
+ * Publishes the counters of the core as metrics. A core begins at zero at each takeover and a
+ * metric counter must not decrease, so the increase since the last publication is added.
  */
 
 #define PUBLISH_INTERVAL_MS 1000
--- a/cell/executor.c
+++ b/cell/executor.c
@@ -1,7 +1,7 @@
 #include "cell/cell_private.h"
 
-/* The core's commands become writes and calls. A start intent is durable before its start is sent:
- * the core sends START_TASK only after ATTEMPT_RECORDED. */
+/* Turns the core's commands into writes and calls. A start intent is durable before its start is
+ * sent: the core issues START_TASK only after ATTEMPT_RECORDED. */
 
 void
 dff_cell_set_wanted (struct dff_cell *cell,
@@ -61,7 +61,7 @@
 {
 	struct dff_cell_member *member =
 		&g_array_index (job->members, struct dff_cell_member, index);
-	/* Nothing was ever sent in this attempt, which this holder itself opened: that is proof. */
+	/* This holder opened the attempt and sent no start: the member cannot have run. */
 	if (!member->sent && !job->recovered)
 		dff_cell_member_ended (cell, job, member, DFF_EVENT_TASK_STOPPED, false);
 	else
--- a/cell/feed.c
+++ b/cell/feed.c
@@ -2,10 +2,10 @@
 
 #include "common/log.h"
 
-/* Job rows, read in order of revision after the last one read. A scan of one page after another
- * misses nothing, because a row that changes meanwhile moves to the end of the order. */
+/* Reads job rows in order of revision, from the last one read. A scan page by page misses no row,
+ * because a row that changes meanwhile moves to the end of the order. */
 
-/** Interval of scans without a hint, ms. */
+/** Interval of scans when no hint arrives, ms. */
 #define FEED_INTERVAL_MS 1000
 
 void
@@ -28,8 +28,8 @@
 	return NULL;
 }
 
-/* Rows that are open or ended here were written by this holder, which knows them, or are older than
- * the end that it wrote: only queued ones can be news. */
+/* Open or ended rows here were written by this holder, which knows them, or are older than the end
+ * that it wrote: an unknown job is new only if its row is queued. */
 static void
 handle_new_row (struct dff_cell *cell, struct dff_job_row *row)
 {
@@ -54,7 +54,7 @@
 {
 	if (row->revision <= job->row->revision || row->state == DFF_JOB_ROW_ENDED)
 		return;
-	/* With a write on its way, the revision is its answer's to tell. */
+	/* While a write is outstanding, its answer sets the revision. */
 	if (!job->writing)
 		job->row->revision = row->revision;
 	if (row->cancel_requested)
--- a/cell/job_row.c
+++ b/cell/job_row.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #define DIGEST_HEX_LEN 64
-/** Hex digits of the hash in a job id. */
+/** Number of hex digits of the hash in a job id. */
 #define ID_HASH_LEN 32
 
 static const char *const state_names[] = {
@@ -162,7 +162,7 @@
 	return object;
 }
 
-/* Accelerators are a bit set of 64; JSON integers are signed, so the top bit travels as a sign. */
+/* Accelerators are a 64-bit mask; JSON integers are signed, so the top bit becomes the sign. */
 static json_t *
 encode_placements (const struct dff_job_row *row)
 {
@@ -217,20 +217,20 @@
 	return value;
 }
 
-/* A recorder refuses a row that is too long, and goes on refusing it. Symptom: an accepted job
- * never starts. The row grows when it is started and ended, so that a job is measured with room to
- * spare before it is taken. */
+/* The recorder refuses a row that is too long, at every retry, so that an accepted job would never
+ * start. The row grows when the job starts and ends; so a job is accepted only if its row leaves
+ * capacity for that. */
 bool
 dff_job_row_fits (const struct dff_job_row *row)
 {
-	/* The encoding doubles a payload at the most: most need not be encoded for this. */
+	/* The encoding at most doubles a payload: most rows need not be encoded here. */
 	if (row->payload->len < DFF_JOB_ROW_MAX_BYTES / 4)
 		return true;
 	g_autoptr (GString) value = dff_job_row_encode (row);
 	return value->len <= DFF_JOB_ROW_MAX_BYTES;
 }
 
-/** Reads an optional name; absent is empty. Returns: false when it is there and malformed. */
+/** Reads an optional name; empty if absent. Returns: false if present and malformed. */
 static bool
 get_name (const json_t *object, const char *key, struct dff_name *name)
 {
@@ -253,7 +253,7 @@
 		g_string_append_len (text, json_string_value (value), json_string_length (value));
 }
 
-/** Reads an optional integer of 32 bits; absent is 0. */
+/** Reads an optional 32-bit integer; 0 if absent. */
 static bool
 get_int32 (const json_t *object, const char *key, int32_t *out)
 {
@@ -351,7 +351,7 @@
 	return get_name (object, "key", &result->manifest_key);
 }
 
-/** The open attempt names one worker for each member, or a take-over could not ask them all. */
+/** The open attempt names one worker for each member: a takeover has to query them all. */
 static bool
 placements_fit (const struct dff_job_row *row)
 {
--- a/cell/lease.c
+++ b/cell/lease.c
@@ -6,9 +6,9 @@
 #include "cell/lease_rows.h"
 #include "common/log.h"
 
-/** Extra wait of a candidate for each better ranked one, ms. */
+/** Extra delay of a candidate for each candidate of a better rank, ms. */
 #define RANK_STEP_MS 100
-/** Least wait before a refused or unanswered call is made again, ms. */
+/** Shortest delay before a refused or unanswered call is repeated, ms. */
 #define RETRY_MIN_MS 50
 
 enum lease_phase {
@@ -30,16 +30,16 @@
 	DFF_CALL_LOOKUP,
 };
 
-/** An outstanding call to the table. One that got no answer in time is abandoned, not cancelled:
- * its callback may still come and is then ignored. */
+/** An outstanding call to the table. A call without an answer in time is abandoned, not cancelled:
+ * its callback may still arrive, and is ignored unless it resolves the last commit. */
 struct lease_call {
 	struct dff_lease *lease;
 	enum call_kind kind;
-	/** Commits: which one. */
+	/** Number of the last commit when the call was made. */
 	uint64_t n_commit;
 };
 
-/** The commit that was sent last; unresolved until its effect is known. */
+/** The last commit that was sent; unresolved until its effect is known. */
 struct lease_commit {
 	enum lease_purpose purpose;
 	struct dff_name write_id;
@@ -58,16 +58,16 @@
 	struct dff_lease_rows rows;
 	struct lease_commit commit;
 	uint64_t n_commits;
-	/** When the write that the lease rests on was sent. */
+	/** When the write that the lease is based on was sent, ms. */
 	int64_t held_from_ms;
-	/** Revision of the lease row that this object wrote last. */
+	/** Revision of the lease row that this object wrote last; 0: none. */
 	int64_t own_revision;
 	struct lease_call *call;
 	int64_t call_sent_ms;
 	int64_t next_ms;
-	/** The lease is not taken before. */
+	/** Earliest time at which the lease may be taken after a failed commit. */
 	int64_t take_after_ms;
-	/** Elements: struct lease_call, unanswered and given up. */
+	/** Unanswered calls that were abandoned. Elements: struct lease_call. */
 	GHashTable *abandoned;
 	int64_t *takeovers;
 	int64_t *lapses;
@@ -81,7 +81,7 @@
 	return dff_clock_now_ms (lease->options.clock);
 }
 
-/* All processes start and fail together; without jitter their reads would arrive together too. */
+/* All processes start and fail together; without jitter their reads would also arrive together. */
 static int64_t
 jittered (struct dff_lease *lease, int64_t interval_ms)
 {
@@ -225,13 +225,13 @@
 	lease->call_sent_ms = now_ms (lease);
 }
 
-/** Takes a call out of the books. Returns: whether its answer is still wanted. */
+/** Ends a call. Returns: whether its answer is still to be handled. */
 static bool
 end_call (struct lease_call *call)
 {
 	struct dff_lease *lease = call->lease;
-	/* A slow store answers a commit after it was given up; the answer resolves it all the same,
-	 * or no renewal would ever count while answers take longer than the interval. */
+	/* A slow store answers a commit after the call was abandoned; the answer still resolves it,
+	 * or no renewal would count while answers take longer than the interval. */
 	bool resolves = call->kind == DFF_CALL_COMMIT && call->n_commit == lease->n_commits;
 	if (lease->call != call) {
 		g_hash_table_remove (lease->abandoned, call);
@@ -299,7 +299,7 @@
 		lease->rows.epoch += 1;
 		lease->rows.epoch_revision = revision;
 	}
-	/* An answer that comes after the lease was given up does not bring it back. */
+	/* An answer that arrives after the lease was lost or released does not restore it. */
 	if (lease->phase == (taken ? DFF_LEASE_WATCHING : DFF_LEASE_HELD))
 		enter_held (lease, taken);
 }
@@ -409,8 +409,9 @@
 
 /**
  * Whether the lease may be taken. No clock is compared with another's: the row must have stood
- * unchanged for a whole lease on this clock since it was first seen here, which is later than its
- * holder sent it. A row that this very object wrote needs no wait: it has itself given it up.
+ * unchanged for a whole lease on this clock since it was first read here, which is later than its
+ * holder sent it. A row that this object wrote needs no wait: this process no longer holds the
+ * lease.
  */
 static bool
 may_take (const struct dff_lease *lease)
@@ -427,7 +428,7 @@
 	return now_ms (lease) >= rows->first_seen_ms + wait;
 }
 
-/** A call unanswered this long is given up. */
+/** Abandons a call that has no answer after one renewal interval. */
 static void
 time_out_call (struct dff_lease *lease)
 {
--- a/cell/lease.h
+++ b/cell/lease.h
@@ -12,8 +12,8 @@
 
 /*
  * The lease of a cell: two rows, "cell/REGION/lease" {instance, counter} and "cell/REGION/epoch"
- * {epoch, instance}. It talks to the table itself, not through the recorder: a renewal must not
- * queue behind the writes of jobs. One call is outstanding at a time.
+ * {epoch, instance}. The lease calls the table directly, not through the recorder: a renewal must
+ * not queue behind the writes of jobs. One call is outstanding at a time.
  */
 
 struct dff_lease;
@@ -39,7 +39,7 @@
 /** Reads, renews or takes the rows, whichever is due. */
 void dff_lease_tick (struct dff_lease *lease);
 
-/** Whether the lease may be taken when it is free; a process that is not fit to decide says no. */
+/** Sets whether this process, as one that is able to decide, may take a free lease. */
 void dff_lease_set_candidate (struct dff_lease *lease, bool candidate);
 
 void dff_lease_set_rank (struct dff_lease *lease, int32_t rank);
@@ -47,26 +47,26 @@
 /** Whether the lease is held and good for more than the margin, by the clock as it is now. */
 bool dff_lease_is_held (const struct dff_lease *lease);
 
-/** Returns: epoch held or held last; 0: none yet. */
+/** Returns: epoch of the lease that is or was last held; 0: none yet. */
 int64_t dff_lease_epoch (const struct dff_lease *lease);
 
 /** Returns: revision of the epoch row that the holder's writes are conditional on. */
 int64_t dff_lease_epoch_revision (const struct dff_lease *lease);
 
-/** Key of the epoch row, valid as long as the lease. */
+/** Returns: key of the epoch row, valid as long as the lease object. */
 struct dff_str dff_lease_epoch_key (const struct dff_lease *lease);
 
 /** A condition on the epoch row failed: another process holds the cell. */
 void dff_lease_mark_fenced (struct dff_lease *lease);
 
-/** Asks for an early renewal, to learn soon whether the lease still holds. */
+/** Requests an early renewal, to find out soon whether the lease is still held. */
 void dff_lease_request_renewal (struct dff_lease *lease);
 
 /** Writes the lease row empty, so that the next candidate need not wait. The lease counts as not
- * held from now on and is not taken again. */
+ * held from now on, and is not taken again. */
 void dff_lease_release (struct dff_lease *lease);
 
-/** Whether nothing is held and no release is on its way. */
+/** Whether no lease is held and no release is outstanding. */
 bool dff_lease_is_released (const struct dff_lease *lease);
 
 #endif
--- a/cell/lease_rows.c
+++ b/cell/lease_rows.c
@@ -41,8 +41,8 @@
 	json_decref (object);
 }
 
-/* An epoch row that cannot be read must not restart the epochs at 1: workers and rows of an older
- * holder would then pass for newer ones. The cell is left alone until an operator mends the row. */
+/* If an unreadable epoch row restarted the epochs at 1, commands and rows of older holders would
+ * count as newer ones. No process takes the lease until an operator repairs the row. */
 static void
 apply_epoch_row (struct dff_lease_rows *rows, const struct dff_table_row *row)
 {
--- a/cell/records.c
+++ b/cell/records.c
@@ -5,12 +5,12 @@
 
 #include "common/log.h"
 
-/* Changes of job rows. Each is conditional on the revision of the epoch row, so that a process that
- * lost the cell cannot write, and on the row's own, so that a cancellation that an entry wrote in
- * between is seen. One write a job is on its way at a time. */
+/* Writes job rows. Each write is conditional on the revision of the epoch row, so that a former
+ * holder cannot write, and on the revision of the job's row, so that a cancellation that an entry
+ * has written since is noticed. At most one write per job is outstanding. */
 
-/** A start intent that could not be sent for this long is given up; its workers are wanted by
- * others, ms. */
+/** Longest time that a start intent waits to be sent, ms; then it is abandoned, because other jobs
+ * need its workers. */
 #define START_WRITE_TIMEOUT_MS 5000
 
 void
@@ -36,7 +36,7 @@
 	dff_cell_queue_event (cell, &event);
 }
 
-/** Goes on to the next write of the job. */
+/** Removes the head write and schedules the next write of the job. */
 static void
 next_write (struct dff_cell *cell, struct dff_cell_job *job)
 {
@@ -65,7 +65,7 @@
 	dff_cell_agenda_add (cell, &due);
 }
 
-/** Puts what @write says into @row. Arrays are lent, not copied. */
+/** Applies @write to @row. The arrays are borrowed, not copied. */
 static void
 apply_write (const struct dff_cell *cell,
 	     const struct dff_cell_job *job,
@@ -94,7 +94,7 @@
 	}
 }
 
-/** The row as it will be, with arrays lent by @job, its head write and @empty. */
+/** Encodes the row with the head write applied, with borrowed or empty arrays. */
 static GString *
 encode_next (const struct dff_cell *cell, const struct dff_cell_job *job)
 {
@@ -108,7 +108,7 @@
 	return dff_job_row_encode (&next);
 }
 
-/** The head write is durable. */
+/** Applies the head write, which is durable, to the job. */
 static void
 apply_durable_write (struct dff_cell *cell, struct dff_cell_job *job, int64_t revision)
 {
@@ -176,8 +176,8 @@
 	next_write (cell, job);
 }
 
-/* The row was ended by somebody else or is elsewhere: the job only has to abandon_job the core.
- * Nothing is written and nothing counted. */
+/* Another process ended the job, or its row is deleted: the job is only removed from the core.
+ * Nothing is written or counted. */
 static void
 abandon_job (struct dff_cell *cell, struct dff_cell_job *job)
 {
@@ -192,7 +192,7 @@
 		next_write (cell, job);
 }
 
-/** The row as it is after a conflict. */
+/** Handles a conflict; @row is the row as it is now, NULL if it is deleted or unreadable. */
 static void
 resolve_conflict (struct dff_cell *cell, struct dff_cell_job *job, const struct dff_job_row *row)
 {
@@ -245,7 +245,7 @@
 	resolve_conflict (cell, job, row);
 }
 
-/** Finds out whose write was in the way. */
+/** Reads the job's row and the epoch row, to find out which of them changed. */
 static void
 reread (struct dff_cell *cell, const struct dff_cell_job *job)
 {
@@ -321,8 +321,8 @@
 	call->ticket = dff_recorder_write (cell->options.recorder, &record, on_write, call);
 }
 
-/* The next attempt's intent says the same as "the last attempt is over": a retry that is still
- * waiting would cost a write of its own. */
+/* The intent of the next attempt implies that the last attempt has ended: a retry write that still
+ * waits is dropped, as it would cost an extra write. */
 static void
 drop_superseded (struct dff_cell_job *job)
 {
--- a/cell/recovery.c
+++ b/cell/recovery.c
@@ -5,12 +5,12 @@
 #include "common/log.h"
 
 /*
- * Take-over: read every job row, ask every worker for its tasks, then rebuild the core from both.
- * Nothing is sent before that is done. What runs goes on running; the rest is stopped by the core,
- * and the workers' answers decide how it ends.
+ * Takeover: reads every job row, queries every worker for its tasks, then rebuilds the core from
+ * both. Nothing else is sent before that is done. What runs continues to run; the core stops the
+ * rest, and the workers' answers decide how it ends.
  */
 
-/** Longest wait for the workers' answers: a worker that is down must not hold up the others. */
+/** Longest wait for the workers' answers, ms: a worker that is down must not delay the others. */
 #define QUERY_TIMEOUT_MS 1500
 
 void
@@ -29,7 +29,7 @@
 dff_cell_recovery_apply_row (struct dff_cell *cell, struct dff_job_row *row)
 {
 	const struct dff_name id = row->spec.id;
-	/* A row that changed while the pages were read comes again, newer. */
+	/* A row that changed while the pages were read appears again, with its newer value. */
 	dff_cell_job_remove (cell, &id);
 	if (row->state == DFF_JOB_ROW_ENDED) {
 		cell->ended[row->outcome] += 1;
@@ -47,7 +47,7 @@
 	cell->phase = DFF_CELL_QUERYING;
 }
 
-/** Workers that open attempts name and the list does not know, so that their silence is noticed. */
+/** Adds workers that open attempts name but the list does not, so that their silence is noticed. */
 static void
 add_placed_workers (struct dff_cell *cell)
 {
@@ -127,7 +127,7 @@
 	       member->recovered_state == DFF_TASK_COMPLETED;
 }
 
-/** Whether every member is held, runs or has completed: the attempt can go on as a whole. */
+/** Whether every member is held, runs or has completed: the attempt can continue as a whole. */
 static bool
 is_whole (const struct dff_cell_job *job)
 {
@@ -156,8 +156,8 @@
 	return running;
 }
 
-/* The former holder went between recording, holding and releasing. The members that it had not
- * released yet are released now: the gang goes on as a whole instead of being stopped. */
+/* The former holder failed between recording and releasing the gang. The members that are still
+ * held are released, so that the gang continues instead of being stopped. */
 static void
 release_held (struct dff_cell *cell, struct dff_cell_job *job)
 {
@@ -208,7 +208,7 @@
 	return dff_name_compare (&first->row->spec.id, &second->row->spec.id);
 }
 
-/** Jobs in order of their last change, so that the same rows rebuild the same core. */
+/** Returns: jobs in order of their last change, so that the same rows rebuild the same core. */
 static GPtrArray *
 jobs_in_order (const struct dff_cell *cell)
 {
--- a/cell/reports.c
+++ b/cell/reports.c
@@ -2,7 +2,7 @@
 
 #include "common/log.h"
 
-/* What workers say about tasks becomes events for the core, each at most once. */
+/* Turns task reports of workers into events for the core, each sent at most once. */
 
 static int32_t
 member_index (const struct dff_cell_job *job, const struct dff_cell_member *member)
@@ -67,10 +67,10 @@
 	g_strlcpy (job->result.digest, report->result_digest, sizeof (job->result.digest));
 }
 
-/* A worker that started anew has forgotten what it ran and leaves tombstones for it all the same.
- * Symptom: a job that ran is reported as not run, or runs again. A tombstone counts as "never ran"
- * only from the incarnation that was there when the intent was recorded, or for a member that was
- * held and that nobody can have let go. */
+/* A worker that restarted has lost its record of the tasks it ran, and still creates a tombstone
+ * for each stop of such a task. A job that ran would then be reported as not run, or would run
+ * again. A tombstone therefore proves that a member never ran only if the worker's incarnation is
+ * the one that the intent recorded, or if the member was held and no release can have been sent. */
 static void
 handle_tombstone (struct dff_cell *cell,
 		  struct dff_cell_job *job,
@@ -122,8 +122,8 @@
 	}
 }
 
-/* A start that was delayed in the network can arrive after its job has ended or gone on to another
- * attempt. Symptom: one member of a gang runs alone, on accelerators that are leased to others. */
+/* A start that was delayed in the network can arrive after its job has ended or begun another
+ * attempt. One member of a gang would then run alone, on accelerators that are leased to others. */
 static void
 stop_orphan (struct dff_cell *cell,
 	     const struct dff_name *worker,
@@ -158,7 +158,7 @@
 		apply_task_state (cell, job, member, incarnation, report);
 		return;
 	}
-	/* An attempt that is newer than the row known here belongs to a later holder. */
+	/* An attempt newer than the row known here belongs to a later holder. */
 	if (job == NULL || report->task.attempt <= job->row->attempt)
 		stop_orphan (cell, worker, report);
 }
@@ -221,8 +221,8 @@
 	return false;
 }
 
-/* Only a member that had started before the worker was asked can be missed: a start that is still
- * on its way is not lost. */
+/* Only a member that had started before the query was sent counts as lost if it is missing: a start
+ * that is still on its way is not lost. */
 static void
 mark_lost_if_missing (struct dff_cell *cell,
 		      struct dff_cell_job *job,
--- a/cell/retention.c
+++ b/cell/retention.c
@@ -6,45 +6,45 @@
 #include "common/log.h"
 
 /*
- * Deletion of the rows of jobs that ended long ago; docs/decisions/retention.md gives the reasons.
- * A sweep reads the region's job rows in order of revision, which for ended rows is the order of
- * their ends, and stops among those that are too young. A batch goes as a whole: its own row first,
- * which ends it for callers, then the rows of its jobs.
+ * Deletes the rows of jobs that ended long ago; docs/decisions/retention.md gives the reasons. A
+ * sweep reads the region's job rows in order of revision, which for ended rows is the order of
+ * their ends, and stops among those that are too recent. A batch is deleted as a whole: first its
+ * own row, which ends it for callers, then the rows of its jobs.
  */
 
-/** Time for which this holder has to have known a row as ended, by its monotonic clock, ms. */
+/** Time for which this holder must have known a row as ended, by its monotonic clock, ms. */
 #define KNOWN_MIN_MS 600000
-/** Interval at which the feed's place is noted, ms. */
+/** Interval at which the revision that the feed has read is sampled, ms. */
 #define SAMPLE_INTERVAL_MS 30000
-/** Wait between two sweeps, ms. */
+/** Delay between two sweeps, ms. */
 #define SWEEP_INTERVAL_MS 600000
-/** Units deleted at once, and the wait before the next ones, ms. */
+/** Units deleted at once, and the delay before the next ones, ms. */
 #define DELETE_UNITS 30
 #define DELETE_INTERVAL_MS 1000
-/** Wait between two reads about a batch, ms. */
+/** Delay between two reads of a batch, ms. */
 #define CHECK_INTERVAL_MS 50
-/** A deletion that could not be sent for this long is left to the next sweep, ms. */
+/** Longest time that a deletion waits to be sent, ms; then it is left to the next sweep. */
 #define DELETE_TIMEOUT_MS 5000
-/** Ended rows in a row that are too young before a sweep stops. One alone may have its time from a
- * clock that was wrong. */
+/** Number of successive ended rows that are too recent after which a sweep stops. A single one may
+ * carry the time of a wrong clock. */
 #define RECENT_MAX 64
 #define MS_PER_S 1000
 
-/** What the sweep knows of a batch. */
+/** Result of the sweep's check of a batch. */
 enum batch_check {
 	DFF_BATCH_NOT_CHECKED,
 	DFF_BATCH_KEPT,
-	/** Its own row is gone. */
+	/** The batch's own row is deleted. */
 	DFF_BATCH_DELETED,
 };
 
-/** What revision of the table the feed had seen at a time. */
+/** Revision of the table that the feed had read up to at a time. */
 struct revision_sample {
 	int64_t at_ms;
 	int64_t revision;
 };
 
-/** An ended row that may go. */
+/** An ended row that may be deleted. */
 struct expired {
 	struct dff_name id;
 	struct dff_name batch;
@@ -87,8 +87,8 @@
 	g_hash_table_unref (cell->retention.batch_checks);
 }
 
-/* A row whose revision is not above one that the table had at a time has stood as it is since then.
- * One revision_sample for each interval tells that of any number of rows. */
+/* A row whose revision is not above the table's revision at a time has not changed since then. So
+ * one sample per interval covers any number of rows. */
 static void
 take_sample (struct dff_cell *cell)
 {
@@ -105,7 +105,7 @@
 		g_array_remove_index (samples, 0);
 }
 
-/* Returns: the revision up to which rows have stood for long enough; 0: none. */
+/* Returns: the revision up to which rows have been known for long enough; 0: none. */
 static int64_t
 settled_revision (const struct dff_cell *cell)
 {
@@ -114,8 +114,8 @@
 	return first->at_ms <= dff_cell_now_ms (cell) - KNOWN_MIN_MS ? first->revision : 0;
 }
 
-/* The wall clock, which may be wrong, says that the retention is over; the monotonic one, which
- * knows nothing of earlier holders, that the end is no news. */
+/* Two clocks have to agree: the wall clock, which may be wrong, on the retention; the monotonic
+ * clock, which does not cover earlier holders, on how long this holder has known the end. */
 bool
 dff_cell_retention_is_over (const struct dff_cell *cell, int64_t ended_wall_ms, int64_t revision)
 {
@@ -149,7 +149,7 @@
 	return true;
 }
 
-/* A table that does not answer is left alone for a while. */
+/* If the table does not answer, the sweep pauses. */
 static bool
 is_answered (struct dff_cell *cell, const struct dff_table_result *result)
 {
@@ -207,7 +207,7 @@
 		     begin_call (cell, DFF_CELL_CALL_SCAN));
 }
 
-/* What follows the last dot of "REGION.HASH". */
+/* Returns: what follows the last dot of "REGION.HASH". */
 static const char *
 hash_of (const struct dff_name *id)
 {
@@ -242,8 +242,8 @@
 									    : DFF_BATCH_KEPT);
 }
 
-/* Deletes @key, and "idem/HASH" with it unless @hash is NULL, if @condition holds, and @key is
- * still of @revision. */
+/* Deletes @key if its revision is still @revision and @condition (nullable) holds. Deletes
+ * "idem/HASH" as well unless @hash is NULL. */
 static void
 delete_rows (struct dff_cell *cell,
 	     const GString *key,
@@ -350,7 +350,7 @@
 		return;
 	struct dff_cell *cell = call.cell;
 	*cell->metrics.expired += 1;
-	/* The counts are those of the rows, so that the next holder finds the same. */
+	/* The counters describe the rows that exist, so that the next holder counts the same. */
 	if (cell->ended[call.outcome] > 0)
 		cell->ended[call.outcome] -= 1;
 }
@@ -366,7 +366,7 @@
 			     call);
 		return;
 	}
-	/* The same batch may have been submitted anew since its row went. */
+	/* The same batch may have been submitted again since its row was deleted. */
 	g_autoptr (GString) batch = batch_key (cell, &expired->batch);
 	const struct dff_table_condition absent = {.key = {batch->str, batch->len}};
 	delete_rows (cell, key, expired->revision, NULL, &absent, on_deleted, call);
--- a/cell/retention.h
+++ b/cell/retention.h
@@ -7,29 +7,28 @@
 
 #include "common/str.h"
 
-/* The holder's sweeps over what ended long ago: docs/decisions/retention.md. */
+/* The holder's sweeps that delete old rows: docs/decisions/retention.md. */
 
 struct dff_cell;
 
 /** The sweep that deletes rows of jobs that ended long ago. */
 struct dff_cell_retention {
-	/** Revisions of the table that were seen when, back to the time that a row has to be known
-	 * for. */
+	/** Samples of the table's revision, back to the time for which a row has to be known. */
 	GArray *samples;
-	/** Rows of the last page that may go, and the next one of them. */
+	/** Rows of the last page that may be deleted, and the index of the next one. */
 	GArray *expired;
 	guint next;
 	/** Revision of the last row that the sweep has read, and whether there may be more. */
 	int64_t cursor;
 	bool more;
-	/** Ended rows read in a row that are too young. */
+	/** Number of successive ended rows that are too recent. */
 	int32_t n_recent;
-	/** Calls whose answers are awaited. */
+	/** Calls that are not answered yet. */
 	int32_t n_outstanding;
 	int64_t due_ms;
-	/** struct dff_name of a batch to what the sweep knows of it. */
+	/** struct dff_name of a batch to the result of its check. */
 	GHashTable *batch_checks;
-	/** The batch whose jobs are being read. */
+	/** The batch whose jobs are being checked. */
 	struct dff_name batch;
 	bool checking;
 	int64_t batch_revision;
@@ -38,13 +37,13 @@
 
 /** The sweep that deletes records of requests. */
 struct dff_cell_attempt_retention {
-	/** Rows of the last page that may go, and the next one of them. */
+	/** Rows of the last page that may be deleted, and the index of the next one. */
 	GArray *expired;
 	guint next;
 	int64_t cursor;
 	bool more;
 	int32_t n_recent;
-	/** Calls whose answers are awaited. */
+	/** Calls that are not answered yet. */
 	int32_t n_outstanding;
 	int64_t due_ms;
 };
@@ -57,10 +56,10 @@
 
 void dff_cell_retention_free (struct dff_cell *cell);
 
-/** Deletes rows whose retention is over, a few at a time. */
+/** Deletes rows whose retention has passed, a few at a time. */
 void dff_cell_retention_tick (struct dff_cell *cell);
 
-/** Whether a row of @revision that ended at @ended_wall_ms may go: both clocks have to agree. */
+/** Whether the retention of a row that ended at @ended_wall_ms has passed by both clocks. */
 bool
 dff_cell_retention_is_over (const struct dff_cell *cell, int64_t ended_wall_ms, int64_t revision);
 
@@ -72,7 +71,7 @@
 
 void dff_cell_attempts_free (struct dff_cell *cell);
 
-/** Deletes records of requests whose retention is over, if that is this holder's to do. */
+/** Deletes records of requests whose retention has passed, in the first region's holder only. */
 void dff_cell_attempts_tick (struct dff_cell *cell);
 
 #endif
--- a/cell/retention_attempts.c
+++ b/cell/retention_attempts.c
@@ -4,22 +4,22 @@
 #include <string.h>
 
 /*
- * Deletion of the records of requests that are not idempotent. They belong to no region and any
- * process may have written them, so that the holder of the first region sweeps them for all. For a
- * moment two holders may think that they are the first: each deletion is conditional on the row.
+ * Deletes the records of requests that are not idempotent. They belong to no region, and any
+ * process may have written them, so the holder of the first region sweeps them for all. For a
+ * moment two holders may both assume to be the first: each deletion is conditional on the row.
  */
 
 #define PREFIX "attempt/"
-/** Wait between two sweeps, and between two steps of one, ms. */
+/** Delay between two sweeps, and between two steps of one sweep, ms. */
 #define SWEEP_INTERVAL_MS 600000
 #define STEP_INTERVAL_MS 2000
 /** Rows deleted at once. */
 #define DELETE_UNITS 30
 #define DELETE_TIMEOUT_MS 5000
-/** Rows in a row that are too young before a sweep stops. */
+/** Number of successive rows that are too recent after which a sweep stops. */
 #define RECENT_MAX 64
 /** Rows read at once: a sweep that finds nothing reads one page, and stays within the bytes that a
- * process may spend on control. */
+ * process may spend on control traffic. */
 #define PAGE_ROWS RECENT_MAX
 
 struct expired {
--- a/cell/spans.c
+++ b/cell/spans.c
@@ -1,7 +1,7 @@
 #include "cell/cell_private.h"
 
-/* One span for each hop of a job through the holder: queue, decide, record, start, run, record. A
- * job is in one hop at a time; the former holder's open hop ends with it and is not seen. */
+/* One span for each stage of a job in the holder: queue, decide, record, start, run, record. A job
+ * is in one stage at a time. A stage that was open when the former holder failed is not traced. */
 
 static struct dff_trace_context
 context_of (const struct dff_cell_job *job)
--- a/cell/status.c
+++ b/cell/status.c
@@ -2,7 +2,7 @@
 
 #include "cell/cell_private.h"
 
-/* What operators see of a cell. Counts are taken from the rows as they are known to be durable. */
+/* Cell status for operators. Counts come from the rows that are known to be durable. */
 
 struct usage {
 	int64_t queued;
--- a/cell/workers.c
+++ b/cell/workers.c
@@ -4,15 +4,15 @@
 
 #include "common/log.h"
 
-/* The workers of the region as far as a holder needs them: where they answer, whether they may be
- * given work, and how long they have been silent. Watchers renew the leases of their tasks. */
+/* The state of the region's workers that a holder needs: their addresses, whether they may be given
+ * work, and how long they have been silent. Watchers renew the leases of their tasks. */
 
-/** Interval at which states and silences are looked at, ms. */
+/** Interval at which worker states and silences are checked, ms. */
 #define WORKERS_INTERVAL_MS 100
-/** One worker is asked for its tasks this often, in turn, ms. At 360 workers each is asked every 15
- * minutes, which costs about 2 KB/s. */
+/** One busy worker is queried for its tasks at this interval, in turn, ms. With 360 workers each is
+ * queried every 15 minutes, which costs about 2 KB/s. */
 #define AUDIT_INTERVAL_MS 2500
-/** Interval of queries of a worker that stays silent or unlisted, ms. */
+/** Interval of queries of a worker that is silent or not in the instance list, ms. */
 #define SUSPECT_INTERVAL_MS 1000
 
 struct dff_cell_worker *
@@ -51,10 +51,9 @@
 	worker->incarnation = result->incarnation;
 	if (!restarted)
 		return;
-	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING,
-		 "Worker started anew. worker=%s incarnation=%" PRId64, name->data,
-		 result->incarnation);
-	/* A take-over is asking each worker already, and counts the answers. */
+	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING, "Worker restarted. worker=%s incarnation=%" PRId64,
+		 name->data, result->incarnation);
+	/* A takeover already queries each worker, and counts the answers. */
 	if (cell->phase == DFF_CELL_ACTIVE)
 		dff_cell_worker_query (cell, name, dff_cell_now_ms (cell));
 }
@@ -75,7 +74,7 @@
 	dff_cell_agenda_add (cell, &due);
 }
 
-/** Time since the worker's lease on its tasks was last renewed, as far as is known, ms. */
+/** Time since the last known renewal of its tasks' lease, or since the worker was added, ms. */
 static int64_t
 silent_ms (const struct dff_cell *cell, const struct dff_cell_worker *worker)
 {
@@ -83,7 +82,7 @@
 	return dff_cell_now_ms (cell) - last_ms;
 }
 
-/** Whether tasks there must have ended: their lease has lapsed and the worker has stopped them. */
+/** Whether its tasks must have ended: their lease has expired and the worker has stopped them. */
 static bool
 lease_lapsed (const struct dff_cell *cell, const struct dff_cell_worker *worker)
 {
@@ -91,8 +90,8 @@
 	return silent_ms (cell, worker) > limit_ms;
 }
 
-/* A watcher that is cut off from a worker sees it silent while others renew its leases. Its word
- * alone would make a running task lost; the holder asks the worker itself as well. */
+/* A watcher that is cut off from a worker reports it as silent while others renew its leases. That
+ * report alone would make a running task lost; the holder queries the worker itself as well. */
 void
 dff_cell_worker_unanswered (struct dff_cell *cell, const struct dff_name *name)
 {
@@ -150,12 +149,12 @@
 	bool unavailable = !worker->reachable || !worker->listed;
 	if (!unavailable || worker->querying)
 		return;
-	/* Before its lease has lapsed it is asked now and then, so that it is soon of use again. */
+	/* Before its lease has expired it is queried at intervals, to be used again soon. */
 	int64_t now_ms = dff_cell_now_ms (cell);
 	dff_cell_worker_query (cell, &worker->name, now_ms + SUSPECT_INTERVAL_MS);
 }
 
-/** Returns: workers on which a member runs as far as is known; keys: struct dff_name in @cell. */
+/** Returns: workers on which a member is known to run; keys: struct dff_name in @cell. */
 static GHashTable *
 busy_workers (const struct dff_cell *cell)
 {
@@ -175,10 +174,10 @@
 	return busy;
 }
 
-/* Watchers tell of a change twice; both messages may be lost. Symptom: a task that has ended counts
- * as running for ever, and its accelerators are idle. Asking each worker that has one in turn
- * bounds that time. The others are left alone: an answer names every task that ended within the
- * hour, and asking for them cost an idle holder 5 KB/s after a burst of 500 jobs. */
+/* Watchers report a change twice, and both messages may be lost. A task that has ended would then
+ * count as running for ever, with its accelerators idle. Querying each worker that has a running
+ * task in turn bounds that time. The other workers are not queried: an answer names every task that
+ * ended within the hour, and querying them cost an idle holder 5 KB/s after a burst of 500 jobs. */
 static void
 audit (struct dff_cell *cell)
 {
--- a/include/cell/job_row.h
+++ b/include/cell/job_row.h
@@ -12,28 +12,29 @@
 #include "upstream/worker_client.h"
 
 /*
- * The one durable row of a job, JSON under "job/REGION/ID". Written three times: accepted (by an
- * entry), start intent and end (by the holder of the cell); a cancellation and each retry add one.
+ * The one durable row of a job, JSON under "job/REGION/ID". It is written three times: at
+ * acceptance (by an entry), at the start intent and at the end (by the holder of the cell). A
+ * cancellation and each retry add one write.
  *
  * Ids: "REGION.HASH" for single jobs, "REGION.BATCH.INDEX" for members of a batch, so that any
  * process finds the row, and one scan finds a batch. HASH and BATCH are 32 hex digits of the
- * SHA-256 of team and idempotency key, or random where there is no key.
+ * SHA-256 of team and idempotency key, or random if there is no key.
  *
- * A submission with an Idempotency-Key also writes "idem/HASH" (value: the job or batch id) under
- * the condition that it does not exist, in the same transaction, so that the same submission
- * through two processes, even in two regions, is one job.
+ * A submission with an Idempotency-Key also writes "idem/HASH" (value: the job or batch id) in the
+ * same transaction, on condition that this row does not exist. The same submission through two
+ * processes, even in two regions, is therefore one job.
  */
 
-/** Region names are short, so that ids stay within DFF_NAME_MAX. */
+/** Longest region name: job ids have to stay within DFF_NAME_MAX. */
 #define DFF_REGION_NAME_MAX 16
 
 enum dff_job_row_state {
-	DFF_JOB_ROW_QUEUED, /**< No attempt open. */
-	DFF_JOB_ROW_OPEN,   /**< An attempt's start intent is durable. */
+	DFF_JOB_ROW_QUEUED, /**< No attempt is open. */
+	DFF_JOB_ROW_OPEN,   /**< The start intent of an attempt is durable. */
 	DFF_JOB_ROW_ENDED,
 };
 
-/** Where a result lies in the object store; its chunks are listed in the manifest object. */
+/** Location of a result in the object store; the manifest object lists its chunks. */
 struct dff_result_ref {
 	struct dff_name manifest_key;
 	int64_t length;
@@ -46,22 +47,22 @@
 	enum dff_job_row_state state;
 	/** Last attempt whose intent was made durable; 0: none. */
 	int32_t attempt;
-	/** Elements: struct dff_placement; of the open attempt. */
+	/** Placements of the open attempt. Elements: struct dff_placement. */
 	GArray *placements;
 	/** Elements: int64_t, parallel to @placements: the worker's incarnation as known when the
-	 * intent was recorded, 0: not known. Only the same incarnation can vouch that it has never
-	 * seen the attempt. */
+	 * intent was recorded; 0: not known. Only the same incarnation can prove that it has never
+	 * received the attempt. */
 	GArray *incarnations;
 	bool cancel_requested;
 	enum dff_outcome outcome;
 	struct dff_name reason;
 	struct dff_result_ref result;
-	struct dff_name batch; /**< Empty: none. */
+	struct dff_name batch; /**< Empty: not of a batch. */
 	int64_t submitted_wall_ms;
 	int64_t ended_wall_ms;
-	/** Epoch of the holder that wrote last; 0: an entry. */
+	/** Epoch of the holder that wrote the row last; 0: an entry wrote it. */
 	int64_t epoch;
-	/** Caller's work description, JSON text. */
+	/** The caller's description of the work, JSON text. */
 	GString *payload;
 	/** W3C traceparent of the submission; may be empty. */
 	GString *traceparent;
@@ -84,11 +85,10 @@
 /** Encodes the row's value as compact JSON. */
 GString *dff_job_row_encode (const struct dff_job_row *row);
 
-/** What the placements of the largest gang, a result and the row's key may add to a row later,
- * bytes.
- */
+/** Most bytes that the placements of the largest gang, a result and the row's key may add to a row
+ * after submission. */
 #define DFF_JOB_ROW_GROWTH_BYTES (20 << 10)
-/** A job whose row is longer as it is submitted is not taken, bytes. */
+/** Longest row that a job may have at submission, bytes; a job with a longer row is rejected. */
 #define DFF_JOB_ROW_MAX_BYTES (DFF_RECORD_MAX_UNIT_BYTES - DFF_JOB_ROW_GROWTH_BYTES)
 
 /** Returns: whether the row of a job that was not started yet can be recorded, now and later. */
--- a/tests/cell/cell_faults.h
+++ b/tests/cell/cell_faults.h
@@ -3,9 +3,9 @@
 
 #include "tests/cell/cell_promises.h"
 
-/* What the tests of one fault at a time share. */
+/* Shared by the tests that inject one fault at a time. */
 
-/** Faults are tried at each of these steps after submission. */
+/** Faults are injected after each of this many steps from submission. */
 #define FAULT_STEPS 60
 #define JOB_LIMIT_MS 60000
 
@@ -16,13 +16,13 @@
 };
 
 static const struct shape shapes[] = {
-	{"repeatable task", 1, true},
-	{"task that runs once", 1, false},
-	{"repeatable gang", 3, true},
-	{"gang that runs once", 3, false},
+	{"idempotent task", 1, true},
+	{"task that is not idempotent", 1, false},
+	{"idempotent gang", 3, true},
+	{"gang that is not idempotent", 3, false},
 };
 
-/** Ends of work that runs once, after one fault of a process. */
+/** Outcomes that are allowed after one fault of a process. */
 static inline bool
 is_allowed_outcome (const struct shape *shape, enum dff_outcome outcome)
 {
--- a/tests/cell/cell_harness.h
+++ b/tests/cell/cell_harness.h
@@ -12,7 +12,7 @@
 #define HARNESS_PROCESSES 3
 #define HARNESS_WORKERS 4
 #define HARNESS_MAX_JOBS 64
-/** Tests of hours may take longer steps. */
+/** Tests that cover hours may set a longer step. */
 #ifndef HARNESS_STEP_MS
 #define HARNESS_STEP_MS 20
 #endif
@@ -38,29 +38,29 @@
 	struct dff_pool pool;
 	struct fake_fleet fleet;
 	struct harness_process processes[HARNESS_PROCESSES];
-	/** Elements: struct fake_link *, also those of processes that died. */
+	/** Elements: struct fake_link *, including those of killed processes. */
 	GPtrArray *links;
 	uint64_t seed;
-	/** Of the cells to be born; 0: the default. */
+	/** Lease of the cells that are started from now on, ms; 0: the default. */
 	int32_t lease_ms;
 	int n_starts;
-	/** The cells to be born have not heard of any instance. */
+	/** Cells that are started from now on have not received an instance list. */
 	bool no_instance_list;
-	/** Of the jobs to be submitted; empty: none. */
+	/** Batch of the jobs that are submitted from now on; empty: none. */
 	struct dff_name batch;
 	int n_jobs;
-	/** Rows as read last; NULL: not yet. */
+	/** Rows as last read; NULL: not read yet. */
 	struct dff_job_row *rows[HARNESS_MAX_JOBS];
 	int n_writes;
-	/** Bit i: nobody renews leases at worker i. */
+	/** Bit i: leases at worker i are not renewed. */
 	uint64_t unwatched;
-	/** Bit i: leases at worker i are renewed, but the cells are told that it is silent. */
+	/** Bit i: leases at worker i are renewed, but it is reported to the cells as silent. */
 	uint64_t reported_silent;
 	int32_t report_loss_permille;
-	/** Last renewal of each worker's leases. */
+	/** Last reported renewal of each worker's leases. */
 	int64_t renewed_ms[HARNESS_WORKERS];
 	int64_t next_watch_ms;
-	/** What the promises were last checked for. */
+	/** State for which the invariants were last checked. */
 	int checked_records;
 	int64_t checked_revision;
 	/** The entry that submits and cancels. */
@@ -124,7 +124,7 @@
 		harness_set_instances (harness, process->cell);
 }
 
-/** The process dies: what it sent is still on its way, nothing comes back to it. */
+/** Kills a process: what it sent is still on its way, and no answer reaches it. */
 static inline void
 harness_kill (struct harness *harness, int index)
 {
@@ -209,7 +209,7 @@
 	*(enum dff_table_outcome *)user = result->outcome;
 }
 
-/** Writes a job's row like an entry. Returns: whether it was as it was read. */
+/** Writes a job's row as an entry does. Returns: whether the row had the expected revision. */
 static inline bool
 harness_write_row (struct harness *harness, const struct dff_job_row *row)
 {
@@ -257,7 +257,7 @@
 	return index;
 }
 
-/* Nothing is written by a process that has lost the cell. */
+/* A process that no longer holds the cell must not write a row. */
 static inline void
 harness_check_writer (const struct harness *harness, const struct dff_job_row *row)
 {
@@ -273,7 +273,7 @@
 			  row->spec.id.data, (int)row->epoch, (int)epoch);
 }
 
-/** Returns: the row of job @index as it is now; valid until it changes. */
+/** Returns: the current row of job @index; valid until it changes. */
 static inline const struct dff_job_row *
 harness_row (struct harness *harness, int index)
 {
@@ -299,7 +299,7 @@
 	return harness_row (harness, index)->outcome;
 }
 
-/** Requests a cancellation like an entry does. */
+/** Requests a cancellation as an entry does. */
 static inline void
 harness_cancel (struct harness *harness, int index)
 {
@@ -312,7 +312,7 @@
 	harness_hint (harness, &row.spec.id);
 }
 
-/** Times that @member of job @index began to run, in any attempt. */
+/** Returns: number of times that @member of job @index began to run, in attempts 1 to @attempts. */
 static inline int
 harness_member_runs (const struct harness *harness, int index, int member, int attempts)
 {
@@ -323,7 +323,7 @@
 	return runs;
 }
 
-/** Times that any member of job @index began to run. */
+/** Returns: number of times that any member of job @index began to run. */
 static inline int
 harness_runs (struct harness *harness, int index)
 {
--- a/tests/cell/cell_promises.h
+++ b/tests/cell/cell_promises.h
@@ -3,9 +3,9 @@
 
 #include "tests/cell/cell_harness.h"
 
-/* Steps of the virtual clock, after each of which the promises are checked. */
+/* Advances the virtual clock step by step and checks the invariants after each step. */
 
-/* A start is sent only when its intent is on record. */
+/* A start may be sent only when its intent is on record. */
 static inline void
 harness_check_start (void *ctx, const struct dff_task_id *task)
 {
@@ -13,7 +13,7 @@
 	for (int i = 0; i < harness->n_jobs; i++) {
 		const struct dff_job_row *row = harness_row (harness, i);
 		if (dff_name_equal (&row->spec.id, &task->job) && row->attempt < task->attempt)
-			fail_msg ("job %d: attempt %d is sent and not on record", i, task->attempt);
+			fail_msg ("job %d: attempt %d is sent but not on record", i, task->attempt);
 	}
 }
 
@@ -39,7 +39,7 @@
 		g_array_index (worker->tasks, struct fake_task, i).lease_until_ms = until_ms;
 }
 
-/** A watcher renews the leases at each worker and tells the cells what it saw. */
+/** A watcher renews the leases at each worker and reports to the cells. */
 static inline void
 harness_watch (struct harness *harness)
 {
@@ -100,10 +100,11 @@
 		const struct dff_task_id last = {row->spec.id, row->attempt, member};
 		int times = harness_member_runs (harness, index, member, row->attempt);
 		if (row->outcome == DFF_OUTCOME_NOT_RUN && times > 0)
-			fail_msg ("job %d is told not_run and ran", index);
+			fail_msg ("job %d is reported as not_run, but ran", index);
 		if (row->outcome == DFF_OUTCOME_COMPLETED &&
 		    fake_count (harness->fleet.runs, &last) == 0)
-			fail_msg ("job %d is told completed, member %d never ran", index, member);
+			fail_msg ("job %d is reported as completed, but member %d never ran", index,
+				  member);
 		if (!row->spec.idempotent && times > 1)
 			fail_msg ("job %d, not idempotent: member %d ran %d times", index, member,
 				  times);
@@ -163,7 +164,7 @@
 		harness_step (harness);
 }
 
-/** Runs until job @index has ended. Returns: its outcome, NONE when that takes too long. */
+/** Runs until job @index has ended. Returns: its outcome; NONE if it does not end in time. */
 static inline enum dff_outcome
 harness_run_job (struct harness *harness, int index, int64_t limit_ms)
 {
@@ -176,7 +177,7 @@
 	return harness_outcome (harness, index);
 }
 
-/** Runs until some process holds the cell. Returns: the time it took, ms. */
+/** Runs until a process holds the cell. Returns: the time that took, ms. */
 static inline int64_t
 harness_run_holder (struct harness *harness, int64_t limit_ms)
 {
--- a/tests/cell/fake_link.h
+++ b/tests/cell/fake_link.h
@@ -3,46 +3,46 @@
 
 #include "tests/cell/fake_worker.h"
 
-/* Links to the fake workers, whose messages are delayed, lost, doubled or cut off. */
+/* Links to the fake workers. Their messages can be delayed, lost, duplicated or cut off. */
 
 #define FAKE_CALL_TIMEOUT_MS 500
 
-/** One process's way to the workers. */
+/** Link of one process to the workers. */
 struct fake_link {
 	struct dff_worker_client client;
 	struct fake_fleet *fleet;
 	bool closed;
-	/** Its process stands still: answers wait. */
+	/** The process is paused: answers wait. */
 	bool paused;
 	/** Bit i: worker i cannot be reached. */
 	uint64_t cut;
 	int32_t delay_max_ms;
 	int32_t lose_permille;
 	int32_t duplicate_permille;
-	/** The next so many calls are carried out and their answers lost. */
+	/** The next so many calls are carried out, but their answers are lost. */
 	int32_t lose_answers;
 };
 
 struct fake_message {
 	struct fake_link *link;
 	int worker;
-	/** Of the worker when it was sent: a connection does not outlive a restart. */
+	/** The worker's incarnation at the time of sending: a connection ends with a restart. */
 	int64_t incarnation;
 	struct fake_command command;
-	/** Cut off before anything was sent, and the sender knows. */
+	/** The message was cut off before anything was sent, and the sender knows that. */
 	bool unsent;
 	/** INT64_MAX: does not arrive, or is not answered. */
 	int64_t arrives_ms;
 	int64_t answered_ms;
 	int64_t times_out_ms;
-	/** NULL: answered already, or a double. */
+	/** NULL: answered already, or a duplicate. */
 	dff_worker_func done;
 	void *user;
 	struct dff_worker_result result;
 	GArray *reports;
 };
 
-/** A message reaches its worker. */
+/** Delivers a message to its worker. */
 static inline void
 fake_arrive (struct fake_fleet *fleet, struct fake_message *m)
 {
@@ -146,7 +146,7 @@
 		done (m->user, now_ms >= m->answered_ms ? &m->result : &timed_out);
 }
 
-/** Carries out and answers what is due. */
+/** Delivers and answers the messages that are due. */
 static inline void
 fake_fleet_tick (struct fake_fleet *fleet)
 {
--- a/tests/cell/fake_worker.h
+++ b/tests/cell/fake_worker.h
@@ -11,8 +11,8 @@
 #include "common/clock.h"
 #include "upstream/worker_client.h"
 
-/* Workers in memory. What ran is noted outside of the workers, so that it survives their restarts.
- */
+/* In-memory workers. Runs are counted outside the workers, so that the counts survive their
+ * restarts. */
 
 struct fake_task {
 	struct dff_task_report report;
@@ -30,7 +30,7 @@
 	bool leaving;
 	bool refuses_starts;
 	bool fails_tasks;
-	/** Times it was asked for its tasks. */
+	/** Number of queries for its tasks. */
 	int32_t n_queries;
 };
 
@@ -41,17 +41,17 @@
 	int n_workers;
 	bool checks_epochs;
 	int32_t run_ms;
-	/** On their way. Elements: struct fake_message *. */
+	/** Messages in transit. Elements: struct fake_message *. */
 	GPtrArray *messages;
-	/** Runs and holds noted so far. */
+	/** Number of runs and holds counted so far. */
 	int n_records;
-	/** struct dff_task_id to the times it began to run. */
+	/** struct dff_task_id to the number of times it began to run. */
 	GHashTable *runs;
-	/** The same, of members that were held or ran. */
+	/** struct dff_task_id to the number of times it was held or ran. */
 	GHashTable *held;
 	/** Epoch to the link that used it. */
 	GHashTable *epochs;
-	/** A start is being sent. */
+	/** Called when a start is sent. */
 	void (*check_start) (void *ctx, const struct dff_task_id *task);
 	void *check_ctx;
 };
@@ -259,7 +259,7 @@
 	g_rand_free (fleet->rand);
 }
 
-/** The worker's process dies and comes back without its memory. */
+/** Restarts the worker's process, which loses its state. */
 static inline void
 fake_worker_restart (struct fake_worker *worker)
 {
--- a/tests/cell/test-cell-workers.c
+++ b/tests/cell/test-cell-workers.c
@@ -1,10 +1,10 @@
 #include "tests/cell/cell_faults.h"
 
-/* Faults of workers and of the way to them. The harness checks the promises after every step. */
+/* Faults of workers and of links to them. The harness checks the invariants after every step. */
 
-/* Symptom: a gang is partly started, or a task runs on after its job has ended. Sequence: the
- * answer to one call to a worker is lost, at any step. Cause: a call without an answer was taken
- * for one that was not carried out. */
+/* Guards against taking a call without an answer for one that was not carried out: a gang would be
+ * partly started, or a task would run on after its job has ended. The answers to calls to workers
+ * are lost, at any step. */
 static void
 test_worker_answer_lost_at_every_step (void **state)
 {
@@ -22,8 +22,8 @@
 	}
 }
 
-/* Symptom: a job that has ended counts as running for ever. Sequence: every message of the watchers
- * is lost on its way to the holder. Cause: the holder learned of ends from them alone. */
+/* Guards against learning of ended tasks from watchers alone: every report of the watchers is lost
+ * on its way to the holder, and a job that has ended would count as running for ever. */
 static void
 test_job_ends_without_watcher_reports (void **state)
 {
@@ -45,9 +45,9 @@
 	enum dff_outcome outcome;
 };
 
-/* Symptom: a job waits for ever on a worker that is gone, or runs twice. Sequence: the worker goes
- * silent, or starts anew and has forgotten its tasks. Cause: the silence was never given a meaning,
- * or "never seen" from a worker with no memory was taken for "never ran". */
+/* Guards against a job that waits for ever for a lost worker, or runs twice. The worker goes
+ * silent, or restarts and loses its record of the tasks: its silence has to end the attempt, and
+ * "never seen" from a restarted worker must not count as "never ran". */
 static void
 test_worker_is_lost (void **state)
 {
@@ -77,9 +77,9 @@
 	}
 }
 
-/* Symptom: work that ran is told as not run. Sequence: the holder dies after a start, the worker
- * starts anew, the next holder asks it to stop the task it has never seen. Cause: a tombstone of
- * another incarnation was taken as proof. */
+/* Guards against reporting work that ran as not run. The holder dies after a start, the worker
+ * restarts, and the next holder asks it to stop a task that is unknown to it now. A tombstone of
+ * another incarnation is no proof. */
 static void
 test_restarted_worker_proves_nothing_to_next_holder (void **state)
 {
@@ -97,9 +97,8 @@
 	}
 }
 
-/* Symptom: work that may run once runs twice, or waits for ever. Sequence: its worker refuses the
- * start and accepts a copy of it that the network delivers later. Cause: a refusal was taken for
- * the last word. */
+/* Guards against treating a refusal as final: a worker refuses a start and accepts a copy of it
+ * that the network delivers later. Work that may run once would run twice, or wait for ever. */
 static void
 test_refused_start_runs_elsewhere_once (void **state)
 {
@@ -122,9 +121,9 @@
 	}
 }
 
-/* Symptom: work that may run once runs twice. Sequence: the worker runs it, the answer is lost, the
- * worker starts anew, the start is sent again. Cause: a repeated start counts as the same start
- * only while the worker remembers the first. Found by seed 255 of the schedules. */
+/* Guards against work that may run once and runs twice: the worker runs it, the answer is lost, the
+ * worker restarts, and the start is sent again. A repeated start counts as the same start only
+ * while the worker has its record of the first. Found by seed 255 of test-schedules. */
 static void
 test_start_in_doubt_is_not_repeated_after_restart (void **state)
 {
@@ -143,9 +142,8 @@
 	}
 }
 
-/* Symptom: two attempts of a job run at once. Sequence: a start is carried out, its answer is lost,
- * the repeats are proven unsent. Cause: what is true of the repeats was taken to be true of the
- * first. */
+/* Guards against two attempts of a job that run at once: a start is carried out, its answer is
+ * lost, and its retries are proven unsent. That proof does not hold for the first start. */
 static void
 test_unsent_retries_do_not_fail_the_first_start (void **state)
 {
@@ -169,10 +167,10 @@
 	}
 }
 
-/* Symptom: a member of an old attempt runs on beside the new one. Sequence: the holder and the
- * watcher it hears are cut off from a worker whose leases another watcher renews; its task counts
- * as lost and is started elsewhere; the cut heals. Cause: nobody stops what no open attempt owns.
- */
+/* Guards against a member of an old attempt that runs on beside the new attempt. The holder, and
+ * the watcher whose reports it receives, are cut off from a worker whose leases another watcher
+ * renews. The task counts as lost and is started elsewhere; then the cut heals, and the orphaned
+ * run has to be stopped. */
 static void
 test_orphaned_run_is_stopped (void **state)
 {
@@ -201,9 +199,9 @@
 	harness_clear (&harness);
 }
 
-/* Symptom: an idle holder receives 5 KB/s more after a burst of jobs; the bar for all control is 6.
- * Sequence: jobs run and end, then nothing happens. Cause: workers without work were asked in turn,
- * and named every task that had ended. */
+/* Guards against querying workers without work: their answers name every task that has ended, so
+ * that an idle holder received 5 KB/s more after a burst of jobs. The limit for all control traffic
+ * is 6 KB/s. */
 static void
 test_idle_workers_are_not_queried (void **state)
 {
--- a/tests/cell/test-cell.c
+++ b/tests/cell/test-cell.c
@@ -1,7 +1,7 @@
 #include "tests/cell/cell_faults.h"
 
-/* One fault at a time, at every step of a job's life. The harness checks the promises after every
- * step; the tests check how the job ends. */
+/* One fault at a time, at every step of a job. The harness checks the invariants after every step;
+ * the tests check how the job ends. */
 
 /** Checks that spans called @names ended in this order. */
 static void
@@ -41,8 +41,8 @@
 	}
 }
 
-/* Symptom: work is lost, or runs twice, when the holder dies. Sequence: the holder dies at any step
- * between submission and end, another takes over. Cause: a step whose trace is not durable. */
+/* Guards against work that is lost or runs twice because a step left nothing durable: the holder
+ * dies at any step between submission and end, and another process takes over. */
 static void
 test_holder_dies_at_every_step (void **state)
 {
@@ -59,9 +59,9 @@
 	}
 }
 
-/* Symptom: a resumed process starts, releases or stops what the next holder decides about.
- * Sequence: the holder stands still past its lease at any step and resumes while the next one is
- * at work. Cause: commands sent without a look at the clock. */
+/* Guards against commands that are sent without comparing the lease with the clock. The holder is
+ * paused past its lease at any step and resumes while the next holder acts: it must not start,
+ * release or stop what the next holder decides about. */
 static void
 test_holder_is_paused_at_every_step (void **state)
 {
@@ -81,9 +81,9 @@
 	}
 }
 
-/* Symptom: a job is recorded twice, started without a record, or told to have ended when it has
- * not. Sequence: the answer to any one write of the holder is lost, the write itself taking effect
- * at once, late or never. Cause: a lost answer was taken for a failed write. */
+/* Guards against taking a lost answer for a failed write. The answer to one write of the holder is
+ * lost, and the write takes effect at once, late or never: a job would be recorded twice, started
+ * without a record, or reported as ended when it has not. */
 static void
 test_table_answer_lost_at_every_step (void **state)
 {
@@ -109,9 +109,9 @@
 	}
 }
 
-/* Symptom: a cancelled job completes, or is told cancelled and runs on. Sequence: an entry changes
- * the row between the holder's read and its next write. Cause: the holder's condition failed and it
- * gave up instead of reading again. */
+/* Guards against giving up when the condition of a write fails, instead of reading the row again.
+ * An entry changes the row between the holder's read and its next write: a cancelled job would
+ * complete, or be reported as cancelled and run on. */
 static void
 test_cancelled_at_every_step (void **state)
 {
@@ -137,9 +137,8 @@
 	}
 }
 
-/* Symptom: running tasks are restarted by a store outage. Sequence: the store is down for longer
- * than the lease while tasks run; they end meanwhile. Cause: the next holder starts attempts anew
- * instead of asking the workers. */
+/* Guards against a takeover that restarts attempts instead of querying the workers: the store is
+ * down for longer than the lease, and running tasks end meanwhile. */
 static void
 test_tasks_survive_store_outage (void **state)
 {
@@ -181,8 +180,8 @@
 	harness_clear (&harness);
 }
 
-/* Symptom: an overnight batch is lost and a citizen notices first. Sequence: a worker that its jobs
- * need stays away; nothing fails, nothing moves. Cause: nobody looks at what does not happen. */
+/* Guards against an overnight batch that is stuck unnoticed. A worker that its jobs need stays
+ * away: nothing fails, and nothing makes progress. */
 static void
 test_batch_without_progress_is_reported (void **state)
 {
@@ -208,10 +207,9 @@
 	harness_clear (&harness);
 }
 
-/* Symptom: nobody sees that workers are set aside or attempts repeated unless they ask the holder's
- * status, and a counter goes back at a take-over. Sequence: a worker's task fails, the job is tried
- * again; the holder dies and the process takes the cell anew. Cause: the core's counts began at
- * zero with each core and stood in no metric. */
+/* Guards against counters of the core that are in no metric, or go back at a takeover because each
+ * core begins at zero. A worker loses its task, the job is tried again, and then the process takes
+ * the cell again. */
 static void
 test_core_counters_are_published (void **state)
 {
@@ -244,7 +242,7 @@
 	return (left > right) - (left < right);
 }
 
-/** Time from the holder's death until the next one decides, ms. */
+/** Returns: time from the holder's death until the next holder makes decisions, ms. */
 static int64_t
 takeover_ms (int32_t lease_ms, int phase)
 {
@@ -275,16 +273,16 @@
 			took_ms[phase] = takeover_ms (leases_ms[i], phase);
 		qsort (took_ms, G_N_ELEMENTS (took_ms), sizeof (took_ms[0]), compare_ms);
 		int64_t worst_ms = took_ms[G_N_ELEMENTS (took_ms) - 1];
-		print_message ("lease %d ms: take-over median %d ms, worst %d ms\n", leases_ms[i],
+		print_message ("lease %d ms: takeover median %d ms, worst %d ms\n", leases_ms[i],
 			       (int)took_ms[G_N_ELEMENTS (took_ms) / 2], (int)worst_ms);
-		/* A lease, an interval of reading, the second rank's step, and asking workers. */
+		/* A lease, a read interval, the second rank's delay and the worker queries. */
 		assert_true (worst_ms <= leases_ms[i] + leases_ms[i] / 3 + 500);
 	}
 }
 
-/* Symptom: a row says what a dead process decided. Sequence: the holder's start intent hangs in the
- * network, the holder dies, the next one cannot place the job yet, the intent arrives. Cause: the
- * write was conditional on the job's row alone. The harness checks the writer of every row. */
+/* Guards against a write that is conditional on the job's row alone. The holder's start intent is
+ * delayed in the network, the holder dies, the next one cannot place the job yet, and the intent
+ * arrives. The harness checks the writer of every row. */
 static void
 test_late_write_of_former_holder_is_rejected (void **state)
 {
--- a/tests/cell/test-job-row.c
+++ b/tests/cell/test-job-row.c
@@ -128,9 +128,9 @@
 	assert_non_null (row);
 }
 
-/* Symptom: an accepted job can never be started, or its end never be recorded. Sequence: a gang's
- * row is as large as is taken; the start intent, the result and the reason are added. Cause: too
- * little room was left for them. */
+/* Guards against an accepted job that can never be started, or whose end can never be recorded. A
+ * gang's row is as large as is accepted; then the start intent, the result and the reason are
+ * added, and the row still has to fit. */
 static void
 test_largest_row_fits_after_growth (void **state)
 {
@@ -166,7 +166,7 @@
 		g_array_append_val (row->incarnations, incarnation);
 	}
 	g_autoptr (GString) grown = dff_job_row_encode (row);
-	/* Its key, and the row of an Idempotency-Key that is recorded with it. */
+	/* The row's key, and the row of an Idempotency-Key that is recorded with it. */
 	size_t keys = (size_t)4 * DFF_NAME_MAX;
 	assert_true (grown->len + keys <= DFF_RECORD_MAX_UNIT_BYTES);
 }
--- a/tests/cell/test-late-start.c
+++ b/tests/cell/test-late-start.c
@@ -1,18 +1,18 @@
 #include "tests/cell/cell_faults.h"
 
 /* Starts that arrive after the next holder took over, and workers that leave. The harness checks
- * the promises after every step. */
+ * the invariants after every step. */
 
-/** Longer than a take-over. */
+/** Longer than a takeover, ms. */
 #define LATE_MAX_MS 20000
 #define SEEDS 60
-/** Time in which a leaving worker gets nothing new, ms. */
+/** Time between the announcement of a worker that it is leaving and the submission of jobs, ms. */
 #define LEAVING_MS 3000
 
-/* Symptom: work that may run once runs twice. Sequence: the holder sends a start that the network
- * keeps for seconds, and dies; the next holder finds the attempt on record, asks the worker, which
- * has not seen it, starts the job elsewhere; then the first start arrives. Cause: "I have sent
- * nothing in this attempt" was taken for proof by a holder that did not open the attempt. */
+/* Guards against work that may run once and runs twice. The holder sends a start that the network
+ * delays for seconds, and dies. The next holder finds the attempt on record, queries the worker,
+ * which has not received it, and starts the job elsewhere; then the first start arrives. That a
+ * holder has sent nothing proves nothing if it did not open the attempt. */
 static void
 test_start_arrives_after_takeover (void **state)
 {
@@ -29,7 +29,7 @@
 		enum dff_outcome outcome = harness_run_job (&harness, job, JOB_LIMIT_MS);
 		if (!is_allowed_outcome (shape, outcome))
 			fail_msg ("%s, seed %d: %s", shape->name, i, dff_outcome_name (outcome));
-		/* Whatever is still under way arrives. */
+		/* Messages that are still on their way arrive. */
 		harness_run (&harness, LATE_MAX_MS);
 		harness_clear (&harness);
 	}
@@ -41,9 +41,9 @@
 	return harness->fleet.workers[worker].tasks->len > 0;
 }
 
-/* Symptom: work is started on a worker that is shutting down, and is cut off with it. Sequence: the
- * worker says that it is leaving; jobs come 3 s later, more than the others can run at once. Cause:
- * the holder went by the instance list, which lags, or by the worker's being up. */
+/* Guards against starting work on a worker that is shutting down, which is then cut off. The worker
+ * announces that it is leaving; 3 s later more jobs arrive than the others can run at once. The
+ * holder must rely neither on the instance list, which lags, nor on the worker being up. */
 static void
 test_leaving_worker_gets_no_new_tasks (void **state)
 {
--- a/tests/cell/test-lease.c
+++ b/tests/cell/test-lease.c
@@ -13,7 +13,7 @@
 #define STEP_MS 10
 #define LEASE_MS 4000
 
-/** A clock that runs at a rate of its own. */
+/** A clock that runs at its own rate. */
 struct skewed_clock {
 	struct dff_clock clock;
 	const struct dff_clock_virtual *base;
@@ -33,13 +33,13 @@
 	struct dff_lease *lease;
 };
 
-/** Processes on one table under one clock; every step checks that one at most holds the lease. */
+/** Processes on one table under one clock. Every step checks that at most one holds the lease. */
 struct fixture {
 	struct dff_clock_virtual clock;
 	struct dff_memory *memory;
 	struct dff_metrics *metrics;
 	struct process processes[N_PROCESSES];
-	/** Processes that are not running: their clock goes on. */
+	/** Processes that are paused: their clock goes on. */
 	bool paused[N_PROCESSES];
 };
 
@@ -120,7 +120,7 @@
 	return holder (fixture);
 }
 
-/** Runs until process @wanted holds. Returns: the time it took, ms, -1 when it never does. */
+/** Runs until process @wanted holds the lease. Returns: the time taken, ms; -1 if it never does. */
 static int64_t
 run_until_holder (struct fixture *fixture, int wanted, int64_t limit_ms)
 {
@@ -153,9 +153,9 @@
 	fixture_clear (&fixture);
 }
 
-/* Symptom: two processes start members of the same gang. Sequence: the holder is paused past its
- * lease, another takes over, the first resumes. Cause: the first believed in its lease until the
- * next renewal failed. */
+/* Guards against two holders that start members of the same gang. The holder is paused past its
+ * lease, another takes over, and the first resumes: it must not assume that its lease holds until
+ * the next renewal fails. */
 static void
 test_paused_holder_resumes_without_the_lease (void **state)
 {
@@ -188,8 +188,8 @@
 	fixture_clear (&fixture);
 }
 
-/* Symptom: a holder goes on deciding while the store is down and another has taken the cell.
- * Sequence: the store is silent for the holder alone. Cause: renewals counted from their answer. */
+/* Guards against a holder that continues while another has taken the cell. The store is unreachable
+ * for the holder alone; a renewal counts from when it was sent, not from its answer. */
 static void
 test_holder_cut_off_from_the_store_stops_before_the_next_starts (void **state)
 {
@@ -214,9 +214,9 @@
 	}
 }
 
-/* Symptom: two holders for a moment. Sequence: a renewal takes effect long before its answer comes,
- * then the store is gone for the holder. Cause: the lease counted from the answer, which is later
- * than any other process can know. */
+/* Guards against two holders at once. A renewal takes effect long before its answer arrives, then
+ * the store becomes unreachable for the holder. A lease that counts from the answer would last
+ * longer than any other process assumes. */
 static void
 test_renewal_counts_from_when_it_was_sent (void **state)
 {
@@ -235,8 +235,8 @@
 	}
 }
 
-/* Symptom: two holders for a moment. Sequence: the store is gone for a holder whose clock is slow;
- * the others' clocks are fast. Cause: a lease without a margin for the rate of clocks. */
+/* Guards against two holders at once. The store becomes unreachable for a holder whose clock is
+ * slow, while the others' clocks are fast: the lease needs a margin for clock rates. */
 static void
 test_clocks_run_at_different_rates (void **state)
 {
@@ -254,9 +254,9 @@
 	}
 }
 
-/* Symptom: the lease is given up, or a cell stays without a holder, after one lost answer.
- * Sequence: a commit takes effect (at once, late, or never) and its answer is lost. Cause: a lost
- * answer was taken for a failed write. */
+/* Guards against taking a lost answer for a failed write. A commit takes effect at once, late or
+ * never, and its answer is lost: the lease would be given up, or the cell would stay without a
+ * holder. */
 static void
 test_lost_answers_neither_lose_nor_split_the_lease (void **state)
 {
@@ -292,8 +292,8 @@
 	assert_int_equal (result->outcome, DFF_TABLE_OK);
 }
 
-/* Symptom: epochs start again at 1 and older commands pass for newer ones. Sequence: the epoch row
- * is damaged. Cause: a row that could not be read was taken for one that does not exist. */
+/* Guards against taking an unreadable epoch row for a missing one: epochs would start again at 1,
+ * and older commands would be accepted as newer ones. */
 static void
 test_malformed_epoch_row_blocks_takeover (void **state)
 {
--- a/tests/cell/test-recovery.c
+++ b/tests/cell/test-recovery.c
@@ -1,8 +1,8 @@
 #include "tests/cell/cell_faults.h"
 
-/* What a take-over makes of what runs. The harness checks the promises after every step. */
+/* The effect of a takeover on running tasks. The harness checks the invariants after every step. */
 
-/** Submits a job of one task that runs for long. Returns: the index of its worker. */
+/** Submits a job with one long-running task. Returns: the index of its worker. */
 static int
 run_long_job (struct harness *harness, int *job)
 {
@@ -22,10 +22,10 @@
 	assert_int_equal (harness_runs (harness, job), 1);
 }
 
-/* Symptom: a job that runs is stopped and started anew by a take-over. Sequence: a process that
- * held the cell before takes it again; workers have started anew meanwhile, and each of them is
- * asked a second time as soon as it has answered. Cause: the second answer counted for that of a
- * worker that had not answered yet, so that the tables were rebuilt without what it runs. */
+/* Guards against a takeover that stops and restarts a running job. A process that held the cell
+ * before takes it again. Workers have restarted meanwhile, and each of them is queried a second
+ * time as soon as it has answered. If the second answer counted as that of a worker that has not
+ * answered yet, the tables would be rebuilt without that worker's tasks. */
 static void
 test_rebuild_waits_for_every_worker (void **state)
 {
@@ -53,9 +53,9 @@
 	}
 }
 
-/* Symptom: every running job is stopped. Sequence: all processes are replaced while the instance
- * list is down and the table is not. Cause: a process that knew no worker's address took the cell
- * and asked nobody, and took the silence for an answer. */
+/* Guards against stopping every running job. All processes are replaced while the instance list is
+ * unavailable and the table is not. A process that knows no worker's address must not take the
+ * cell: it would query no worker, and take the absence of answers for the absence of tasks. */
 static void
 test_no_takeover_without_instance_list (void **state)
 {
--- a/tests/cell/test-retention.c
+++ b/tests/cell/test-retention.c
@@ -2,19 +2,19 @@
 
 #include "tests/cell/cell_promises.h"
 
-/* Rows of jobs that ended: when they go, and what stays. The rows are written as an entry and a
- * former holder would have left them; nothing runs here. */
+/* Rows of ended jobs: when they are deleted, and what is kept. The rows are written as an entry and
+ * a former holder would have left them; no task runs here. */
 
 #define DAY_MS (INT64_C (24) * 3600 * 1000)
 #define RETENTION_MS (7 * DAY_MS)
 #define YEAR_MS (365 * DAY_MS)
-/** Time for which a holder has to have known an end, and a sweep's interval on top. */
+/** Time for which a holder must have known an end, and the interval of sweeps, ms. */
 #define SEEN_MS INT64_C (600000)
 #define SWEEP_MS INT64_C (600000)
 #define BATCH_HASH "00000000000000000000000000000bad"
 #define BATCH HARNESS_REGION "." BATCH_HASH
 
-/** What the wall clock is ahead of the virtual one. */
+/** Difference of the wall clock from the virtual clock, ms. */
 static int64_t wall_ahead_ms;
 
 static int64_t
@@ -23,7 +23,7 @@
 	return ((const struct dff_clock_virtual *)ctx)->now_ms + wall_ahead_ms;
 }
 
-/* With @n_processes, as each costs the test its time. */
+/* Starts the harness with @n_processes only, as each process takes test time. */
 static void
 begin (struct harness *harness, int n_processes)
 {
@@ -48,12 +48,12 @@
 	assert_int_equal (outcome, DFF_TABLE_OK);
 }
 
-/* A row that ended @age_ms ago by the wall clock, or, with @age_ms negative, has not ended. */
+/* Writes a row that ended @age_ms ago by the wall clock; negative @age_ms: has not ended. */
 static void
 put_job (struct harness *harness, const struct dff_name *id, const char *batch, int64_t age_ms)
 {
 	DFF_AUTO (dff_job_row) row = dff_job_row_new ();
-	/* No worker has room for it, so that it waits unless it has ended. */
+	/* All workers are needed, so that the job waits unless it has ended. */
 	row->spec = fixture_spec (id->data, HARNESS_WORKERS, 8);
 	row->spec.region = dff_name_from (HARNESS_REGION);
 	if (*batch != '\0')
@@ -130,7 +130,7 @@
 	return found;
 }
 
-/* Nobody asks a worker for what is written here. */
+/* Makes all workers unreachable, so that the jobs written here are not started. */
 static void
 take_workers_down (struct harness *harness)
 {
@@ -167,8 +167,8 @@
 	harness_clear (&harness);
 }
 
-/* Symptom: everything that ended is forgotten at once, and a key that is still in use runs again.
- * Sequence: a holder takes over whose wall clock is a year ahead. Cause: age by that clock alone.
+/* Guards against deletion by the age on the wall clock alone. A holder takes over whose wall clock
+ * is a year ahead: it would delete every ended job, and a key that is still in use would run again.
  */
 static void
 test_wall_clock_a_year_ahead (void **state)
@@ -193,7 +193,7 @@
 	harness_clear (&harness);
 }
 
-/* The same, with a holder that has held the cell for long. */
+/* The same, with a holder that has held the cell for a long time. */
 static void
 test_newly_seen_end_is_kept (void **state)
 {
@@ -217,9 +217,9 @@
 	harness_clear (&harness);
 }
 
-/* Symptom: a row goes without its idempotency key, or is left for ever. Sequence: the holder dies
- * between two deletions, and another one takes over. Cause: two transactions, or a place in the
- * sweep that died with its holder. */
+/* Guards against a row that is deleted without its idempotency key, or never. The holder dies
+ * between two deletions and another takes over: both rows have to go in one transaction, and the
+ * next holder's sweep has to start from the beginning. */
 static void
 test_takeover_during_sweep (void **state)
 {
@@ -247,8 +247,8 @@
 	harness_clear (&harness);
 }
 
-/* Symptom: a change that was answered is lost. Sequence: a row is written between the sweep's read
- * and its deletion. Cause: the deletion not conditional on what was read. */
+/* Guards against a deletion that is not conditional on what the sweep read: a row that is written
+ * between the sweep's read and its deletion would be lost after its write was answered. */
 static void
 test_row_changed_after_read_is_kept (void **state)
 {
@@ -270,8 +270,8 @@
 	harness_clear (&harness);
 }
 
-/* Symptom: other writes wait while rows are deleted. Sequence: thousands of rows are due at once.
- * Cause: no bound. */
+/* Guards against deletions without a limit: thousands of rows are due at once, and other writes
+ * would wait. */
 static void
 test_deletions_are_rate_limited (void **state)
 {
@@ -302,8 +302,8 @@
 	harness_clear (&harness);
 }
 
-/* Symptom: a commit a second for nothing while the table is down, and a heap of them after.
- * Sequence: the table fails during a sweep. Cause: deletions that go on with the breaker open. */
+/* Guards against deletions that continue with the breaker open. The table fails during a sweep: a
+ * commit would be tried every second in vain, and a backlog of them would follow. */
 static void
 test_open_breaker_stops_the_sweep (void **state)
 {
@@ -336,8 +336,8 @@
 	harness_clear (&harness);
 }
 
-/* Symptom: a batch's counts no longer add up to what was accepted. Sequence: some jobs of a batch
- * ended long ago, one has not. Cause: rows that go one by one. */
+/* Guards against deleting the rows of a batch one by one: some of its jobs ended long ago and one
+ * did not, and the batch's counts would no longer add up to what was accepted. */
 static void
 test_batch_is_deleted_as_a_whole (void **state)
 {
@@ -374,8 +374,8 @@
 	harness_clear (&harness);
 }
 
-/* Symptom: jobs of a batch that was just accepted are gone. Sequence: a batch's row was deleted,
- * and its key is used again before the rows of its jobs are. Cause: they went unconditionally. */
+/* Guards against unconditional deletion of a batch's jobs. The batch's row was deleted, and its key
+ * is used again before the jobs' rows are deleted: jobs that were just accepted would be lost. */
 static void
 test_resubmitted_batch_keeps_its_rows (void **state)
 {
@@ -404,7 +404,7 @@
 
 #define ATTEMPT_HASH "0000000000000000000000000000000"
 
-/* A request's record @name, written @age_ms ago by the wall clock. */
+/* Writes the record @name of a request, dated @age_ms ago by the wall clock. */
 static void
 put_attempt (struct harness *harness, const char *name, const char *state, int64_t age_ms)
 {
@@ -416,8 +416,8 @@
 	commit (harness, &write, 1);
 }
 
-/* Symptom: a request that is not idempotent is sent twice. Sequence: its record goes while it is
- * open, or within the retention. Cause: records deleted by age alone. */
+/* Guards against deleting records by age alone. A request that is not idempotent would be sent
+ * twice if its record were deleted while it is open, or within the retention. */
 static void
 test_request_records_are_deleted_only_when_ended (void **state)
 {
@@ -437,7 +437,7 @@
 	harness_clear (&harness);
 }
 
-/* Symptom: as above. Sequence: a record changes between the sweep's read and its deletion. */
+/* The same, with a record that changes between the sweep's read and its deletion. */
 static void
 test_record_changed_after_read_is_kept (void **state)
 {
@@ -455,7 +455,7 @@
 	harness_clear (&harness);
 }
 
-/* Symptom: every region's holder reads every record. Cause: no one is chosen. */
+/* Guards against every region's holder reading every record: only one region is to sweep them. */
 static void
 test_records_are_swept_by_the_first_region (void **state)
 {
--- a/tests/cell/test-schedules.c
+++ b/tests/cell/test-schedules.c
@@ -2,9 +2,9 @@
 
 /*
  * Seeded schedules of faults: three cells, four workers, one table. Each seed submits and cancels
- * jobs while processes die, stand still and are cut off, the table stalls and loses answers, and
- * workers go silent, start anew, leave, refuse and fail. The harness checks the promises after
- * every step; then everything is healed and every accepted job must have ended.
+ * jobs while processes die, pause and are cut off, the table stalls and loses answers, and workers
+ * go silent, restart, leave, refuse and fail. The harness checks the invariants after every step.
+ * Then all faults are removed, and every accepted job must end.
  *
  * DFF_TEST_SEEDS=FIRST:LAST runs other seeds.
  */
@@ -14,7 +14,7 @@
 #define HEAL_LIMIT_MS 240000
 #define MAX_JOBS 8
 #define MAX_DELAY_MS 300
-/** Shortest silence and pause: may end while a call is on its way. */
+/** Shortest silence and pause, ms: may end while a call is outstanding. */
 #define MIN_SILENCE_MS 50
 /** Chance of an action at each step. */
 #define ACTION_PERMILLE 120
@@ -22,7 +22,7 @@
 struct schedule {
 	struct harness harness;
 	GRand *rand;
-	/** When a process that is dead or stands still goes on. */
+	/** When a process that is dead or paused resumes. */
 	int64_t back_ms[HARNESS_PROCESSES];
 	int64_t worker_back_ms[HARNESS_WORKERS];
 	/** When the table answers a process again. */
@@ -162,7 +162,7 @@
 			 harness->clock.now_ms >= schedule->silent_until_ms[i])
 			process->caller->faults.silent_until_ms = 0;
 	}
-	/* A worker that was down may or may not have kept its memory. */
+	/* A worker that was down may have lost its state, or kept it. */
 	for (int i = 0; i < HARNESS_WORKERS; i++) {
 		struct fake_worker *worker = &harness->fleet.workers[i];
 		if (!worker->down || (!all && harness->clock.now_ms < schedule->worker_back_ms[i]))
@@ -204,7 +204,7 @@
 	return open;
 }
 
-/** Every accepted job has ended, the holder's counts say so, and nothing runs on. */
+/** Checks that every accepted job ended, that the holder's counts match, and nothing runs on. */
 static void
 check_settled (struct schedule *schedule)
 {
@@ -225,7 +225,7 @@
 			enum dff_task_state state =
 				g_array_index (tasks, struct fake_task, j).report.state;
 			if (state == DFF_TASK_HELD || state == DFF_TASK_RUNNING)
-				fail_msg ("a task of an ended job goes on at w%d", i);
+				fail_msg ("a task of an ended job is still active on w%d", i);
 		}
 	}
 }
@@ -250,7 +250,7 @@
 	while (count_open (&schedule) > 0 && harness->clock.now_ms < until_ms)
 		harness_run (harness, 1000);
 	assert_true (harness_run_holder (harness, HEAL_LIMIT_MS) < HEAL_LIMIT_MS);
-	/* What is late comes in, and what nobody owns is stopped. */
+	/* Late messages arrive, and orphaned runs are stopped. */
 	harness_run (harness, 3000);
 	check_settled (&schedule);
 	harness_clear (harness);
@@ -259,7 +259,7 @@
 
 static uint32_t running_seed;
 
-/** Names the seed, when a schedule ended by a failed check. */
+/** Prints the seed if a failed check ended a schedule. */
 static int
 print_seed (void **state)
 {
