--- a/pool/check.c
+++ b/pool/check.c
@@ -18,13 +18,13 @@
 /* Reports @format's entry of the file, "teams[%u].name". */
 G_GNUC_PRINTF (3, 4)
 static void
-fault_at (struct dff_pool_reader *reader, const char *expected, const char *format, ...)
+report_at (struct dff_pool_reader *reader, const char *expected, const char *format, ...)
 {
 	va_list args;
 	va_start (args, format);
 	g_string_vprintf (reader->path, format, args);
 	va_end (args);
-	dff_pool_reader_fault (reader, DFF_POOL_ERROR_FIELD, "%s", expected);
+	dff_pool_reader_report (reader, DFF_POOL_ERROR_FIELD, "%s", expected);
 	g_string_truncate (reader->path, 0);
 }
 
@@ -44,7 +44,7 @@
 	for (guint i = 0; i < table->len; i++) {
 		const void *entry = table->data + (size_t)i * size;
 		if (!set_add (seen, entry))
-			fault_at (reader, "expected a name used once", "%s[%u].name", key, i);
+			report_at (reader, "expected a name used once", "%s[%u].name", key, i);
 	}
 }
 
@@ -57,8 +57,8 @@
 		for (guint j = 0; j < rack->workers->len; j++) {
 			if (set_add (seen, &g_array_index (rack->workers, struct dff_name, j)))
 				continue;
-			fault_at (reader, "expected a worker name used once",
-				  "racks[%u].workers[%u]", i, j);
+			report_at (reader, "expected a worker name used once",
+				   "racks[%u].workers[%u]", i, j);
 		}
 	}
 }
@@ -74,8 +74,8 @@
 			g_hash_table_insert (regions, (gpointer)&rack->data_centre,
 					     (gpointer)&rack->region);
 		} else if (!dff_name_equal (region, &rack->region)) {
-			fault_at (reader, "expected the region of the data centre's other racks",
-				  "racks[%u].region", i);
+			report_at (reader, "expected the region of the data centre's other racks",
+				   "racks[%u].region", i);
 		}
 	}
 }
@@ -90,8 +90,8 @@
 			const struct dff_name *team =
 				&g_array_index (service->teams, struct dff_name, j);
 			if (dff_pool_find_team (pool, team) == NULL)
-				fault_at (reader, "expected the name of a team of this file",
-					  "services[%u].teams[%u]", i, j);
+				report_at (reader, "expected the name of a team of this file",
+					   "services[%u].teams[%u]", i, j);
 		}
 	}
 }
@@ -108,8 +108,8 @@
 		const char *digest = digests->data + (size_t)i * DFF_DIGEST_BYTES;
 		GBytes *bytes = g_bytes_new_static (digest, DFF_DIGEST_BYTES);
 		if (!g_hash_table_add (seen, bytes))
-			fault_at (reader, "expected a token digest used once",
-				  "%s[%u].token_digests", key, index);
+			report_at (reader, "expected a token digest used once",
+				   "%s[%u].token_digests", key, index);
 	}
 }
 
@@ -148,30 +148,30 @@
 		sum += (int64_t)guarantee->gangs * guarantee->accelerators;
 		if (!dff_name_is_empty (&guarantee->region) &&
 		    !pool_has_region (pool, &guarantee->region))
-			fault_at (reader, "expected the region of a rack of this file",
-				  "teams[%u].guarantees[%u].region", index, i);
+			report_at (reader, "expected the region of a rack of this file",
+				   "teams[%u].guarantees[%u].region", index, i);
 	}
 	if (team->quota_accelerators > 0 && sum > team->quota_accelerators) {
-		fault_at (reader,
-			  "expected 0 or at least the accelerators of the team's guarantees",
-			  "teams[%u].quota_accelerators", index);
+		report_at (reader,
+			   "expected 0 or at least the accelerators of the team's guarantees",
+			   "teams[%u].quota_accelerators", index);
 	}
 }
 
 static void
 check_packing (struct dff_pool_reader *reader, const struct dff_pool *pool)
 {
-	struct dff_pool_misfit misfit = dff_pool_pack (pool);
-	if (!misfit.found)
+	struct dff_pool_pack_failure failure = dff_pool_pack (pool);
+	if (!failure.found)
 		return;
-	const struct dff_team *team = pool_team (pool, misfit.team);
+	const struct dff_team *team = pool_team (pool, failure.team);
 	const struct dff_guarantee *guarantee =
-		&g_array_index (team->guarantees, struct dff_guarantee, misfit.guarantee);
-	g_string_printf (reader->path, "teams[%u].guarantees[%u]", misfit.team, misfit.guarantee);
-	dff_pool_reader_fault (reader, DFF_POOL_ERROR_DOES_NOT_FIT,
-			       "expected all guaranteed shapes to fit the racks at once; team %s: "
-			       "%d gangs of %d adjacent accelerators do not",
-			       team->name.data, guarantee->gangs, guarantee->accelerators);
+		&g_array_index (team->guarantees, struct dff_guarantee, failure.guarantee);
+	g_string_printf (reader->path, "teams[%u].guarantees[%u]", failure.team, failure.guarantee);
+	dff_pool_reader_report (reader, DFF_POOL_ERROR_DOES_NOT_FIT,
+				"expected all guaranteed shapes to fit the racks at once; team %s: "
+				"%d gangs of %d adjacent accelerators do not",
+				team->name.data, guarantee->gangs, guarantee->accelerators);
 	g_string_truncate (reader->path, 0);
 }
 
@@ -189,6 +189,6 @@
 	for (guint i = 0; i < pool->teams->len; i++)
 		check_team_guarantees (reader, pool, i);
 	/* A packing of entries that are wrong themselves says nothing. */
-	if (reader->faults == 0)
+	if (reader->n_errors == 0)
 		check_packing (reader, pool);
 }
--- a/pool/entries.c
+++ b/pool/entries.c
@@ -45,8 +45,8 @@
 	if (digest_parse (value, digest))
 		g_array_append_vals (digests, digest, 1);
 	else
-		dff_pool_reader_fault (reader, DFF_POOL_ERROR_FIELD,
-				       "expected \"%s\" and 64 hexadecimal digits", digest_prefix);
+		dff_pool_reader_report (reader, DFF_POOL_ERROR_FIELD,
+					"expected \"%s\" and 64 hexadecimal digits", digest_prefix);
 }
 
 static GArray *
@@ -73,10 +73,10 @@
 	g_autofree char *last =
 		g_strdup_printf ("%s-w%" JSON_INTEGER_FORMAT, rack->name.data, count);
 	if (strlen (last) > DFF_NAME_MAX) {
-		dff_pool_reader_fault (reader, DFF_POOL_ERROR_FIELD,
-				       "expected a rack name short enough for worker names of %d "
-				       "bytes",
-				       DFF_NAME_MAX);
+		dff_pool_reader_report (reader, DFF_POOL_ERROR_FIELD,
+					"expected a rack name short enough for worker names of %d "
+					"bytes",
+					DFF_NAME_MAX);
 		return;
 	}
 	for (json_int_t i = 1; i <= count; i++) {
@@ -100,9 +100,9 @@
 	if (count >= 1 && count <= DFF_RACK_WORKERS_MAX)
 		rack_name_workers (reader, rack, count);
 	else {
-		dff_pool_reader_fault (reader, DFF_POOL_ERROR_FIELD,
-				       "expected names or a whole number from 1 to %d",
-				       DFF_RACK_WORKERS_MAX);
+		dff_pool_reader_report (reader, DFF_POOL_ERROR_FIELD,
+					"expected names or a whole number from 1 to %d",
+					DFF_RACK_WORKERS_MAX);
 	}
 	dff_pool_reader_leave (reader, mark);
 }
--- a/pool/packing.c
+++ b/pool/packing.c
@@ -12,13 +12,13 @@
 	guint team;
 	guint guarantee;
 	/** Index of the guarantee among all teams' guarantees. */
-	guint owner;
+	guint guarantee_id;
 	int32_t accelerators;
 	/** Region's id, -1: any. */
 	int region;
 };
 
-struct rack_room {
+struct rack_capacity {
 	int region;
 	int32_t size;
 	int32_t free;
@@ -29,14 +29,14 @@
 	int first;
 	int count;
 	/** Accelerators left in the racks it touches; the least is the tightest. */
-	int32_t left;
+	int32_t remaining;
 };
 
 struct packing {
 	GArray *shapes; /**< Elements: struct shape, largest first. */
-	GArray *racks;  /**< Elements: struct rack_room, grouped by region. */
+	GArray *racks;  /**< Elements: struct rack_capacity, grouped by region. */
 	/** Region that the gangs of an owner are in, -1: none yet. */
-	GArray *owner_regions;
+	GArray *guarantee_regions;
 	GHashTable *region_ids;
 	int32_t largest_rack;
 	guint deepest;
@@ -59,7 +59,8 @@
 static int
 rack_compare (gconstpointer a, gconstpointer b)
 {
-	return ((const struct rack_room *)a)->region - ((const struct rack_room *)b)->region;
+	return ((const struct rack_capacity *)a)->region -
+	       ((const struct rack_capacity *)b)->region;
 }
 
 static void
@@ -67,13 +68,13 @@
 {
 	for (guint i = 0; i < pool->racks->len; i++) {
 		const struct dff_rack *rack = &g_array_index (pool->racks, struct dff_rack, i);
-		struct rack_room room = {
+		struct rack_capacity capacity = {
 			.region = packing_region_id (packing, &rack->region, true),
 			.size = (int32_t)rack->workers->len * rack->per_worker.accelerators,
 		};
-		room.free = room.size;
-		packing->largest_rack = MAX (packing->largest_rack, room.size);
-		g_array_append_val (packing->racks, room);
+		capacity.free = capacity.size;
+		packing->largest_rack = MAX (packing->largest_rack, capacity.size);
+		g_array_append_val (packing->racks, capacity);
 	}
 	/* Stable, as g_array_sort() is: neighbours of one region stay next to each other. */
 	g_array_sort (packing->racks, rack_compare);
@@ -85,12 +86,12 @@
 		       struct shape shape)
 {
 	static const int none = -1;
-	shape.owner = packing->owner_regions->len;
+	shape.guarantee_id = packing->guarantee_regions->len;
 	shape.accelerators = guarantee->accelerators;
 	shape.region = none;
 	if (!dff_name_is_empty (&guarantee->region))
 		shape.region = packing_region_id (packing, &guarantee->region, false);
-	g_array_append_val (packing->owner_regions, none);
+	g_array_append_val (packing->guarantee_regions, none);
 	for (int32_t i = 0; i < guarantee->gangs; i++)
 		g_array_append_val (packing->shapes, shape);
 }
@@ -105,7 +106,8 @@
 	/* Shapes bound to a region have fewer places, so they go first. */
 	if ((left->region < 0) != (right->region < 0))
 		return left->region < 0 ? 1 : -1;
-	return left->owner < right->owner ? -1 : left->owner > right->owner;
+	return left->guarantee_id < right->guarantee_id ? -1
+							: left->guarantee_id > right->guarantee_id;
 }
 
 static void
@@ -127,7 +129,7 @@
 static bool
 place_at (const struct packing *packing, int first, int32_t need, struct place *place)
 {
-	const struct rack_room *racks = (const struct rack_room *)packing->racks->data;
+	const struct rack_capacity *racks = (const struct rack_capacity *)packing->racks->data;
 	int32_t sum = 0;
 	for (int i = first; i < (int)packing->racks->len; i++) {
 		if (racks[i].region != racks[first].region)
@@ -151,8 +153,8 @@
 	const struct place *right = b;
 	if (left->count != right->count)
 		return left->count - right->count;
-	if (left->left != right->left)
-		return left->left < right->left ? -1 : 1;
+	if (left->remaining != right->remaining)
+		return left->remaining < right->remaining ? -1 : 1;
 	return left->first - right->first;
 }
 
@@ -160,9 +162,9 @@
 static GArray *
 packing_places (const struct packing *packing, const struct shape *shape)
 {
-	const struct rack_room *racks = (const struct rack_room *)packing->racks->data;
+	const struct rack_capacity *racks = (const struct rack_capacity *)packing->racks->data;
 	GArray *places = g_array_new (FALSE, FALSE, sizeof (struct place));
-	int region = g_array_index (packing->owner_regions, int, shape->owner);
+	int region = g_array_index (packing->guarantee_regions, int, shape->guarantee_id);
 	if (region < 0)
 		region = shape->region;
 	for (int i = 0; i < (int)packing->racks->len; i++) {
@@ -185,7 +187,8 @@
 packing_apply (struct packing *packing, struct place place, int32_t need, int sign)
 {
 	for (int i = place.first; i < place.first + place.count; i++) {
-		struct rack_room *rack = &g_array_index (packing->racks, struct rack_room, i);
+		struct rack_capacity *rack =
+			&g_array_index (packing->racks, struct rack_capacity, i);
 		bool last = i == place.first + place.count - 1;
 		int32_t part = last ? need : rack->size;
 		rack->free += sign * part;
@@ -197,19 +200,20 @@
 packing_reset (struct packing *packing)
 {
 	for (guint i = 0; i < packing->racks->len; i++) {
-		struct rack_room *rack = &g_array_index (packing->racks, struct rack_room, i);
+		struct rack_capacity *rack =
+			&g_array_index (packing->racks, struct rack_capacity, i);
 		rack->free = rack->size;
 	}
-	for (guint i = 0; i < packing->owner_regions->len; i++)
-		g_array_index (packing->owner_regions, int, i) = -1;
+	for (guint i = 0; i < packing->guarantee_regions->len; i++)
+		g_array_index (packing->guarantee_regions, int, i) = -1;
 }
 
 static void
-packing_settle (struct packing *packing, const struct shape *shape, struct place place)
+packing_place (struct packing *packing, const struct shape *shape, struct place place)
 {
 	packing_apply (packing, place, shape->accelerators, -1);
-	int region = g_array_index (packing->racks, struct rack_room, place.first).region;
-	g_array_index (packing->owner_regions, int, shape->owner) = region;
+	int region = g_array_index (packing->racks, struct rack_capacity, place.first).region;
+	g_array_index (packing->guarantee_regions, int, shape->guarantee_id) = region;
 }
 
 /* Every shape into its best place, without second thoughts. Returns: index of the first shape
@@ -222,7 +226,7 @@
 		g_autoptr (GArray) places = packing_places (packing, shape);
 		if (places->len == 0)
 			return i;
-		packing_settle (packing, shape, g_array_index (places, struct place, 0));
+		packing_place (packing, shape, g_array_index (places, struct place, 0));
 	}
 	return packing->shapes->len;
 }
@@ -235,15 +239,15 @@
 	packing->deepest = MAX (packing->deepest, index);
 	const struct shape *shape = &g_array_index (packing->shapes, struct shape, index);
 	g_autoptr (GArray) places = packing_places (packing, shape);
-	int region = g_array_index (packing->owner_regions, int, shape->owner);
+	int region = g_array_index (packing->guarantee_regions, int, shape->guarantee_id);
 	for (guint i = 0; i < places->len && packing->steps < DFF_PACK_STEPS_MAX; i++) {
 		struct place place = g_array_index (places, struct place, i);
 		packing->steps++;
-		packing_settle (packing, shape, place);
+		packing_place (packing, shape, place);
 		if (packing_search (packing, index + 1))
 			return true;
 		packing_apply (packing, place, shape->accelerators, 1);
-		g_array_index (packing->owner_regions, int, shape->owner) = region;
+		g_array_index (packing->guarantee_regions, int, shape->guarantee_id) = region;
 	}
 	return false;
 }
@@ -260,30 +264,30 @@
 	return packing_search (packing, 0);
 }
 
-static struct dff_pool_misfit
-packing_misfit (const struct packing *packing)
+static struct dff_pool_pack_failure
+packing_failure (const struct packing *packing)
 {
 	const struct shape *shape =
 		&g_array_index (packing->shapes, struct shape, packing->deepest);
-	return (struct dff_pool_misfit){true, shape->team, shape->guarantee};
+	return (struct dff_pool_pack_failure){true, shape->team, shape->guarantee};
 }
 
-struct dff_pool_misfit
+struct dff_pool_pack_failure
 dff_pool_pack (const struct dff_pool *pool)
 {
 	g_autoptr (GArray) shapes = g_array_new (FALSE, FALSE, sizeof (struct shape));
-	g_autoptr (GArray) racks = g_array_new (FALSE, FALSE, sizeof (struct rack_room));
-	g_autoptr (GArray) owner_regions = g_array_new (FALSE, FALSE, sizeof (int));
+	g_autoptr (GArray) racks = g_array_new (FALSE, FALSE, sizeof (struct rack_capacity));
+	g_autoptr (GArray) guarantee_regions = g_array_new (FALSE, FALSE, sizeof (int));
 	g_autoptr (GHashTable) ids = g_hash_table_new (dff_name_hash, dff_name_equal_func);
 	struct packing packing = {
 		.shapes = shapes,
 		.racks = racks,
-		.owner_regions = owner_regions,
+		.guarantee_regions = guarantee_regions,
 		.region_ids = ids,
 	};
 	packing_add_racks (&packing, pool);
 	packing_add_shapes (&packing, pool);
 	if (packing_run (&packing))
-		return (struct dff_pool_misfit){0};
-	return packing_misfit (&packing);
+		return (struct dff_pool_pack_failure){0};
+	return packing_failure (&packing);
 }
--- a/pool/packing.h
+++ b/pool/packing.h
@@ -4,7 +4,7 @@
 #include "pool/pool.h"
 
 /** The first guaranteed shape that found no place. */
-struct dff_pool_misfit {
+struct dff_pool_pack_failure {
 	bool found;
 	/** Index into the pool's teams. */
 	guint team;
@@ -20,6 +20,6 @@
  * of one guarantee share a region. Largest first into the tightest rack; where that fails, a search
  * bounded in steps tries other racks, so a file is refused only after both.
  */
-struct dff_pool_misfit dff_pool_pack (const struct dff_pool *pool);
+struct dff_pool_pack_failure dff_pool_pack (const struct dff_pool *pool);
 
 #endif
--- a/pool/parse.c
+++ b/pool/parse.c
@@ -18,8 +18,8 @@
 	else if (g_strcmp0 (preset, "fragmentation") == 0)
 		*weights = fragmentation_preset;
 	else
-		dff_pool_reader_fault (reader, DFF_POOL_ERROR_FIELD,
-				       "expected \"completion\" or \"fragmentation\"");
+		dff_pool_reader_report (reader, DFF_POOL_ERROR_FIELD,
+					"expected \"completion\" or \"fragmentation\"");
 	dff_pool_reader_leave (reader, mark);
 }
 
@@ -33,7 +33,7 @@
 		return;
 	}
 	gsize mark = dff_pool_reader_enter (reader, key, 0);
-	dff_pool_reader_fault (reader, DFF_POOL_ERROR_FIELD, "expected a number from 0 to 1");
+	dff_pool_reader_report (reader, DFF_POOL_ERROR_FIELD, "expected a number from 0 to 1");
 	dff_pool_reader_leave (reader, mark);
 }
 
@@ -44,8 +44,8 @@
 	const json_t *value = json_object_get (root, "weights");
 	gsize mark = dff_pool_reader_enter (reader, "weights", 0);
 	if (json_object_get (root, "preset") != NULL) {
-		dff_pool_reader_fault (reader, DFF_POOL_ERROR_FIELD,
-				       "expected either preset or weights");
+		dff_pool_reader_report (reader, DFF_POOL_ERROR_FIELD,
+					"expected either preset or weights");
 	} else if (dff_pool_reader_object (reader, value, keys)) {
 		read_weight (reader, value, "completion", &weights->completion);
 		read_weight (reader, value, "fragmentation", &weights->fragmentation);
@@ -72,10 +72,10 @@
 }
 
 static void
-report_syntax (struct dff_pool_reader *reader, const json_error_t *fault)
+report_syntax (struct dff_pool_reader *reader, const json_error_t *json_error)
 {
 	char *message = g_strdup_printf ("%s:%d: file: expected JSON: %s", reader->source,
-					 fault->line, fault->text);
+					 json_error->line, json_error->text);
 	g_set_error_literal (reader->error, DFF_POOL_ERROR, DFF_POOL_ERROR_SYNTAX, message);
 	if (reader->errors != NULL)
 		g_ptr_array_add (reader->errors, message);
@@ -89,15 +89,15 @@
 	g_autoptr (GString) path = g_string_new (NULL);
 	struct dff_pool_reader reader = {
 		.text = text, .source = source, .errors = errors, .error = error, .path = path};
-	json_error_t fault;
-	json_t *root = json_loadb (text.data, text.len, JSON_REJECT_DUPLICATES, &fault);
+	json_error_t json_error;
+	json_t *root = json_loadb (text.data, text.len, JSON_REJECT_DUPLICATES, &json_error);
 	if (root == NULL) {
-		report_syntax (&reader, &fault);
+		report_syntax (&reader, &json_error);
 		return NULL;
 	}
 	DFF_AUTO (dff_pool) pool = dff_pool_new ();
 	read_root (&reader, root, pool);
 	dff_pool_check (&reader, pool);
 	json_decref (root);
-	return reader.faults == 0 ? g_steal_pointer (&pool) : NULL;
+	return reader.n_errors == 0 ? g_steal_pointer (&pool) : NULL;
 }
--- a/pool/pool.c
+++ b/pool/pool.c
@@ -5,7 +5,7 @@
 #include "common/digest.h"
 
 /* Where no shape fits a rack, fragmentation is counted in units of this many accelerators. */
-#define DFF_ADJACENT_UNIT_DEFAULT 8
+#define DFF_RACK_SHAPE_DEFAULT 8
 
 G_DEFINE_QUARK (dff_pool_error, dff_pool_error)
 
@@ -133,7 +133,7 @@
 /* Compares with every digest of the list, whether or not one was equal before: the time taken
  * would otherwise tell a caller how far a guessed token got. */
 static bool
-digests_hold (const GArray *digests, const uint8_t *digest)
+digests_contain (const GArray *digests, const uint8_t *digest)
 {
 	bool found = false;
 	for (guint i = 0; i < digests->len; i++) {
@@ -151,26 +151,26 @@
 	dff_digest (token, digest);
 	for (guint i = 0; i < pool->teams->len; i++) {
 		const struct dff_team *team = &g_array_index (pool->teams, struct dff_team, i);
-		if (digests_hold (team->token_digests, digest))
+		if (digests_contain (team->token_digests, digest))
 			principal = (struct dff_principal){true, false, team->name};
 	}
 	for (guint i = 0; i < pool->operators->len; i++) {
 		const struct dff_operator *entry =
 			&g_array_index (pool->operators, struct dff_operator, i);
-		if (digests_hold (entry->token_digests, digest))
+		if (digests_contain (entry->token_digests, digest))
 			principal = (struct dff_principal){true, true, entry->name};
 	}
 	return principal;
 }
 
 static int32_t
-sum_slots (const struct dff_pool *pool, const struct dff_rack *rack, bool only_set_aside)
+sum_slots (const struct dff_pool *pool, const struct dff_rack *rack, bool only_dedicated)
 {
 	int64_t slots = 0;
 	for (guint i = 0; i < pool->services->len; i++) {
 		const struct dff_service *service =
 			&g_array_index (pool->services, struct dff_service, i);
-		if (service->dedicated_request_slots || !only_set_aside)
+		if (service->dedicated_request_slots || !only_dedicated)
 			slots += service->request_slots;
 	}
 	return (int32_t)MIN (slots, rack->per_worker.slots / 2);
@@ -215,15 +215,15 @@
 dff_pool_largest_rack_shape (const struct dff_pool *pool)
 {
 	int32_t largest_rack = pool_largest_rack (pool);
-	int32_t unit = 0;
+	int32_t shape = 0;
 	for (guint i = 0; i < pool->teams->len; i++) {
 		const struct dff_team *team = &g_array_index (pool->teams, struct dff_team, i);
 		for (guint j = 0; j < team->guarantees->len; j++) {
 			int32_t size = g_array_index (team->guarantees, struct dff_guarantee, j)
 					       .accelerators;
 			if (size <= largest_rack)
-				unit = MAX (unit, size);
+				shape = MAX (shape, size);
 		}
 	}
-	return unit > 0 ? unit : DFF_ADJACENT_UNIT_DEFAULT;
+	return shape > 0 ? shape : DFF_RACK_SHAPE_DEFAULT;
 }
--- a/pool/pool_row.c
+++ b/pool/pool_row.c
@@ -20,8 +20,8 @@
 GString *
 dff_pool_row_decode (struct dff_str value, int64_t *generation, GError **error)
 {
-	json_error_t fault;
-	json_t *row = json_loadb (value.data, value.len, 0, &fault);
+	json_error_t json_error;
+	json_t *row = json_loadb (value.data, value.len, 0, &json_error);
 	json_int_t stored = 0;
 	const char *text = NULL;
 	size_t len = 0;
--- a/pool/reader.c
+++ b/pool/reader.c
@@ -10,7 +10,7 @@
 static void
 reader_report (struct dff_pool_reader *reader, enum dff_pool_error code, char *message)
 {
-	if (reader->faults++ == 0)
+	if (reader->n_errors++ == 0)
 		g_set_error_literal (reader->error, DFF_POOL_ERROR, code, message);
 	if (reader->errors != NULL)
 		g_ptr_array_add (reader->errors, message);
@@ -19,10 +19,10 @@
 }
 
 void
-dff_pool_reader_fault (struct dff_pool_reader *reader,
-		       enum dff_pool_error code,
-		       const char *format,
-		       ...)
+dff_pool_reader_report (struct dff_pool_reader *reader,
+			enum dff_pool_error code,
+			const char *format,
+			...)
 {
 	va_list args;
 	va_start (args, format);
@@ -61,7 +61,7 @@
 	if (strlen (shown) > DFF_KEY_SHOWN_MAX)
 		shown[DFF_KEY_SHOWN_MAX] = '\0';
 	gsize mark = dff_pool_reader_enter (reader, shown, 0);
-	dff_pool_reader_fault (reader, DFF_POOL_ERROR_FIELD, "unknown key");
+	dff_pool_reader_report (reader, DFF_POOL_ERROR_FIELD, "unknown key");
 	dff_pool_reader_leave (reader, mark);
 }
 
@@ -71,7 +71,7 @@
 			const char *const *allowed)
 {
 	if (!json_is_object (value)) {
-		dff_pool_reader_fault (reader, DFF_POOL_ERROR_FIELD, "expected an object");
+		dff_pool_reader_report (reader, DFF_POOL_ERROR_FIELD, "expected an object");
 		return false;
 	}
 	const char *key;
@@ -99,9 +99,9 @@
 		return;
 	}
 	gsize mark = dff_pool_reader_enter (reader, field->key, 0);
-	dff_pool_reader_fault (reader, DFF_POOL_ERROR_FIELD,
-			       "expected a whole number from %d to %d%s", field->min, field->max,
-			       value == NULL ? ", missing" : "");
+	dff_pool_reader_report (reader, DFF_POOL_ERROR_FIELD,
+				"expected a whole number from %d to %d%s", field->min, field->max,
+				value == NULL ? ", missing" : "");
 	dff_pool_reader_leave (reader, mark);
 }
 
@@ -115,9 +115,9 @@
 	if (json_is_string (value) && text.len <= max_len && dff_name_parse (text, out))
 		return true;
 	memset (out, 0, sizeof (*out));
-	dff_pool_reader_fault (reader, DFF_POOL_ERROR_FIELD,
-			       "expected a name of 1 to %zu letters, digits, '-', '_', '.', ':'%s",
-			       max_len, value == NULL ? ", missing" : "");
+	dff_pool_reader_report (reader, DFF_POOL_ERROR_FIELD,
+				"expected a name of 1 to %zu letters, digits, '-', '_', '.', ':'%s",
+				max_len, value == NULL ? ", missing" : "");
 	return false;
 }
 
@@ -166,7 +166,7 @@
 	if (json_is_array (value))
 		reader_each (reader, value, each, user);
 	else
-		dff_pool_reader_fault (reader, DFF_POOL_ERROR_FIELD, "expected an array%s",
-				       value == NULL ? ", missing" : "");
+		dff_pool_reader_report (reader, DFF_POOL_ERROR_FIELD, "expected an array%s",
+					value == NULL ? ", missing" : "");
 	dff_pool_reader_leave (reader, mark);
 }
--- a/pool/reader.h
+++ b/pool/reader.h
@@ -20,14 +20,14 @@
 	GError **error;
 	/** Path of the entry that is read, "teams[2].name". */
 	GString *path;
-	int faults;
+	int n_errors;
 };
 
 /** Reports a fault of the entry at the current path. */
-void dff_pool_reader_fault (struct dff_pool_reader *reader,
-			    enum dff_pool_error code,
-			    const char *format,
-			    ...) G_GNUC_PRINTF (3, 4);
+void dff_pool_reader_report (struct dff_pool_reader *reader,
+			     enum dff_pool_error code,
+			     const char *format,
+			     ...) G_GNUC_PRINTF (3, 4);
 
 /** Goes down to @key, or to element @index when @key is NULL. Returns: mark for _leave(). */
 gsize dff_pool_reader_enter (struct dff_pool_reader *reader, const char *key, size_t index);
--- a/tests/capacity/test-capacity.c
+++ b/tests/capacity/test-capacity.c
@@ -101,7 +101,7 @@
 }
 
 static int64_t
-sighting_of_one_task (void)
+worker_report_of_one_task (void)
 {
 	struct dff_task_report report = completed_report ();
 	struct dff_message message = {
@@ -246,7 +246,7 @@
 	{"cell_job", cell_job},
 	{"cell_task", cell_task},
 	{"cell_worker", cell_worker},
-	{"sighting_of_one_task", sighting_of_one_task},
+	{"sighting_of_one_task", worker_report_of_one_task},
 	{"grant_of_one_worker", grant_of_one_worker},
 	{"grants_renewal", grants_renewal},
 	{"renewal_body", renewal_body},
@@ -271,7 +271,7 @@
 }
 
 static void
-test_nothing_has_grown (void **state)
+test_no_figure_has_grown (void **state)
 {
 	(void)state;
 	g_autofree char *page = NULL;
@@ -315,7 +315,7 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_nothing_has_grown),
+		cmocka_unit_test (test_no_figure_has_grown),
 		cmocka_unit_test (test_watch_interval),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/pool/test-pool.c
+++ b/tests/pool/test-pool.c
@@ -25,7 +25,7 @@
 struct parse_case {
 	const char *text;
 	/** What the first fault is to hold; NULL: the text is valid. */
-	const char *fault;
+	const char *error;
 	enum dff_pool_error code;
 };
 
@@ -36,7 +36,7 @@
 	g_autoptr (GPtrArray) errors = g_ptr_array_new_with_free_func (g_free);
 	DFF_AUTO (dff_pool)
 	pool = dff_pool_parse (dff_str_from (c->text), "pool.json", errors, &error);
-	if (c->fault == NULL) {
+	if (c->error == NULL) {
 		if (error != NULL)
 			fail_msg ("%s\n%s", c->text, error->message);
 		assert_non_null (pool);
@@ -44,8 +44,8 @@
 	}
 	assert_null (pool);
 	assert_non_null (error);
-	if (strstr (error->message, c->fault) == NULL)
-		fail_msg ("%s\nexpected %s, got %s", c->text, c->fault, error->message);
+	if (strstr (error->message, c->error) == NULL)
+		fail_msg ("%s\nexpected %s, got %s", c->text, c->error, error->message);
 	assert_int_equal (error->code, c->code);
 	assert_string_equal (error->message, g_ptr_array_index (errors, 0));
 }
@@ -188,7 +188,7 @@
 
 /* Every fault is reported, each with the line of its entry. */
 static void
-test_every_fault_with_its_line (void **state)
+test_every_error_with_its_line (void **state)
 {
 	(void)state;
 	static const char text[] =
@@ -278,12 +278,12 @@
 }
 
 static void
-test_adjacent_unit (void **state)
+test_largest_rack_shape (void **state)
 {
 	(void)state;
 	static const struct {
 		const char *text;
-		int32_t unit;
+		int32_t accelerators;
 	} cases[] = {
 		{POOL (TWO_RACKS, ""), 8},
 		{POOL (TWO_RACKS, TEAM ("t", SHAPE (1, 4) "," SHAPE (1, 12))), 12},
@@ -293,14 +293,14 @@
 		DFF_AUTO (dff_pool)
 		pool = dff_pool_parse (dff_str_from (cases[i].text), "p", NULL, NULL);
 		assert_non_null (pool);
-		assert_int_equal (dff_pool_largest_rack_shape (pool), cases[i].unit);
+		assert_int_equal (dff_pool_largest_rack_shape (pool), cases[i].accelerators);
 	}
 }
 
 struct slots_case {
 	const char *services;
 	int32_t granted;
-	int32_t set_aside;
+	int32_t dedicated;
 };
 
 static void
@@ -325,7 +325,7 @@
 		assert_non_null (pool);
 		const struct dff_rack *rack = &g_array_index (pool->racks, struct dff_rack, 0);
 		assert_int_equal (dff_pool_request_slots (pool, rack), cases[i].granted);
-		assert_int_equal (dff_pool_dedicated_slots (pool, rack), cases[i].set_aside);
+		assert_int_equal (dff_pool_dedicated_slots (pool, rack), cases[i].dedicated);
 	}
 }
 
@@ -337,11 +337,11 @@
 		cmocka_unit_test (test_fields),
 		cmocka_unit_test (test_references),
 		cmocka_unit_test (test_packing),
-		cmocka_unit_test (test_every_fault_with_its_line),
+		cmocka_unit_test (test_every_error_with_its_line),
 		cmocka_unit_test (test_truncated_text),
 		cmocka_unit_test (test_authenticate),
 		cmocka_unit_test (test_copy_outlives_original),
-		cmocka_unit_test (test_adjacent_unit),
+		cmocka_unit_test (test_largest_rack_shape),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
