--- a/include/pool/pool.h
+++ b/include/pool/pool.h
@@ -21,11 +21,11 @@
 	int32_t accelerators;
 };
 
-/** n gangs of k adjacent accelerators that a team may claim at any time. */
+/** @gangs gangs of @accelerators adjacent accelerators each that a team may claim at any time. */
 struct dff_guarantee {
 	int32_t gangs;
 	int32_t accelerators;
-	/** Region the shapes are in; empty: any one region. */
+	/** Region of the gangs; empty: any one region. */
 	struct dff_name region;
 };
 
@@ -35,15 +35,15 @@
 	GArray *token_digests;
 	/** Elements: struct dff_guarantee. */
 	GArray *guarantees;
-	/** Upper bound on accelerators in use at once, guarantee included; 0: none. */
+	/** Upper bound on accelerators in use at once, guarantees included; 0: none. */
 	int32_t quota_accelerators;
-	/** Accelerators, anywhere, that the team's urgent jobs have a right to: as long as they
-	 * need no more together, they go before other teams' urgent work and may take its place; 0:
+	/** Accelerators, anywhere, that are assured to the team's urgent jobs: while these jobs
+	 * need no more in total, they precede other teams' urgent jobs and may preempt them; 0:
 	 * none. */
 	int32_t assured_accelerators;
-	/** Jobs admitted and not ended, at the most. */
+	/** Maximum number of jobs that are admitted and have not ended. */
 	int32_t max_queued;
-	/** Share of what is borrowed, relative to other teams; at least 1. */
+	/** Share of borrowed capacity, relative to other teams; at least 1. */
 	int32_t weight;
 };
 
@@ -53,20 +53,20 @@
 	GArray *teams;
 	/** Slots for short requests on every worker. */
 	int32_t request_slots;
-	/** Whether they are set aside, so that no job gets them; else requests get what jobs leave.
-	 */
+	/** Whether the request slots are dedicated, so that no job gets them; else requests get
+	 * what jobs leave free. */
 	bool dedicated_request_slots;
-	/** Longest time a short request may take, ms. */
+	/** Longest time that a short request may take, ms. */
 	int32_t request_timeout_ms;
 };
 
-/** Labels of a worker at the most. */
+/** Maximum number of labels of a worker. */
 #define DFF_WORKER_LABELS_MAX 4
 
-/** What tells one worker of a rack from the others. */
+/** Properties in which the workers of a rack may differ. */
 struct dff_worker_traits {
 	struct dff_resources capacity;
-	/** Words that a job may ask for; unused ones are empty. */
+	/** Labels that a job may require; unused ones are empty. */
 	struct dff_name labels[DFF_WORKER_LABELS_MAX];
 };
 
@@ -78,8 +78,8 @@
 	GArray *workers;
 	/** Capacity of each worker. */
 	struct dff_resources per_worker;
-	/** (nullable): what tells each worker from the others, parallel to @workers; without it
-	 * they are alike. Elements: struct dff_worker_traits. */
+	/** (nullable): properties of each worker, parallel to @workers; without them all are alike.
+	 * Elements: struct dff_worker_traits. */
 	GArray *traits;
 };
 
@@ -95,9 +95,9 @@
 };
 
 struct dff_pool {
-	/** Count of accepted applications so far; 0 for a file that was never applied. */
+	/** Number of pool files accepted so far; 0 for a file that was never applied. */
 	int64_t generation;
-	/** Of the table's row that holds it; 0: not known. */
+	/** Revision of the table row that holds the pool; 0: not known. */
 	int64_t revision;
 	struct dff_weights weights;
 	GArray *teams;     /**< Elements: struct dff_team. */
@@ -120,9 +120,9 @@
  * dff_pool_parse:
  * @text: the JSON file
  * @source: name of the file, for messages
- * @errors: (nullable): every fault found, one message each ("FILE:LINE: field: what was expected");
+ * @errors: (nullable): every error found, one message each ("FILE:LINE: field: what was expected");
  *   elements: char *
- * @error: the first fault
+ * @error: the first error
  *
  * Checks syntax, unknown keys, types, ranges, references between entries, and that all guaranteed
  * shapes can be packed into the racks at the same time.
@@ -132,10 +132,10 @@
 struct dff_pool *
 dff_pool_parse (struct dff_str text, const char *source, GPtrArray *errors, GError **error);
 
-/** Returns: (transfer full): a pool of which nothing is declared, for whoever fills it in. */
+/** Returns: (transfer full): an empty pool, to be filled in. */
 struct dff_pool *dff_pool_new (void);
 
-/** Returns: (transfer full): a deep copy, for whoever keeps a pool past the call that lent it. */
+/** Returns: (transfer full): a deep copy, to be kept after a call that borrows @pool. */
 struct dff_pool *dff_pool_copy (const struct dff_pool *pool);
 
 void dff_pool_free (struct dff_pool *pool);
@@ -150,11 +150,11 @@
 const struct dff_service *dff_pool_find_service (const struct dff_pool *pool,
 						 const struct dff_name *name);
 
-/** Who a bearer token belongs to. */
+/** The owner of a bearer token. */
 struct dff_principal {
 	bool known;
 	bool is_operator;
-	/** The team, or the operator's name. */
+	/** Name of the team or operator. */
 	struct dff_name name;
 };
 
@@ -168,21 +168,20 @@
 /**
  * dff_pool_request_slots:
  *
- * Returns: slots of each worker of @rack that short requests may use, to be granted: the sum over
- * the services, at most half of the worker's slots.
+ * Returns: slots of each worker of @rack that may be granted to short requests: the sum over the
+ * services, at most half of the worker's slots.
  */
 int32_t dff_pool_request_slots (const struct dff_pool *pool, const struct dff_rack *rack);
 
-/** Returns: how many of those no job gets: the sum over the services that set theirs aside, at most
- * half of the worker's slots. */
+/** Returns: dedicated slots of each worker of @rack, which no job gets: the sum over the services
+ * that dedicate theirs, at most half of the worker's slots. */
 int32_t dff_pool_dedicated_slots (const struct dff_pool *pool, const struct dff_rack *rack);
 
 /** Returns: (nullable): the rack called @name. */
 const struct dff_rack *dff_pool_find_rack (const struct dff_pool *pool,
 					   const struct dff_name *name);
 
-/** Returns: accelerators of the largest guaranteed shape that fits one rack; 8 where there is none.
- */
+/** Returns: accelerators of the largest guaranteed shape that fits one rack; 8 if there is none. */
 int32_t dff_pool_largest_rack_shape (const struct dff_pool *pool);
 
 #endif
--- a/include/pool/pool_row.h
+++ b/include/pool/pool_row.h
@@ -16,7 +16,7 @@
 
 /**
  * dff_pool_row_decode:
- * @generation: (out): count of accepted files up to this one, at least 1
+ * @generation: (out): number of files accepted up to this one, at least 1
  *
  * Returns: (transfer full) (nullable): the file's text.
  */
--- a/pool/check.c
+++ b/pool/check.c
@@ -15,7 +15,7 @@
 	return &g_array_index (pool->teams, struct dff_team, index);
 }
 
-/* Reports @format's entry of the file, "teams[%u].name". */
+/* Reports an error at the path that @format gives, such as "teams[%u].name". */
 G_GNUC_PRINTF (3, 4)
 static void
 report_at (struct dff_pool_reader *reader, const char *expected, const char *format, ...)
@@ -28,14 +28,14 @@
 	g_string_truncate (reader->path, 0);
 }
 
-/* Returns: false when @name was there already; names that failed to parse are empty and pass. */
+/* Returns: false if @name is a duplicate. A name that failed to parse is empty and passes. */
 static bool
 set_add (GHashTable *set, const struct dff_name *name)
 {
 	return dff_name_is_empty (name) || g_hash_table_add (set, (gpointer)name);
 }
 
-/* Every table's entries begin with their name. */
+/* The entries of every table begin with their name. */
 static void
 check_unique_names (struct dff_pool_reader *reader, const GArray *table, const char *key)
 {
@@ -96,7 +96,7 @@
 	}
 }
 
-/* A token of two owners would give its bearer the rights of whichever is compared last. */
+/* A token of two owners would give its bearer the rights of the owner that is compared last. */
 static void
 check_digests (struct dff_pool_reader *reader,
 	       GHashTable *seen,
@@ -188,7 +188,7 @@
 	check_tokens (reader, pool);
 	for (guint i = 0; i < pool->teams->len; i++)
 		check_team_guarantees (reader, pool, i);
-	/* A packing of entries that are wrong themselves says nothing. */
+	/* The result of packing entries that are invalid would be meaningless. */
 	if (reader->n_errors == 0)
 		check_packing (reader, pool);
 }
--- a/pool/check.h
+++ b/pool/check.h
@@ -4,7 +4,7 @@
 #include "pool/pool.h"
 #include "pool/reader.h"
 
-/** Reports what is wrong between the entries of a pool: duplicates, references, guarantees. */
+/** Reports errors between the entries of a pool: duplicates, references, guarantees. */
 void dff_pool_check (struct dff_pool_reader *reader, const struct dff_pool *pool);
 
 #endif
--- a/pool/entries.c
+++ b/pool/entries.c
@@ -5,13 +5,13 @@
 
 #include "common/digest.h"
 
-/* A region's name is part of every job id, which has to stay under DFF_NAME_MAX. */
+/* The region's name is part of every job id, which must not exceed DFF_NAME_MAX. */
 #define DFF_REGION_NAME_MAX 16
 #define DFF_RACK_WORKERS_MAX 1024
 #define DFF_WORKER_SLOTS_MAX 1024
 #define DFF_WORKER_CORES_MAX 4096
 #define DFF_WORKER_MEMORY_GB_MAX 65536
-/* Leases of a worker's accelerators are one 64-bit mask. */
+/* The leases of a worker's accelerators are one 64-bit mask. */
 #define DFF_WORKER_ACCELERATORS_MAX 64
 #define DFF_GUARANTEE_GANGS_MAX 10000
 #define DFF_GUARANTEE_ACCELERATORS_MAX 65536
@@ -66,7 +66,7 @@
 	g_array_append_val ((GArray *)user, name);
 }
 
-/* Names the workers of a rack that gives only their number: RACK-w1, RACK-w2, ... */
+/* Names the workers of a rack for which only their number is given: RACK-w1, RACK-w2, ... */
 static void
 rack_name_workers (struct dff_pool_reader *reader, struct dff_rack *rack, json_int_t count)
 {
--- a/pool/packing.c
+++ b/pool/packing.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Bounds the search for awkward files to some tens of milliseconds and its depth to a small stack.
- */
+/* Limit the search in files that are hard to pack to some tens of milliseconds, and its recursion
+ * to a small stack. */
 #define DFF_PACK_STEPS_MAX 200000
 #define DFF_PACK_DEPTH_MAX 4096
 
@@ -11,10 +11,10 @@
 struct shape {
 	guint team;
 	guint guarantee;
-	/** Index of the guarantee among all teams' guarantees. */
+	/** Index of the guarantee among the guarantees of all teams. */
 	guint guarantee_id;
 	int32_t accelerators;
-	/** Region's id, -1: any. */
+	/** Region id; -1: any. */
 	int region;
 };
 
@@ -28,14 +28,14 @@
 struct place {
 	int first;
 	int count;
-	/** Accelerators left in the racks it touches; the least is the tightest. */
+	/** Accelerators left in the racks of the placement; the fewest are the tightest fit. */
 	int32_t remaining;
 };
 
 struct packing {
 	GArray *shapes; /**< Elements: struct shape, largest first. */
 	GArray *racks;  /**< Elements: struct rack_capacity, grouped by region. */
-	/** Region that the gangs of an owner are in, -1: none yet. */
+	/** Region id of the gangs of each guarantee; -1: none yet. */
 	GArray *guarantee_regions;
 	GHashTable *region_ids;
 	int32_t largest_rack;
@@ -76,7 +76,7 @@
 		packing->largest_rack = MAX (packing->largest_rack, capacity.size);
 		g_array_append_val (packing->racks, capacity);
 	}
-	/* Stable, as g_array_sort() is: neighbours of one region stay next to each other. */
+	/* g_array_sort() is stable: neighbours of one region stay next to each other. */
 	g_array_sort (packing->racks, rack_compare);
 }
 
@@ -103,7 +103,7 @@
 	const struct shape *right = b;
 	if (left->accelerators != right->accelerators)
 		return left->accelerators > right->accelerators ? -1 : 1;
-	/* Shapes bound to a region have fewer places, so they go first. */
+	/* Shapes bound to a region have fewer possible places, so they come first. */
 	if ((left->region < 0) != (right->region < 0))
 		return left->region < 0 ? 1 : -1;
 	return left->guarantee_id < right->guarantee_id ? -1
@@ -125,7 +125,7 @@
 	g_array_sort (packing->shapes, shape_compare);
 }
 
-/* Finds the place of fewest neighbouring racks from @first that holds @need. */
+/* Finds the place with the fewest neighbouring racks from @first that holds @need. */
 static bool
 place_at (const struct packing *packing, int first, int32_t need, struct place *place)
 {
@@ -139,7 +139,7 @@
 			*place = (struct place){first, i - first + 1, sum - need};
 			return true;
 		}
-		/* Over several racks, all but the last are taken whole. */
+		/* In a place of several racks, all but the last have to be wholly free. */
 		if (racks[i].free < racks[i].size || racks[i].size == 0)
 			return false;
 	}
@@ -158,7 +158,7 @@
 	return left->first - right->first;
 }
 
-/* Lists the places of @shape, best first. A rack that is like one listed before is left out. */
+/* Returns: the places of @shape, best first. */
 static GArray *
 packing_places (const struct packing *packing, const struct shape *shape)
 {
@@ -173,7 +173,7 @@
 			continue;
 		if (!place_at (packing, i, shape->accelerators, &place))
 			continue;
-		/* A shape that fits a rack stays in one. */
+		/* A shape that fits in one rack is not spread. */
 		if (shape->accelerators <= packing->largest_rack && place.count > 1)
 			continue;
 		g_array_append_val (places, place);
@@ -182,7 +182,7 @@
 	return places;
 }
 
-/* Takes (@sign -1) or gives back (@sign 1) the accelerators of a place. */
+/* Takes (@sign -1) or returns (@sign 1) the accelerators of a place. */
 static void
 packing_apply (struct packing *packing, struct place place, int32_t need, int sign)
 {
@@ -216,8 +216,8 @@
 	g_array_index (packing->guarantee_regions, int, shape->guarantee_id) = region;
 }
 
-/* Every shape into its best place, without second thoughts. Returns: index of the first shape
- * without a place; the count of shapes when all have one. */
+/* Puts every shape into its best place, without backtracking. Returns: index of the first shape
+ * without a place; the number of shapes if all have one. */
 static guint
 packing_greedy (struct packing *packing)
 {
--- a/pool/packing.h
+++ b/pool/packing.h
@@ -3,7 +3,7 @@
 
 #include "pool/pool.h"
 
-/** The first guaranteed shape that found no place. */
+/** The first guaranteed shape that could not be placed. */
 struct dff_pool_pack_failure {
 	bool found;
 	/** Index into the pool's teams. */
@@ -15,10 +15,11 @@
 /**
  * dff_pool_pack:
  *
- * Packs all guaranteed shapes into the empty racks at once: in one rack where the shape fits one,
+ * Packs all guaranteed shapes into the empty racks at once: in one rack if the shape fits in one,
  * else over the fewest neighbouring racks of one region, all but the last of them whole. The gangs
- * of one guarantee share a region. Largest first into the tightest rack; where that fails, a search
- * bounded in steps tries other racks, so a file is refused only after both.
+ * of one guarantee share a region. The largest shapes are placed first, into the tightest rack. If
+ * that fails, a search with a limited number of steps tries other racks; a file is rejected only if
+ * both fail.
  */
 struct dff_pool_pack_failure dff_pool_pack (const struct dff_pool *pool);
 
--- a/pool/pool.c
+++ b/pool/pool.c
@@ -4,7 +4,7 @@
 
 #include "common/digest.h"
 
-/* Where no shape fits a rack, fragmentation is counted in units of this many accelerators. */
+/* Unit in which fragmentation is counted, in accelerators, if no shape fits in a rack. */
 #define DFF_RACK_SHAPE_DEFAULT 8
 
 G_DEFINE_QUARK (dff_pool_error, dff_pool_error)
@@ -130,8 +130,8 @@
 	return NULL;
 }
 
-/* Compares with every digest of the list, whether or not one was equal before: the time taken
- * would otherwise tell a caller how far a guessed token got. */
+/* Compares with every digest of the list, even after a match: otherwise the time taken would show a
+ * caller how much of a guessed token matched. */
 static bool
 digests_contain (const GArray *digests, const uint8_t *digest)
 {
--- a/pool/reader.c
+++ b/pool/reader.c
@@ -4,7 +4,8 @@
 
 #include "common/json_locate.h"
 
-/* Keys come from outside and go to a terminal: control bytes are escaped and the length bounded. */
+/* Keys come from outside and are printed to a terminal: control bytes are escaped and the length is
+ * limited. */
 #define DFF_KEY_SHOWN_MAX 64
 
 static void
--- a/pool/reader.h
+++ b/pool/reader.h
@@ -9,8 +9,8 @@
 #include "common/str.h"
 #include "pool/pool.h"
 
-/* Reads typed fields out of a JSON tree, keeps the path to where it stands, and collects every
- * fault with its line. A field that is missing or wrong leaves its target as it was. */
+/* Reads typed fields from a JSON tree, keeps the path of the current entry, and collects every
+ * error with its line. A field that is missing or invalid leaves its target unchanged. */
 
 struct dff_pool_reader {
 	struct dff_str text;
@@ -18,23 +18,23 @@
 	/** (nullable) */
 	GPtrArray *errors;
 	GError **error;
-	/** Path of the entry that is read, "teams[2].name". */
+	/** Path of the current entry, such as "teams[2].name". */
 	GString *path;
 	int n_errors;
 };
 
-/** Reports a fault of the entry at the current path. */
+/** Reports an error at the current path. */
 void dff_pool_reader_report (struct dff_pool_reader *reader,
 			     enum dff_pool_error code,
 			     const char *format,
 			     ...) G_GNUC_PRINTF (3, 4);
 
-/** Goes down to @key, or to element @index when @key is NULL. Returns: mark for _leave(). */
+/** Enters @key, or element @index if @key is NULL. Returns: position for _leave(). */
 gsize dff_pool_reader_enter (struct dff_pool_reader *reader, const char *key, size_t index);
 
 void dff_pool_reader_leave (struct dff_pool_reader *reader, gsize mark);
 
-/** Reports a value that is no object, and keys that are not in the NULL-terminated @allowed. */
+/** Reports a value that is not an object, and keys that are not in the NULL-terminated @allowed. */
 bool dff_pool_reader_object (struct dff_pool_reader *reader,
 			     const json_t *value,
 			     const char *const *allowed);
--- a/tests/capacity/test-capacity.c
+++ b/tests/capacity/test-capacity.c
@@ -14,9 +14,9 @@
 #include "tests/cell/cell_promises.h"
 #include "upstream/worker_wire.h"
 
-/* The state of one entity in bytes, and the messages and store operations of one event, may not
- * grow past the figures of docs/CAPACITY.md, from which the fleet's sums are worked out. Sizes and
- * counts under a virtual clock: the verdict is the same every run. */
+/* The bytes of state per entity, and the messages and store operations per event, must not exceed
+ * the figures of docs/CAPACITY.md, on which the fleet's totals are based. Sizes and counts under a
+ * virtual clock: the result is the same in every run. */
 
 #define PAGE "docs/CAPACITY.md"
 #define MEMBERS 9
@@ -26,7 +26,7 @@
 #define LEASE_MS 15000
 
 struct measure {
-	/** As the page's table calls it. */
+	/** Name in the page's table. */
 	const char *name;
 	int64_t (*value) (void);
 };
@@ -186,7 +186,7 @@
 	return (int64_t)messages + 1;
 }
 
-/** What the store gets in @JOB_MS with @n_jobs jobs, which complete. */
+/** Returns: operations of the store in JOB_MS with @n_jobs jobs, which complete. */
 static struct dff_memory_counts
 store_counts (int n_jobs)
 {
@@ -229,8 +229,8 @@
 	return reads_of_job (&with) - reads_of_job (&without);
 }
 
-/** Renewals a second of a process that watches 20 workers, the most that the lease lets it spread
- * over the bound. */
+/** Renewals per second of a process that watches 20 workers: about the most for which the interval,
+ * at most a quarter of the lease, keeps to five per second. */
 static int64_t
 renewals_a_second (void)
 {
@@ -259,7 +259,7 @@
 	{"renewals_a_second", renewals_a_second},
 };
 
-/** Returns: the page's figure, from its row "| `NAME` | FIGURE | ..."; -1: there is none. */
+/** Returns: the page's figure, from its row "| `NAME` | FIGURE | ..."; -1: not found. */
 static int64_t
 figure_on_page (const char *page, const char *name)
 {
--- a/tests/pool/test-pool.c
+++ b/tests/pool/test-pool.c
@@ -24,7 +24,7 @@
 
 struct parse_case {
 	const char *text;
-	/** What the first fault is to hold; NULL: the text is valid. */
+	/** Text that the first error has to contain; NULL: the file is valid. */
 	const char *error;
 	enum dff_pool_error code;
 };
@@ -150,14 +150,14 @@
 		 "teams[0].guarantees[0]: expected all guaranteed shapes to fit the racks at once; "
 		 "team t: 3 gangs of 16",
 		 DFF_POOL_ERROR_DOES_NOT_FIT},
-		/* 30 of 32 accelerators, but no rack holds two shapes of 10. */
+		/* 30 of 32 accelerators are needed, but no rack holds two shapes of 10. */
 		{POOL (TWO_RACKS, TEAM ("t", SHAPE (1, 4)) "," TEAM ("u", SHAPE (3, 10))),
 		 "team u: 3 gangs of 10", DFF_POOL_ERROR_DOES_NOT_FIT},
-		/* Over both racks whole. */
+		/* The shape takes both racks whole. */
 		{POOL (TWO_RACKS, TEAM ("t", SHAPE (1, 32))), NULL, 0},
 		{POOL (TWO_RACKS, TEAM ("t", SHAPE (1, 33))), "1 gangs of 33",
 		 DFF_POOL_ERROR_DOES_NOT_FIT},
-		/* What the last of several racks has left serves others. */
+		/* Other shapes may use what is left in the last of several racks. */
 		{POOL (TWO_RACKS, TEAM ("t", SHAPE (1, 24)) "," TEAM ("u", SHAPE (1, 8))), NULL, 0},
 		{POOL (TWO_RACKS, TEAM ("t", SHAPE (1, 24)) "," TEAM ("u", SHAPE (1, 9))), "team u",
 		 DFF_POOL_ERROR_DOES_NOT_FIT},
@@ -173,11 +173,11 @@
 		{POOL (RACK ("r1", "a", 2, 8) "," RACK ("r2", "b", 2, 8),
 		       TEAM ("t", SHAPE (2, 16))),
 		 "2 gangs of 16", DFF_POOL_ERROR_DOES_NOT_FIT},
-		/* Bound to a region, the small shape leaves the free choice to the other. */
+		/* Bound to a region, the small shape leaves the other region to the other shape. */
 		{POOL (RACK ("r1", "a", 2, 8) "," RACK ("r2", "b", 2, 8),
 		       TEAM ("t", SHAPE (1, 12)) "," TEAM ("u", SHAPE_IN (1, 12, "a"))),
 		 NULL, 0},
-		/* Tightest first puts 4 with 4 and leaves no rack for the last 3. */
+		/* The tightest fit alone puts 4 with 4 and leaves no rack for the last 3. */
 		{POOL (RACK ("r1", "a", 2, 5) "," RACK ("r2", "a", 2, 5),
 		       TEAM ("t", SHAPE (2, 4) "," SHAPE (4, 3))),
 		 NULL, 0},
@@ -186,7 +186,7 @@
 		check_parse_case (&cases[i]);
 }
 
-/* Every fault is reported, each with the line of its entry. */
+/* Every error is reported, each with the line of its entry. */
 static void
 test_every_error_with_its_line (void **state)
 {
@@ -218,7 +218,7 @@
 		assert_true (g_str_has_prefix (g_ptr_array_index (errors, i), expected[i]));
 }
 
-/* Cut anywhere, the text is refused and nothing is read past its end (run under ASan). */
+/* Text cut at any position is rejected, and nothing is read past its end (run under ASan). */
 static void
 test_truncated_text (void **state)
 {
@@ -254,9 +254,8 @@
 	assert_false (dff_pool_authenticate (pool, dff_str_from ("")).known);
 }
 
-/* Symptom: a cell's core reads freed memory after a pool file is replaced. Sequence: a pool is
- * copied and freed, then the copy is read. Cause: a table of the copy is shared with the original.
- */
+/* Guards against a copy that shares a table with the original: the core of a cell would read freed
+ * memory after a pool file is replaced. */
 static void
 test_copy_outlives_original (void **state)
 {
