--- a/cell/cell.c
+++ b/cell/cell.c
@@ -108,7 +108,7 @@
 	cell->recovery.reports =
 		g_array_new (FALSE, TRUE, sizeof (struct dff_cell_recovery_report));
 	dff_cell_retention_init (cell);
-	dff_cell_attempts_init (cell);
+	dff_cell_attempt_retention_init (cell);
 	open_metrics (cell, options->metrics);
 	dff_cell_core_metrics_init (cell, options->metrics);
 	open_lease (cell);
@@ -139,7 +139,7 @@
 	g_hash_table_remove_all (cell->jobs);
 	dff_cell_batches_clear (cell);
 	dff_cell_retention_clear (cell);
-	dff_cell_attempts_clear (cell);
+	dff_cell_attempt_retention_clear (cell);
 	g_sequence_remove_range (g_sequence_get_begin_iter (cell->agenda),
 				 g_sequence_get_end_iter (cell->agenda));
 	memset (cell->ended, 0, sizeof (cell->ended));
@@ -155,7 +155,7 @@
 {
 	clear_tables (cell);
 	dff_cell_retention_free (cell);
-	dff_cell_attempts_free (cell);
+	dff_cell_attempt_retention_free (cell);
 	dff_lease_free (cell->lease);
 	dff_pool_free (cell->pool);
 	g_rand_free (cell->rand);
@@ -307,7 +307,7 @@
 	decide (cell);
 	dff_cell_agenda_run (cell);
 	dff_cell_retention_tick (cell);
-	dff_cell_attempts_tick (cell);
+	dff_cell_attempt_retention_tick (cell);
 	dff_cell_core_metrics_tick (cell);
 }
 
--- a/cell/retention.h
+++ b/cell/retention.h
@@ -65,13 +65,13 @@
 
 /* retention_attempts.c */
 
-void dff_cell_attempts_init (struct dff_cell *cell);
+void dff_cell_attempt_retention_init (struct dff_cell *cell);
 
-void dff_cell_attempts_clear (struct dff_cell *cell);
+void dff_cell_attempt_retention_clear (struct dff_cell *cell);
 
-void dff_cell_attempts_free (struct dff_cell *cell);
+void dff_cell_attempt_retention_free (struct dff_cell *cell);
 
 /** Deletes records of requests whose retention has passed, in the first region's holder only. */
-void dff_cell_attempts_tick (struct dff_cell *cell);
+void dff_cell_attempt_retention_tick (struct dff_cell *cell);
 
 #endif
--- a/cell/retention_attempts.c
+++ b/cell/retention_attempts.c
@@ -28,14 +28,14 @@
 };
 
 void
-dff_cell_attempts_init (struct dff_cell *cell)
+dff_cell_attempt_retention_init (struct dff_cell *cell)
 {
 	cell->attempt_retention.expired = g_array_new (FALSE, TRUE, sizeof (struct expired));
-	dff_cell_attempts_clear (cell);
+	dff_cell_attempt_retention_clear (cell);
 }
 
 void
-dff_cell_attempts_clear (struct dff_cell *cell)
+dff_cell_attempt_retention_clear (struct dff_cell *cell)
 {
 	struct dff_cell_attempt_retention *attempts = &cell->attempt_retention;
 	g_array_set_size (attempts->expired, 0);
@@ -48,7 +48,7 @@
 }
 
 void
-dff_cell_attempts_free (struct dff_cell *cell)
+dff_cell_attempt_retention_free (struct dff_cell *cell)
 {
 	g_array_unref (cell->attempt_retention.expired);
 }
@@ -168,7 +168,7 @@
 }
 
 void
-dff_cell_attempts_tick (struct dff_cell *cell)
+dff_cell_attempt_retention_tick (struct dff_cell *cell)
 {
 	struct dff_cell_attempt_retention *attempts = &cell->attempt_retention;
 	int64_t now_ms = dff_cell_now_ms (cell);
--- a/tests/cell/test-cell.c
+++ b/tests/cell/test-cell.c
@@ -34,9 +34,9 @@
 		dff_cell_status (harness.processes[0].cell, status);
 		assert_non_null (strstr (status->str, "\"accepted\":1"));
 		assert_non_null (strstr (status->str, "\"completed\":1"));
-		static const char *const hops[] = {"queue", "decide", "record",
-						   "start", "run",    "record"};
-		check_spans (&harness, hops, G_N_ELEMENTS (hops));
+		static const char *const stages[] = {"queue", "decide", "record",
+						     "start", "run",    "record"};
+		check_spans (&harness, stages, G_N_ELEMENTS (stages));
 		harness_clear (&harness);
 	}
 }
