--- a/cell/cell.c
+++ b/cell/cell.c
@@ -6,7 +6,7 @@
 #include "cell/cell_private.h"
 #include "common/log.h"
 
-/* docs/decisions/ownership.md gives the reasons for these. */
+/* docs/decisions/ownership.md gives the reasons for these defaults. */
 #define DEFAULT_LEASE_MS 4000
 #define DEFAULT_RENEW_MS 1000
 #define DEFAULT_MARGIN_MS 500
@@ -105,17 +105,17 @@
 	cell->batches = g_hash_table_new_full (dff_name_hash, dff_name_equal_func, NULL, g_free);
 	cell->agenda = g_sequence_new (g_free);
 	cell->calls = g_hash_table_new_full (NULL, NULL, g_free, NULL);
-	cell->recovery.found = g_array_new (FALSE, TRUE, sizeof (struct dff_cell_found));
+	cell->recovery.reports =
+		g_array_new (FALSE, TRUE, sizeof (struct dff_cell_recovery_report));
 	dff_cell_retention_init (cell);
-	dff_cell_attempts_init (cell);
+	dff_cell_attempt_retention_init (cell);
 	open_metrics (cell, options->metrics);
 	dff_cell_core_metrics_init (cell, options->metrics);
 	open_lease (cell);
 	return cell;
 }
 
-/* The outcome of a write that was sent is not awaited any more: whoever holds the cell next reads
- * the row. */
+/* Stops waiting for the outcome of writes that were sent: the next holder reads the rows. */
 static void
 abandon_writes (struct dff_cell *cell)
 {
@@ -139,7 +139,7 @@
 	g_hash_table_remove_all (cell->jobs);
 	dff_cell_batches_clear (cell);
 	dff_cell_retention_clear (cell);
-	dff_cell_attempts_clear (cell);
+	dff_cell_attempt_retention_clear (cell);
 	g_sequence_remove_range (g_sequence_get_begin_iter (cell->agenda),
 				 g_sequence_get_end_iter (cell->agenda));
 	memset (cell->ended, 0, sizeof (cell->ended));
@@ -155,14 +155,14 @@
 {
 	clear_tables (cell);
 	dff_cell_retention_free (cell);
-	dff_cell_attempts_free (cell);
+	dff_cell_attempt_retention_free (cell);
 	dff_lease_free (cell->lease);
 	dff_pool_free (cell->pool);
 	g_rand_free (cell->rand);
 	g_string_free (cell->prefix, TRUE);
 	g_array_unref (cell->events);
 	g_array_unref (cell->commands);
-	g_array_unref (cell->recovery.found);
+	g_array_unref (cell->recovery.reports);
 	g_hash_table_unref (cell->jobs);
 	g_hash_table_unref (cell->workers);
 	g_hash_table_unref (cell->batches);
@@ -172,13 +172,13 @@
 }
 
 void
-dff_cell_event (struct dff_cell *cell, const struct dff_event *event)
+dff_cell_queue_event (struct dff_cell *cell, const struct dff_event *event)
 {
 	g_array_append_val (cell->events, *event);
 }
 
 void
-dff_cell_deliver (struct dff_cell *cell)
+dff_cell_deliver_events (struct dff_cell *cell)
 {
 	int64_t now_ms = dff_cell_now_ms (cell);
 	for (guint i = 0; i < cell->events->len; i++) {
@@ -209,12 +209,12 @@
 	return copy->term == cell->term;
 }
 
-/** Forgets everything that was held; answers that are still on their way are ignored. */
+/** Drops all state of the holder; answers that are still outstanding are ignored. */
 static void
-drop (struct dff_cell *cell)
+step_down (struct dff_cell *cell)
 {
 	bool was_active = cell->phase == DFF_CELL_ACTIVE;
-	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING, "Cell dropped. region=%s epoch=%" PRId64,
+	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING, "Stepped down as holder. region=%s epoch=%" PRId64,
 		 cell->options.region.data, cell->epoch);
 	clear_tables (cell);
 	cell->phase = DFF_CELL_STANDBY;
@@ -225,12 +225,12 @@
 }
 
 static void
-follow_lease (struct dff_cell *cell)
+update_phase (struct dff_cell *cell)
 {
 	bool held = dff_lease_is_held (cell->lease);
 	bool ours = held && dff_lease_epoch (cell->lease) == cell->epoch;
 	if (cell->phase != DFF_CELL_STANDBY && !ours)
-		drop (cell);
+		step_down (cell);
 	if (cell->phase == DFF_CELL_STANDBY && held && !cell->draining)
 		dff_cell_recovery_begin (cell);
 }
@@ -257,7 +257,7 @@
 		return;
 	}
 	if (cell->phase != DFF_CELL_STANDBY)
-		drop (cell);
+		step_down (cell);
 	if (!cell->released) {
 		cell->released = true;
 		dff_lease_release (cell->lease);
@@ -268,21 +268,21 @@
 decide (struct dff_cell *cell)
 {
 	int64_t now_ms = dff_cell_now_ms (cell);
-	/* An idle tick of a large region costs; without an event or a deadline it is left out. */
+	/* A tick without an event or a due deadline is skipped: it is costly in a large region. */
 	if (cell->events->len == 0 && now_ms < dff_core_next_wake_ms (cell->core))
 		return;
 	cell->decide_ms = now_ms;
-	dff_cell_deliver (cell);
+	dff_cell_deliver_events (cell);
 	dff_core_tick (cell->core, now_ms, cell->commands);
 	dff_cell_execute (cell, cell->commands);
 }
 
-/* A process that knows no worker's address can ask none of them for its tasks. Symptom: it takes
- * the cell and stops whatever runs, as nobody has told it of it. One that has heard of the instance
- * list takes the cell instead, or it stays without a holder, who could do nothing, until one has.
- */
+/* A process that knows no worker's address cannot query the workers for their tasks. If it took the
+ * lease, it would stop everything that runs, as no worker would have reported a task to it. Until a
+ * process has received the instance list, the cell stays without a holder, which could not do
+ * anything anyway. */
 static bool
-may_hold (const struct dff_cell *cell)
+may_take_lease (const struct dff_cell *cell)
 {
 	return cell->pool != NULL && cell->instances_known && !cell->draining;
 }
@@ -290,9 +290,9 @@
 void
 dff_cell_tick (struct dff_cell *cell)
 {
-	dff_lease_set_candidate (cell->lease, may_hold (cell));
+	dff_lease_set_candidate (cell->lease, may_take_lease (cell));
 	dff_lease_tick (cell->lease);
-	follow_lease (cell);
+	update_phase (cell);
 	if (cell->draining) {
 		drain_tick (cell);
 		return;
@@ -307,7 +307,7 @@
 	decide (cell);
 	dff_cell_agenda_run (cell);
 	dff_cell_retention_tick (cell);
-	dff_cell_attempts_tick (cell);
+	dff_cell_attempt_retention_tick (cell);
 	dff_cell_core_metrics_tick (cell);
 }
 
@@ -315,13 +315,13 @@
 dff_cell_set_pool (struct dff_cell *cell, const struct dff_pool *pool)
 {
 	dff_pool_free (cell->pool);
-	/* The pool is lent for this call, but every take-over starts a new core that needs it. */
+	/* The pool is borrowed for this call, and each takeover creates a core that needs it. */
 	cell->pool = dff_pool_copy (pool);
 	if (cell->core != NULL)
 		dff_core_set_pool (cell->core, cell->pool, dff_cell_now_ms (cell));
-	/* Workers that the new pool declares are unknown to the core until it is told of them. */
+	/* The core does not know the workers that the new pool adds until they are reported. */
 	if (cell->core != NULL)
-		dff_cell_workers_tell (cell, true);
+		dff_cell_workers_report (cell, true);
 }
 
 void
@@ -335,7 +335,7 @@
 {
 	(void)job;
 	cell->feed.hinted = true;
-	if (!cell->feed.reading)
+	if (!cell->feed.scanning)
 		cell->feed.due_ms = 0;
 }
 
--- a/cell/records.c
+++ b/cell/records.c
@@ -5,13 +5,13 @@
 
 #include "common/log.h"
 
-/* Changes of job rows. Each is conditional on the revision of the epoch row, so that a process that
- * lost the cell cannot write, and on the row's own, so that a cancellation that an entry wrote in
- * between is seen. One write a job is on its way at a time. */
+/* Writes job rows. Each write is conditional on the revision of the epoch row, so that a former
+ * holder cannot write, and on the revision of the job's row, so that a cancellation that an entry
+ * has written since is noticed. At most one write per job is outstanding. */
 
-/** A start intent that could not be sent for this long is given up; its workers are wanted by
- * others, ms. */
-#define START_GIVE_UP_MS 5000
+/** Longest time that a start intent waits to be sent, ms; then it is abandoned, because other jobs
+ * need its workers. */
+#define START_WRITE_TIMEOUT_MS 5000
 
 void
 dff_cell_write_free (gpointer data)
@@ -25,7 +25,7 @@
 }
 
 static void
-tell_attempt (struct dff_cell *cell, struct dff_cell_job *job, enum dff_event_type type)
+report_attempt (struct dff_cell *cell, struct dff_cell_job *job, enum dff_event_type type)
 {
 	const struct dff_cell_write *write = g_queue_peek_head (&job->writes);
 	struct dff_event event = {
@@ -33,10 +33,10 @@
 		.job = job->row->spec.id,
 		.attempt = write->attempt,
 	};
-	dff_cell_event (cell, &event);
+	dff_cell_queue_event (cell, &event);
 }
 
-/** Goes on to the next write of the job. */
+/** Removes the head write and schedules the next write of the job. */
 static void
 next_write (struct dff_cell *cell, struct dff_cell_job *job)
 {
@@ -65,12 +65,12 @@
 	dff_cell_agenda_add (cell, &due);
 }
 
-/** Puts what @write says into @row. Arrays are lent, not copied. */
+/** Applies @write to @row. The arrays are borrowed, not copied. */
 static void
-apply (const struct dff_cell *cell,
-       const struct dff_cell_job *job,
-       const struct dff_cell_write *write,
-       struct dff_job_row *row)
+apply_write (const struct dff_cell *cell,
+	     const struct dff_cell_job *job,
+	     const struct dff_cell_write *write,
+	     struct dff_job_row *row)
 {
 	row->epoch = cell->epoch;
 	row->attempt = write->attempt;
@@ -94,7 +94,7 @@
 	}
 }
 
-/** The row as it will be, with arrays lent by @job, its head write and @empty. */
+/** Encodes the row with the head write applied, with borrowed or empty arrays. */
 static GString *
 encode_next (const struct dff_cell *cell, const struct dff_cell_job *job)
 {
@@ -104,19 +104,19 @@
 	struct dff_job_row next = *job->row;
 	next.placements = no_placements;
 	next.incarnations = no_incarnations;
-	apply (cell, job, write, &next);
+	apply_write (cell, job, write, &next);
 	return dff_job_row_encode (&next);
 }
 
-/** The head write is durable. */
+/** Applies the head write, which is durable, to the job. */
 static void
-adopt (struct dff_cell *cell, struct dff_cell_job *job, int64_t revision)
+apply_durable_write (struct dff_cell *cell, struct dff_cell_job *job, int64_t revision)
 {
 	const struct dff_cell_write *write = g_queue_peek_head (&job->writes);
 	struct dff_job_row *row = job->row;
 	GArray *placements = row->placements;
 	GArray *incarnations = row->incarnations;
-	apply (cell, job, write, row);
+	apply_write (cell, job, write, row);
 	row->revision = revision;
 	row->placements = placements;
 	row->incarnations = incarnations;
@@ -136,11 +136,11 @@
 {
 	struct dff_name id = job->row->spec.id;
 	enum dff_outcome outcome = job->row->outcome;
-	bool gone = job->gone;
-	tell_attempt (cell, job, DFF_EVENT_OUTCOME_RECORDED);
-	dff_cell_span_end (cell, job, gone ? "gone" : "ok");
+	bool elsewhere = job->ended_elsewhere;
+	report_attempt (cell, job, DFF_EVENT_OUTCOME_RECORDED);
+	dff_cell_span_end (cell, job, elsewhere ? "gone" : "ok");
 	dff_cell_job_remove (cell, &id);
-	if (gone)
+	if (elsewhere)
 		return;
 	cell->ended[outcome] += 1;
 	if (cell->options.callbacks.job_changed != NULL)
@@ -152,7 +152,7 @@
 {
 	const struct dff_cell_write *write = g_queue_peek_head (&job->writes);
 	enum dff_cell_write_type type = write->type;
-	adopt (cell, job, revision);
+	apply_durable_write (cell, job, revision);
 	if (type == DFF_CELL_WRITE_END) {
 		end_job (cell, job);
 		return;
@@ -160,7 +160,7 @@
 	dff_cell_batch_progress (cell, job->row);
 	if (type == DFF_CELL_WRITE_START) {
 		dff_cell_span_next (cell, job, "ok", "start");
-		tell_attempt (cell, job, DFF_EVENT_ATTEMPT_RECORDED);
+		report_attempt (cell, job, DFF_EVENT_ATTEMPT_RECORDED);
 	}
 	if (cell->options.callbacks.job_changed != NULL)
 		cell->options.callbacks.job_changed (cell->options.callbacks.ctx,
@@ -172,16 +172,16 @@
 refuse_start (struct dff_cell *cell, struct dff_cell_job *job)
 {
 	dff_cell_span_next (cell, job, "refused", "queue");
-	tell_attempt (cell, job, DFF_EVENT_ATTEMPT_REFUSED);
+	report_attempt (cell, job, DFF_EVENT_ATTEMPT_REFUSED);
 	next_write (cell, job);
 }
 
-/* The row was ended by somebody else or is gone: the job only has to leave the core. Nothing is
- * written and nothing counted. */
+/* Another process ended the job, or its row is deleted: the job is only removed from the core.
+ * Nothing is written or counted. */
 static void
-leave (struct dff_cell *cell, struct dff_cell_job *job)
+abandon_job (struct dff_cell *cell, struct dff_cell_job *job)
 {
-	job->gone = true;
+	job->ended_elsewhere = true;
 	dff_cell_job_cancelled (cell, job);
 	const struct dff_cell_write *write = g_queue_peek_head (&job->writes);
 	if (write->type == DFF_CELL_WRITE_END)
@@ -192,13 +192,13 @@
 		next_write (cell, job);
 }
 
-/** The row as it is after a conflict. */
+/** Handles a conflict; @row is the row as it is now, NULL if it is deleted or unreadable. */
 static void
-take_conflict (struct dff_cell *cell, struct dff_cell_job *job, const struct dff_job_row *row)
+resolve_conflict (struct dff_cell *cell, struct dff_cell_job *job, const struct dff_job_row *row)
 {
 	const struct dff_cell_write *write = g_queue_peek_head (&job->writes);
 	if (row == NULL || row->state == DFF_JOB_ROW_ENDED) {
-		leave (cell, job);
+		abandon_job (cell, job);
 		return;
 	}
 	job->row->revision = row->revision;
@@ -242,10 +242,10 @@
 	DFF_AUTO (dff_job_row) row = NULL;
 	if (found != NULL)
 		row = dff_job_row_decode (found->value, found->revision, NULL);
-	take_conflict (cell, job, row);
+	resolve_conflict (cell, job, row);
 }
 
-/** Finds out whose write was in the way. */
+/** Reads the job's row and the epoch row, to find out which of them changed. */
 static void
 reread (struct dff_cell *cell, const struct dff_cell_job *job)
 {
@@ -294,8 +294,8 @@
 	const struct dff_cell_write *write = g_queue_peek_head (&job->writes);
 	if (write == NULL || job->writing)
 		return;
-	if (job->gone) {
-		leave (cell, job);
+	if (job->ended_elsewhere) {
+		abandon_job (cell, job);
 		return;
 	}
 	job->writing = true;
@@ -313,15 +313,16 @@
 		.n_conditions = G_N_ELEMENTS (conditions),
 		.writes = &table_write,
 		.n_writes = 1,
-		.queue_timeout_ms = write->type == DFF_CELL_WRITE_START ? START_GIVE_UP_MS : 0,
+		.queue_timeout_ms =
+			write->type == DFF_CELL_WRITE_START ? START_WRITE_TIMEOUT_MS : 0,
 	};
 	struct dff_cell_call *call = dff_cell_call_begin (cell, DFF_CELL_CALL_WRITE);
 	call->task.job = job->row->spec.id;
 	call->ticket = dff_recorder_write (cell->options.recorder, &record, on_write, call);
 }
 
-/* The next attempt's intent says the same as "the last attempt is over": a retry that is still
- * waiting would cost a write of its own. */
+/* The intent of the next attempt implies that the last attempt has ended: a retry write that still
+ * waits is dropped, as it would cost an extra write. */
 static void
 drop_superseded (struct dff_cell_job *job)
 {
--- a/cell/workers.c
+++ b/cell/workers.c
@@ -4,15 +4,15 @@
 
 #include "common/log.h"
 
-/* The workers of the region as far as a holder needs them: where they answer, whether they may be
- * given work, and how long they have been silent. Watchers renew the leases of their tasks. */
+/* The state of the region's workers that a holder needs: their addresses, whether they may be given
+ * work, and how long they have been silent. Watchers renew the leases of their tasks. */
 
-/** Interval at which states and silences are looked at, ms. */
+/** Interval at which worker states and silences are checked, ms. */
 #define WORKERS_INTERVAL_MS 100
-/** One worker is asked for its tasks this often, in turn, ms. At 360 workers each is asked every 15
- * minutes, which costs about 2 KB/s. */
+/** One busy worker is queried for its tasks at this interval, in turn, ms. With 360 workers each is
+ * queried every 15 minutes, which costs about 2 KB/s. */
 #define AUDIT_INTERVAL_MS 2500
-/** Interval of queries of a worker that stays silent or unlisted, ms. */
+/** Interval of queries of a worker that is silent or not in the instance list, ms. */
 #define SUSPECT_INTERVAL_MS 1000
 
 struct dff_cell_worker *
@@ -44,17 +44,16 @@
 	if (worker == NULL)
 		return;
 	worker->reachable = true;
-	worker->said_leaving = result->leaving;
+	worker->reports_leaving = result->leaving;
 	if (result->incarnation == 0 || result->incarnation == worker->incarnation)
 		return;
-	bool anew = worker->incarnation != 0;
+	bool restarted = worker->incarnation != 0;
 	worker->incarnation = result->incarnation;
-	if (!anew)
+	if (!restarted)
 		return;
-	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING,
-		 "Worker started anew. worker=%s incarnation=%" PRId64, name->data,
-		 result->incarnation);
-	/* A take-over is asking each worker already, and counts the answers. */
+	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING, "Worker restarted. worker=%s incarnation=%" PRId64,
+		 name->data, result->incarnation);
+	/* A takeover already queries each worker, and counts the answers. */
 	if (cell->phase == DFF_CELL_ACTIVE)
 		dff_cell_worker_query (cell, name, dff_cell_now_ms (cell));
 }
@@ -75,15 +74,15 @@
 	dff_cell_agenda_add (cell, &due);
 }
 
-/** Time since the worker's lease on its tasks was last renewed, as far as is known, ms. */
+/** Time since the last known renewal of its tasks' lease, or since the worker was added, ms. */
 static int64_t
 silent_ms (const struct dff_cell *cell, const struct dff_cell_worker *worker)
 {
-	int64_t last_ms = worker->answered_ms != 0 ? worker->answered_ms : worker->since_ms;
+	int64_t last_ms = worker->renewed_ms != 0 ? worker->renewed_ms : worker->since_ms;
 	return dff_cell_now_ms (cell) - last_ms;
 }
 
-/** Whether tasks there must have ended: their lease has lapsed and the worker has stopped them. */
+/** Whether its tasks must have ended: their lease has expired and the worker has stopped them. */
 static bool
 lease_lapsed (const struct dff_cell *cell, const struct dff_cell_worker *worker)
 {
@@ -91,8 +90,8 @@
 	return silent_ms (cell, worker) > limit_ms;
 }
 
-/* A watcher that is cut off from a worker sees it silent while others renew its leases. Its word
- * alone would make a running task lost; the holder asks the worker itself as well. */
+/* A watcher that is cut off from a worker reports it as silent while others renew its leases. That
+ * report alone would make a running task lost; the holder queries the worker itself as well. */
 void
 dff_cell_worker_unanswered (struct dff_cell *cell, const struct dff_name *name)
 {
@@ -100,7 +99,7 @@
 	worker->reachable = false;
 	if (!lease_lapsed (cell, worker))
 		return;
-	dff_cell_lose_tasks (cell, name);
+	dff_cell_mark_tasks_lost (cell, name);
 	if (!worker->listed)
 		g_hash_table_remove (cell->workers, name);
 }
@@ -110,52 +109,52 @@
 {
 	if (!worker->listed || !worker->reachable)
 		return DFF_WORKER_DOWN;
-	if (worker->list_leaving || worker->said_leaving)
+	if (worker->listed_leaving || worker->reports_leaving)
 		return DFF_WORKER_LEAVING;
 	return DFF_WORKER_UP;
 }
 
 static void
-tell_state (struct dff_cell *cell, struct dff_cell_worker *worker)
+report_state (struct dff_cell *cell, struct dff_cell_worker *worker)
 {
 	enum dff_worker_state state = state_of (worker);
-	if (worker->told && worker->told_state == state)
+	if (worker->reported && worker->reported_state == state)
 		return;
-	worker->told = true;
-	worker->told_state = state;
+	worker->reported = true;
+	worker->reported_state = state;
 	struct dff_event event = {
 		.type = DFF_EVENT_WORKER_STATE,
 		.worker = worker->name,
 		.worker_state = state,
 	};
-	dff_cell_event (cell, &event);
+	dff_cell_queue_event (cell, &event);
 }
 
 void
-dff_cell_workers_tell (struct dff_cell *cell, bool again)
+dff_cell_workers_report (struct dff_cell *cell, bool again)
 {
 	GHashTableIter iter;
 	gpointer value;
 	g_hash_table_iter_init (&iter, cell->workers);
 	while (g_hash_table_iter_next (&iter, NULL, &value)) {
 		struct dff_cell_worker *worker = value;
-		worker->told = worker->told && !again;
-		tell_state (cell, worker);
+		worker->reported = worker->reported && !again;
+		report_state (cell, worker);
 	}
 }
 
 static void
-suspect (struct dff_cell *cell, struct dff_cell_worker *worker)
+query_if_silent (struct dff_cell *cell, struct dff_cell_worker *worker)
 {
-	bool quiet = !worker->reachable || !worker->listed;
-	if (!quiet || worker->querying)
+	bool unavailable = !worker->reachable || !worker->listed;
+	if (!unavailable || worker->querying)
 		return;
-	/* Before its lease has lapsed it is asked now and then, so that it is soon of use again. */
+	/* Before its lease has expired it is queried at intervals, to be used again soon. */
 	int64_t now_ms = dff_cell_now_ms (cell);
 	dff_cell_worker_query (cell, &worker->name, now_ms + SUSPECT_INTERVAL_MS);
 }
 
-/** Returns: workers on which a member runs as far as is known; keys: struct dff_name in @cell. */
+/** Returns: workers on which a member is known to run; keys: struct dff_name in @cell. */
 static GHashTable *
 busy_workers (const struct dff_cell *cell)
 {
@@ -168,17 +167,17 @@
 		for (guint i = 0; i < job->members->len; i++) {
 			struct dff_cell_member *member =
 				&g_array_index (job->members, struct dff_cell_member, i);
-			if (member->started && !member->over)
+			if (member->started && !member->ended)
 				g_hash_table_add (busy, &member->placement.worker);
 		}
 	}
 	return busy;
 }
 
-/* Watchers tell of a change twice; both messages may be lost. Symptom: a task that has ended counts
- * as running for ever, and its accelerators are idle. Asking each worker that has one in turn
- * bounds that time. The others are left alone: an answer names every task that ended within the
- * hour, and asking for them cost an idle holder 5 KB/s after a burst of 500 jobs. */
+/* Watchers report a change twice, and both messages may be lost. A task that has ended would then
+ * count as running for ever, with its accelerators idle. Querying each worker that has a running
+ * task in turn bounds that time. The other workers are not queried: an answer names every task that
+ * ended within the hour, and querying them cost an idle holder 5 KB/s after a burst of 500 jobs. */
 static void
 audit (struct dff_cell *cell)
 {
@@ -207,12 +206,12 @@
 	if (dff_cell_now_ms (cell) < cell->workers_due_ms)
 		return;
 	cell->workers_due_ms = dff_cell_now_ms (cell) + WORKERS_INTERVAL_MS;
-	dff_cell_workers_tell (cell, false);
+	dff_cell_workers_report (cell, false);
 	GHashTableIter iter;
 	gpointer value;
 	g_hash_table_iter_init (&iter, cell->workers);
 	while (g_hash_table_iter_next (&iter, NULL, &value))
-		suspect (cell, value);
+		query_if_silent (cell, value);
 	audit (cell);
 }
 
@@ -233,7 +232,7 @@
 			continue;
 		struct dff_cell_worker *worker = dff_cell_worker_add (cell, &instance->id);
 		worker->listed = true;
-		worker->list_leaving = instance->leaving;
+		worker->listed_leaving = instance->leaving;
 		worker->address = instance->address;
 		if (worker->incarnation == 0 && cell->phase == DFF_CELL_ACTIVE)
 			dff_cell_worker_query (cell, &worker->name, dff_cell_now_ms (cell));
@@ -243,7 +242,7 @@
 }
 
 static bool
-misses_a_task (const struct dff_cell *cell, const struct dff_worker_report *sighting)
+misses_task (const struct dff_cell *cell, const struct dff_worker_report *worker_report)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -254,34 +253,35 @@
 		for (guint i = 0; i < job->members->len; i++) {
 			const struct dff_cell_member *member =
 				&g_array_index (job->members, struct dff_cell_member, i);
-			placed += member->started && !member->over &&
-				  dff_name_equal (&member->placement.worker, &sighting->worker);
+			placed +=
+				member->started && !member->ended &&
+				dff_name_equal (&member->placement.worker, &worker_report->worker);
 		}
 	}
-	for (size_t i = 0; i < sighting->n_reports; i++) {
-		const struct dff_task_report *report = &sighting->reports[i];
+	for (size_t i = 0; i < worker_report->n_reports; i++) {
+		const struct dff_task_report *report = &worker_report->reports[i];
 		struct dff_cell_job *job = dff_cell_job_find (cell, &report->task.job);
 		const struct dff_cell_member *member =
 			job != NULL ? dff_cell_job_member (job, &report->task) : NULL;
-		placed -= member != NULL && member->started && !member->over;
+		placed -= member != NULL && member->started && !member->ended;
 	}
 	return placed > 0;
 }
 
 void
-dff_cell_handle_worker_report (struct dff_cell *cell, const struct dff_worker_report *sighting)
+dff_cell_handle_worker_report (struct dff_cell *cell, const struct dff_worker_report *worker_report)
 {
-	struct dff_cell_worker *worker = dff_cell_worker_find (cell, &sighting->worker);
+	struct dff_cell_worker *worker = dff_cell_worker_find (cell, &worker_report->worker);
 	if (worker == NULL || !dff_cell_is_holder (cell))
 		return;
 	int64_t now_ms = dff_cell_now_ms (cell);
-	worker->answered_ms = MAX (worker->answered_ms, now_ms - sighting->silent_ms);
-	worker->reachable = sighting->reachable;
-	if (sighting->reachable)
-		worker->said_leaving = sighting->leaving;
+	worker->renewed_ms = MAX (worker->renewed_ms, now_ms - worker_report->silent_ms);
+	worker->reachable = worker_report->reachable;
+	if (worker_report->reachable)
+		worker->reports_leaving = worker_report->leaving;
 	cell->workers_due_ms = 0;
-	if (sighting->complete && misses_a_task (cell, sighting))
-		dff_cell_worker_query (cell, &sighting->worker, now_ms);
-	for (size_t i = 0; i < sighting->n_reports; i++)
-		dff_cell_take_report (cell, &sighting->worker, 0, &sighting->reports[i]);
+	if (worker_report->complete && misses_task (cell, worker_report))
+		dff_cell_worker_query (cell, &worker_report->worker, now_ms);
+	for (size_t i = 0; i < worker_report->n_reports; i++)
+		dff_cell_apply_report (cell, &worker_report->worker, 0, &worker_report->reports[i]);
 }
--- a/tests/cell/fake_worker.h
+++ b/tests/cell/fake_worker.h
@@ -11,8 +11,8 @@
 #include "common/clock.h"
 #include "upstream/worker_client.h"
 
-/* Workers in memory. What ran is noted outside of the workers, so that it survives their restarts.
- */
+/* In-memory workers. Runs are counted outside the workers, so that the counts survive their
+ * restarts. */
 
 struct fake_task {
 	struct dff_task_report report;
@@ -30,7 +30,7 @@
 	bool leaving;
 	bool refuses_starts;
 	bool fails_tasks;
-	/** Times it was asked for its tasks. */
+	/** Number of queries for its tasks. */
 	int32_t n_queries;
 };
 
@@ -41,17 +41,17 @@
 	int n_workers;
 	bool checks_epochs;
 	int32_t run_ms;
-	/** On their way. Elements: struct fake_message *. */
+	/** Messages in transit. Elements: struct fake_message *. */
 	GPtrArray *messages;
-	/** Runs and holds noted so far. */
-	int n_notes;
-	/** struct dff_task_id to the times it began to run. */
+	/** Number of runs and holds counted so far. */
+	int n_records;
+	/** struct dff_task_id to the number of times it began to run. */
 	GHashTable *runs;
-	/** The same, of members that were held or ran. */
+	/** struct dff_task_id to the number of times it was held or ran. */
 	GHashTable *held;
 	/** Epoch to the link that used it. */
 	GHashTable *epochs;
-	/** A start is being sent. */
+	/** Called when a start is sent. */
 	void (*check_start) (void *ctx, const struct dff_task_id *task);
 	void *check_ctx;
 };
@@ -95,7 +95,7 @@
 }
 
 static inline void
-fake_note (GHashTable *table, const struct dff_task_id *task)
+fake_increment (GHashTable *table, const struct dff_task_id *task)
 {
 	int count = fake_count (table, task) + 1;
 	g_hash_table_replace (table, g_memdup2 (task, sizeof (*task)), GINT_TO_POINTER (count));
@@ -126,8 +126,8 @@
 	task->report.state = DFF_TASK_RUNNING;
 	task->report.ran = true;
 	task->ends_ms = dff_clock_now_ms (fleet->clock) + fleet->run_ms;
-	fleet->n_notes++;
-	fake_note (fleet->runs, &task->report.task);
+	fleet->n_records++;
+	fake_increment (fleet->runs, &task->report.task);
 }
 
 static inline enum dff_worker_outcome
@@ -142,7 +142,7 @@
 		return DFF_WORKER_REFUSED;
 	task = fake_add (worker, &command->task, DFF_TASK_HELD);
 	task->lease_until_ms = dff_clock_now_ms (fleet->clock) + command->lease_ms;
-	fake_note (fleet->held, &command->task);
+	fake_increment (fleet->held, &command->task);
 	if (!command->held)
 		fake_run (fleet, task);
 	return DFF_WORKER_OK;
@@ -259,7 +259,7 @@
 	g_rand_free (fleet->rand);
 }
 
-/** The worker's process dies and comes back without its memory. */
+/** Restarts the worker's process, which loses its state. */
 static inline void
 fake_worker_restart (struct fake_worker *worker)
 {
--- a/tests/cell/test-job-row.c
+++ b/tests/cell/test-job-row.c
@@ -128,11 +128,11 @@
 	assert_non_null (row);
 }
 
-/* Symptom: an accepted job can never be started, or its end never be recorded. Sequence: a gang's
- * row is as large as is taken; the start intent, the result and the reason are added. Cause: too
- * little room was left for them. */
+/* Guards against an accepted job that can never be started, or whose end can never be recorded. A
+ * gang's row is as large as is accepted; then the start intent, the result and the reason are
+ * added, and the row still has to fit. */
 static void
-test_largest_row_has_room_to_grow (void **state)
+test_largest_row_fits_after_growth (void **state)
 {
 	(void)state;
 	g_autofree char *longest = g_strnfill (DFF_NAME_MAX, 'n');
@@ -166,7 +166,7 @@
 		g_array_append_val (row->incarnations, incarnation);
 	}
 	g_autoptr (GString) grown = dff_job_row_encode (row);
-	/* Its key, and the row of an Idempotency-Key that is recorded with it. */
+	/* The row's key, and the row of an Idempotency-Key that is recorded with it. */
 	size_t keys = (size_t)4 * DFF_NAME_MAX;
 	assert_true (grown->len + keys <= DFF_RECORD_MAX_UNIT_BYTES);
 }
@@ -178,7 +178,7 @@
 		cmocka_unit_test (test_region_of_id),
 		cmocka_unit_test (test_round_trip),
 		cmocka_unit_test (test_malformed_rows_are_refused),
-		cmocka_unit_test (test_largest_row_has_room_to_grow),
+		cmocka_unit_test (test_largest_row_fits_after_growth),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/cell/test-recovery.c
+++ b/tests/cell/test-recovery.c
@@ -1,8 +1,8 @@
 #include "tests/cell/cell_faults.h"
 
-/* What a take-over makes of what runs. The harness checks the promises after every step. */
+/* The effect of a takeover on running tasks. The harness checks the invariants after every step. */
 
-/** Submits a job of one task that runs for long. Returns: the index of its worker. */
+/** Submits a job with one long-running task. Returns: the index of its worker. */
 static int
 run_long_job (struct harness *harness, int *job)
 {
@@ -22,12 +22,12 @@
 	assert_int_equal (harness_runs (harness, job), 1);
 }
 
-/* Symptom: a job that runs is stopped and started anew by a take-over. Sequence: a process that
- * held the cell before takes it again; workers have started anew meanwhile, and each of them is
- * asked a second time as soon as it has answered. Cause: the second answer counted for that of a
- * worker that had not answered yet, so that the tables were rebuilt without what it runs. */
+/* Guards against a takeover that stops and restarts a running job. A process that held the cell
+ * before takes it again. Workers have restarted meanwhile, and each of them is queried a second
+ * time as soon as it has answered. If the second answer counted as that of a worker that has not
+ * answered yet, the tables would be rebuilt without that worker's tasks. */
 static void
-test_every_worker_is_heard_before_the_rebuild (void **state)
+test_rebuild_waits_for_every_worker (void **state)
 {
 	(void)state;
 	for (int seed = 0; seed < FAULT_STEPS; seed++) {
@@ -53,11 +53,11 @@
 	}
 }
 
-/* Symptom: every running job is stopped. Sequence: all processes are replaced while the instance
- * list is down and the table is not. Cause: a process that knew no worker's address took the cell
- * and asked nobody, and took the silence for an answer. */
+/* Guards against stopping every running job. All processes are replaced while the instance list is
+ * unavailable and the table is not. A process that knows no worker's address must not take the
+ * cell: it would query no worker, and take the absence of answers for the absence of tasks. */
 static void
-test_no_take_over_without_the_instance_list (void **state)
+test_no_takeover_without_instance_list (void **state)
 {
 	(void)state;
 	struct harness harness;
@@ -66,9 +66,9 @@
 	run_long_job (&harness, &job);
 	for (int i = 0; i < HARNESS_PROCESSES; i++)
 		harness_kill (&harness, i);
-	harness.list_unknown = true;
+	harness.no_instance_list = true;
 	for (int i = 0; i < HARNESS_PROCESSES; i++)
-		harness_birth (&harness, i);
+		harness_start (&harness, i);
 	harness_run (&harness, 10000);
 	for (int i = 0; i < HARNESS_PROCESSES; i++)
 		harness_set_instances (&harness, harness.processes[i].cell);
@@ -80,8 +80,8 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_every_worker_is_heard_before_the_rebuild),
-		cmocka_unit_test (test_no_take_over_without_the_instance_list),
+		cmocka_unit_test (test_rebuild_waits_for_every_worker),
+		cmocka_unit_test (test_no_takeover_without_instance_list),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
