--- a/include/upstream/incarnation.h
+++ b/include/upstream/incarnation.h
@@ -1,5 +1,5 @@
-#ifndef DFF_UPSTREAM_LIFE_H
-#define DFF_UPSTREAM_LIFE_H
+#ifndef DFF_UPSTREAM_INCARNATION_H
+#define DFF_UPSTREAM_INCARNATION_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -31,10 +31,10 @@
 };
 
 /** Returns: how the life that was born at @born_ms is to @known, which is of the same id. */
-enum dff_incarnation_order dff_incarnation_compare (int64_t born_ms,
+enum dff_incarnation_order dff_incarnation_compare (int64_t started_ms,
 						    const struct dff_incarnation *known);
 
 /** Returns: whether @born_ms tells when a life started. */
-bool dff_start_is_known (int64_t born_ms);
+bool dff_start_is_known (int64_t started_ms);
 
 #endif
--- a/include/upstream/watcher.h
+++ b/include/upstream/watcher.h
@@ -44,7 +44,7 @@
 	int32_t failures_unreachable;
 	/** Takes a sighting, borrowed for the call. A long list of reports comes in pieces, none of
 	 * which is whole. */
-	void (*report) (void *ctx, const struct dff_worker_report *sighting);
+	void (*report) (void *ctx, const struct dff_worker_report *report);
 	void *ctx;
 };
 
--- a/tests/upstream/test-http-worker.c
+++ b/tests/upstream/test-http-worker.c
@@ -92,7 +92,7 @@
 }
 
 static void
-called (void *user, const struct dff_worker_result *result)
+handle_result (void *user, const struct dff_worker_result *result)
 {
 	struct fixture *fixture = user;
 	fixture->outcome = result->outcome;
@@ -101,7 +101,7 @@
 }
 
 static void
-requested (void *user, const struct dff_request_result *result)
+handle_request_result (void *user, const struct dff_request_result *result)
 {
 	struct fixture *fixture = user;
 	fixture->outcome = result->outcome;
@@ -113,7 +113,7 @@
 static void
 query (struct fixture *fixture)
 {
-	fixture->client->query (fixture->client->ctx, &fixture->address, called, fixture);
+	fixture->client->query (fixture->client->ctx, &fixture->address, handle_result, fixture);
 	event_base_dispatch (fixture->base);
 }
 
@@ -128,7 +128,8 @@
 		.lease_ms = LEASE_MS,
 		.payload = dff_str_from ("{\"run_ms\":600000}"),
 	};
-	fixture->client->start (fixture->client->ctx, &fixture->address, &start, called, fixture);
+	fixture->client->start (fixture->client->ctx, &fixture->address, &start, handle_result,
+				fixture);
 	event_base_dispatch (fixture->base);
 }
 
@@ -138,8 +139,8 @@
 	struct dff_name service = dff_name_from ("casework");
 	struct dff_name id = dff_name_from ("r1");
 	fixture->client->request (fixture->client->ctx, &fixture->address, &service, &id,
-				  dff_str_from (payload), (struct dff_str){"", 0}, 1000, requested,
-				  fixture);
+				  dff_str_from (payload), (struct dff_str){"", 0}, 1000,
+				  handle_request_result, fixture);
 	event_base_dispatch (fixture->base);
 }
 
@@ -225,21 +226,23 @@
 	assert_int_equal (fixture.outcome, DFF_WORKER_REFUSED);
 	assert_int_equal (fixture.state, DFF_TASK_UNKNOWN);
 	struct dff_task_id task = {dff_name_from ("sk.a"), 1, 0};
-	fixture.client->release (fixture.client->ctx, &fixture.address, &task, 1, called, &fixture);
+	fixture.client->release (fixture.client->ctx, &fixture.address, &task, 1, handle_result,
+				 &fixture);
 	event_base_dispatch (fixture.base);
 	assert_int_equal (fixture.state, DFF_TASK_RUNNING);
-	fixture.client->throttle (fixture.client->ctx, &fixture.address, &task, 1, 50, called,
-				  &fixture);
+	fixture.client->throttle (fixture.client->ctx, &fixture.address, &task, 1, 50,
+				  handle_result, &fixture);
 	event_base_dispatch (fixture.base);
 	assert_int_equal (fixture.outcome, DFF_WORKER_OK);
-	fixture.client->checkpoint (fixture.client->ctx, &fixture.address, &task, 1, called,
+	fixture.client->checkpoint (fixture.client->ctx, &fixture.address, &task, 1, handle_result,
 				    &fixture);
 	event_base_dispatch (fixture.base);
 	assert_int_equal (fixture.outcome, DFF_WORKER_OK);
-	fixture.client->stop (fixture.client->ctx, &fixture.address, &task, 1, called, &fixture);
+	fixture.client->stop (fixture.client->ctx, &fixture.address, &task, 1, handle_result,
+			      &fixture);
 	event_base_dispatch (fixture.base);
 	assert_int_equal (fixture.state, DFF_TASK_STOPPED);
-	fixture.client->renew (fixture.client->ctx, &fixture.address, LEASE_MS, 0, called,
+	fixture.client->renew (fixture.client->ctx, &fixture.address, LEASE_MS, 0, handle_result,
 			       &fixture);
 	event_base_dispatch (fixture.base);
 	assert_int_equal (fixture.state, DFF_TASK_STOPPED);
@@ -284,7 +287,7 @@
 }
 
 static void
-test_nobody_there_is_unsent (void **state)
+test_refused_connection_is_unsent (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -337,7 +340,7 @@
 		cmocka_unit_test (test_commands_reach_the_worker),
 		cmocka_unit_test (test_lost_answer_is_uncertain),
 		cmocka_unit_test (test_silent_connection_is_replaced),
-		cmocka_unit_test (test_nobody_there_is_unsent),
+		cmocka_unit_test (test_refused_connection_is_unsent),
 		cmocka_unit_test (test_request_outcomes),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/upstream/test-watcher.c
+++ b/tests/upstream/test-watcher.c
@@ -14,19 +14,19 @@
 #define TIMEOUT_MS INT64_C (1000)
 #define INTERVAL_MS INT64_C (1000)
 #define LEASE_MS INT64_C (9000)
-#define RETELL_MS INT64_C (5000)
+#define REPORT_REPEAT_MS INT64_C (5000)
 /** How often a change is told. */
-#define TELLINGS 2
+#define REPORTS_PER_CHANGE 2
 #define MAX_WORKERS 40
 
 /** What is known of one worker from the sightings. */
-struct seen {
-	int32_t sightings;
-	int32_t reachable_sightings;
-	int32_t reports;
+struct observed {
+	int32_t n_worker_reports;
+	int32_t n_reachable_reports;
+	int32_t n_task_reports;
 	bool reachable;
 	bool leaving;
-	bool whole;
+	bool complete;
 	int64_t silent_ms;
 	int64_t at_ms;
 	/** State of the last report of the task, UNSEEN without one or after a whole list without
@@ -43,35 +43,35 @@
 	struct dff_watcher *watcher;
 	struct dff_watched_worker share[MAX_WORKERS];
 	size_t n_workers;
-	struct seen seen[MAX_WORKERS];
+	struct observed observed[MAX_WORKERS];
 	/** The next so many sightings are lost on their way. */
-	int32_t lose_sightings;
+	int32_t lose_reports;
 };
 
 static void
-sighted (void *ctx, const struct dff_worker_report *sighting)
+handle_report (void *ctx, const struct dff_worker_report *report)
 {
 	struct fixture *fixture = ctx;
-	if (fixture->lose_sightings > 0) {
-		fixture->lose_sightings--;
+	if (fixture->lose_reports > 0) {
+		fixture->lose_reports--;
 		return;
 	}
 	size_t at = 0;
-	while (!dff_name_equal (&fixture->share[at].name, &sighting->worker))
+	while (!dff_name_equal (&fixture->share[at].name, &report->worker))
 		at++;
-	struct seen *seen = &fixture->seen[at];
-	seen->sightings++;
-	seen->reports += (int32_t)sighting->n_reports;
-	seen->reachable_sightings += sighting->reachable;
-	seen->reachable = sighting->reachable;
-	seen->leaving = sighting->leaving;
-	seen->whole = sighting->complete;
-	seen->silent_ms = sighting->silent_ms;
-	seen->at_ms = fixture->clock.now_ms;
-	if (sighting->complete)
-		seen->task = DFF_TASK_UNKNOWN;
-	for (size_t i = 0; i < sighting->n_reports; i++)
-		seen->task = sighting->reports[i].state;
+	struct observed *observed = &fixture->observed[at];
+	observed->n_worker_reports++;
+	observed->n_task_reports += (int32_t)report->n_reports;
+	observed->n_reachable_reports += report->reachable;
+	observed->reachable = report->reachable;
+	observed->leaving = report->leaving;
+	observed->complete = report->complete;
+	observed->silent_ms = report->silent_ms;
+	observed->at_ms = fixture->clock.now_ms;
+	if (report->complete)
+		observed->task = DFF_TASK_UNKNOWN;
+	for (size_t i = 0; i < report->n_reports; i++)
+		observed->task = report->reports[i].state;
 }
 
 static struct dff_watcher *
@@ -84,9 +84,9 @@
 	options.metrics = fixture->metrics;
 	options.seed = seed;
 	options.interval_ms = INTERVAL_MS;
-	options.report_repeat_ms = RETELL_MS;
+	options.report_repeat_ms = REPORT_REPEAT_MS;
 	options.lease_ms = LEASE_MS;
-	options.report = sighted;
+	options.report = handle_report;
 	options.ctx = fixture;
 	return dff_watcher_new (&options);
 }
@@ -173,7 +173,7 @@
 }
 
 static void
-test_renewals_are_spread_and_only_changes_told (void **state)
+test_renewals_are_spread_and_only_changes_reported (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -189,9 +189,9 @@
 	assert_in_range (renewals (&fixture), 11 * MAX_WORKERS, 13 * MAX_WORKERS);
 	assert_in_range (busiest, 1, MAX_WORKERS / 3);
 	for (size_t i = 0; i < MAX_WORKERS; i++)
-		assert_int_equal (fixture.seen[i].sightings, TELLINGS);
+		assert_int_equal (fixture.observed[i].n_worker_reports, REPORTS_PER_CHANGE);
 	assert_int_equal (task_state (&fixture), DFF_TASK_RUNNING);
-	assert_int_equal (fixture.seen[0].task, DFF_TASK_RUNNING);
+	assert_int_equal (fixture.observed[0].task, DFF_TASK_RUNNING);
 	fixture_clear (&fixture);
 }
 
@@ -199,7 +199,7 @@
  * and nothing is answered, for longer than the lease; then it answers again. Cause: an open
  * connection was taken for a live worker. */
 static void
-test_silent_worker_is_told_in_time (void **state)
+test_silent_worker_is_reported_in_time (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -209,15 +209,16 @@
 	run (&fixture, 2 * INTERVAL_MS);
 	faults (&fixture)->silent = true;
 	run (&fixture, INTERVAL_MS + 2 * TIMEOUT_MS + 500);
-	assert_false (fixture.seen[0].reachable);
-	while (fixture.seen[0].silent_ms < LEASE_MS)
+	assert_false (fixture.observed[0].reachable);
+	while (fixture.observed[0].silent_ms < LEASE_MS)
 		run (&fixture, TICK_MS);
-	assert_in_range (fixture.seen[0].silent_ms, LEASE_MS, LEASE_MS + INTERVAL_MS + TIMEOUT_MS);
+	assert_in_range (fixture.observed[0].silent_ms, LEASE_MS,
+			 LEASE_MS + INTERVAL_MS + TIMEOUT_MS);
 	assert_int_equal (task_state (&fixture), DFF_TASK_STOPPED);
 	faults (&fixture)->silent = false;
 	run (&fixture, 3 * INTERVAL_MS);
-	assert_true (fixture.seen[0].reachable);
-	assert_int_equal (fixture.seen[0].task, DFF_TASK_STOPPED);
+	assert_true (fixture.observed[0].reachable);
+	assert_int_equal (fixture.observed[0].task, DFF_TASK_STOPPED);
 	fixture_clear (&fixture);
 }
 
@@ -234,7 +235,7 @@
 	start_task (&fixture);
 	run (&fixture, 2 * INTERVAL_MS);
 	faults (&fixture)->lose_answers = G_MAXINT32;
-	while (fixture.seen[0].silent_ms < LEASE_MS) {
+	while (fixture.observed[0].silent_ms < LEASE_MS) {
 		run (&fixture, TICK_MS);
 		assert_true (fixture.clock.now_ms < START_MS + 10 * LEASE_MS);
 	}
@@ -254,8 +255,8 @@
 	faults (&fixture)->lose_answers = 1;
 	start_task (&fixture);
 	run (&fixture, 4 * INTERVAL_MS);
-	assert_int_equal (fixture.seen[0].task, DFF_TASK_RUNNING);
-	assert_true (fixture.seen[0].reachable);
+	assert_int_equal (fixture.observed[0].task, DFF_TASK_RUNNING);
+	assert_true (fixture.observed[0].reachable);
 	fixture_clear (&fixture);
 }
 
@@ -263,27 +264,27 @@
  * is lost between two processes, and nothing else happens at the worker. Cause: a change was told
  * once. */
 static void
-test_lost_sighting_is_made_up_for (void **state)
+test_lost_report_is_repeated (void **state)
 {
 	(void)state;
 	struct fixture fixture;
 	fixture_init (&fixture, 1);
-	run (&fixture, RETELL_MS + 3 * INTERVAL_MS);
+	run (&fixture, REPORT_REPEAT_MS + 3 * INTERVAL_MS);
 	start_task (&fixture);
-	fixture.lose_sightings = 1;
+	fixture.lose_reports = 1;
 	run (&fixture, 2 * INTERVAL_MS);
-	assert_int_equal (fixture.lose_sightings, 0);
-	assert_int_equal (fixture.seen[0].task, DFF_TASK_UNKNOWN);
+	assert_int_equal (fixture.lose_reports, 0);
+	assert_int_equal (fixture.observed[0].task, DFF_TASK_UNKNOWN);
 	/* Due after RETELL_MS and its jitter, told with the renewal after that. */
-	run (&fixture, RETELL_MS + 2 * INTERVAL_MS);
-	assert_int_equal (fixture.seen[0].task, DFF_TASK_RUNNING);
+	run (&fixture, REPORT_REPEAT_MS + 2 * INTERVAL_MS);
+	assert_int_equal (fixture.observed[0].task, DFF_TASK_RUNNING);
 	fixture_clear (&fixture);
 }
 
 /* Symptom: a worker with a long past is never heard of. Sequence: its whole list makes a message
  * that is longer than peers accept. Cause: the list was told at once. */
 static void
-test_long_lists_come_in_pieces (void **state)
+test_long_report_lists_are_split (void **state)
 {
 	(void)state;
 	enum { DFF_N_TASKS = 1300 };
@@ -297,14 +298,14 @@
 		dff_worker_tasks_stop (tasks, &task, 1, &report);
 	}
 	run (&fixture, 2 * INTERVAL_MS);
-	assert_int_equal (fixture.seen[0].sightings, 3);
-	assert_int_equal (fixture.seen[0].reports, DFF_N_TASKS);
-	assert_false (fixture.seen[0].whole);
+	assert_int_equal (fixture.observed[0].n_worker_reports, 3);
+	assert_int_equal (fixture.observed[0].n_task_reports, DFF_N_TASKS);
+	assert_false (fixture.observed[0].complete);
 	fixture_clear (&fixture);
 }
 
 static void
-test_leaving_is_told_within_three_seconds (void **state)
+test_leaving_is_reported_within_three_seconds (void **state)
 {
 	(void)state;
 	for (int64_t offset_ms = 0; offset_ms < INTERVAL_MS; offset_ms += 50) {
@@ -315,8 +316,8 @@
 			dff_memory_workers_tasks (fixture.workers, &fixture.share[0].address));
 		int64_t left_ms = fixture.clock.now_ms;
 		run (&fixture, 3000);
-		assert_true (fixture.seen[0].leaving);
-		assert_true (fixture.seen[0].at_ms - left_ms <= 3000);
+		assert_true (fixture.observed[0].leaving);
+		assert_true (fixture.observed[0].at_ms - left_ms <= 3000);
 		fixture_clear (&fixture);
 	}
 }
@@ -325,7 +326,7 @@
  * share goes to another, which has seen nothing. Cause: leases were tied to one process, or the new
  * watcher asked only for what came after what it had not seen. */
 static void
-test_hand_over_keeps_tasks_and_tells_all (void **state)
+test_handover_keeps_tasks_and_reports_all (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -337,12 +338,12 @@
 	struct dff_watcher *old = fixture.watcher;
 	fixture.watcher = new_watcher (&fixture, 2);
 	dff_watcher_set_workers (fixture.watcher, fixture.share, 2);
-	fixture.seen[0] = (struct seen){0};
+	fixture.observed[0] = (struct observed){0};
 	run (&fixture, 20 * INTERVAL_MS);
 	assert_int_equal (task_state (&fixture), DFF_TASK_RUNNING);
-	assert_int_equal (fixture.seen[0].sightings, TELLINGS);
-	assert_true (fixture.seen[0].whole);
-	assert_int_equal (fixture.seen[0].task, DFF_TASK_RUNNING);
+	assert_int_equal (fixture.observed[0].n_worker_reports, REPORTS_PER_CHANGE);
+	assert_true (fixture.observed[0].complete);
+	assert_int_equal (fixture.observed[0].task, DFF_TASK_RUNNING);
 	dff_watcher_free (old);
 	fixture_clear (&fixture);
 }
@@ -351,7 +352,7 @@
  * crashes and comes back between two renewals. Cause: it answers as before, with nothing to report,
  * and nothing tells that it is not the same. */
 static void
-test_restart_is_told_as_a_whole_list (void **state)
+test_restart_is_reported_as_a_complete_list (void **state)
 {
 	(void)state;
 	static const int64_t watched_before_ms[] = {0, 20, 2 * INTERVAL_MS};
@@ -361,12 +362,12 @@
 		run (&fixture, 3 * INTERVAL_MS);
 		start_task (&fixture);
 		run (&fixture, watched_before_ms[i]);
-		int32_t told = fixture.seen[0].sightings;
+		int32_t before = fixture.observed[0].n_worker_reports;
 		dff_memory_workers_restart (fixture.workers, &fixture.share[0].address);
 		run (&fixture, 2 * INTERVAL_MS);
-		assert_true (fixture.seen[0].sightings > told);
-		assert_true (fixture.seen[0].whole);
-		assert_int_equal (fixture.seen[0].task, DFF_TASK_UNKNOWN);
+		assert_true (fixture.observed[0].n_worker_reports > before);
+		assert_true (fixture.observed[0].complete);
+		assert_int_equal (fixture.observed[0].task, DFF_TASK_UNKNOWN);
 		fixture_clear (&fixture);
 	}
 }
@@ -375,7 +376,7 @@
  * on its way when the holder changes; its answer, asked for by the old sequence, is taken for the
  * whole list. Cause: "tell everything" did not wait for a renewal sent after it. */
 static void
-test_new_holder_is_told_everything (void **state)
+test_new_holder_receives_all_tasks (void **state)
 {
 	(void)state;
 	for (int64_t offset_ms = 0; offset_ms < INTERVAL_MS; offset_ms += 20) {
@@ -383,15 +384,15 @@
 		fixture_init (&fixture, 1);
 		start_task (&fixture);
 		faults (&fixture)->delay_ms = 300;
-		run (&fixture, RETELL_MS + 4 * INTERVAL_MS + offset_ms);
-		fixture.seen[0] = (struct seen){0};
+		run (&fixture, REPORT_REPEAT_MS + 4 * INTERVAL_MS + offset_ms);
+		fixture.observed[0] = (struct observed){0};
 		dff_watcher_report_all (fixture.watcher);
 		run (&fixture, 3 * INTERVAL_MS);
-		assert_int_equal (fixture.seen[0].sightings, 1);
-		assert_true (fixture.seen[0].whole);
-		assert_int_equal (fixture.seen[0].task, DFF_TASK_RUNNING);
-		run (&fixture, 2 * RETELL_MS);
-		assert_int_equal (fixture.seen[0].sightings, TELLINGS);
+		assert_int_equal (fixture.observed[0].n_worker_reports, 1);
+		assert_true (fixture.observed[0].complete);
+		assert_int_equal (fixture.observed[0].task, DFF_TASK_RUNNING);
+		run (&fixture, 2 * REPORT_REPEAT_MS);
+		assert_int_equal (fixture.observed[0].n_worker_reports, REPORTS_PER_CHANGE);
 		fixture_clear (&fixture);
 	}
 }
@@ -400,20 +401,20 @@
  * the share while its renewal is on its way, and comes back at another address. Cause: the answer
  * was taken for the new entry's. */
 static void
-test_answers_after_leaving_the_share_are_dropped (void **state)
+test_answers_after_removal_are_dropped (void **state)
 {
 	(void)state;
 	struct fixture fixture;
 	fixture_init (&fixture, 1);
 	faults (&fixture)->delay_ms = 500;
 	run (&fixture, INTERVAL_MS + 100);
-	fixture.seen[0] = (struct seen){0};
+	fixture.observed[0] = (struct observed){0};
 	struct dff_watched_worker moved = fixture.share[0];
 	moved.address = dff_name_from ("10.0.0.99:80");
 	dff_watcher_set_workers (fixture.watcher, &moved, 1);
 	run (&fixture, 4 * INTERVAL_MS);
-	assert_int_not_equal (fixture.seen[0].sightings, 0);
-	assert_int_equal (fixture.seen[0].reachable_sightings, 0);
+	assert_int_not_equal (fixture.observed[0].n_worker_reports, 0);
+	assert_int_equal (fixture.observed[0].n_reachable_reports, 0);
 	fixture_clear (&fixture);
 }
 
@@ -421,17 +422,17 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_renewals_are_spread_and_only_changes_told),
-		cmocka_unit_test (test_silent_worker_is_told_in_time),
+		cmocka_unit_test (test_renewals_are_spread_and_only_changes_reported),
+		cmocka_unit_test (test_silent_worker_is_reported_in_time),
 		cmocka_unit_test (test_lost_answers_end_the_lease),
 		cmocka_unit_test (test_lost_answer_is_reported_again),
-		cmocka_unit_test (test_lost_sighting_is_made_up_for),
-		cmocka_unit_test (test_long_lists_come_in_pieces),
-		cmocka_unit_test (test_leaving_is_told_within_three_seconds),
-		cmocka_unit_test (test_hand_over_keeps_tasks_and_tells_all),
-		cmocka_unit_test (test_restart_is_told_as_a_whole_list),
-		cmocka_unit_test (test_new_holder_is_told_everything),
-		cmocka_unit_test (test_answers_after_leaving_the_share_are_dropped),
+		cmocka_unit_test (test_lost_report_is_repeated),
+		cmocka_unit_test (test_long_report_lists_are_split),
+		cmocka_unit_test (test_leaving_is_reported_within_three_seconds),
+		cmocka_unit_test (test_handover_keeps_tasks_and_reports_all),
+		cmocka_unit_test (test_restart_is_reported_as_a_complete_list),
+		cmocka_unit_test (test_new_holder_receives_all_tasks),
+		cmocka_unit_test (test_answers_after_removal_are_dropped),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/upstream/test-worker-calls.c
+++ b/tests/upstream/test-worker-calls.c
@@ -10,7 +10,7 @@
 #define LEASE_MS INT64_C (1000)
 
 static void
-keep_outcome (void *user, const struct dff_worker_result *result)
+store_outcome (void *user, const struct dff_worker_result *result)
 {
 	*(enum dff_worker_outcome *)user = result->outcome;
 }
@@ -27,7 +27,7 @@
 			  .payload = dff_str_from ("{\"run_ms\":300}")},
 		.command = {.task = task},
 	};
-	dff_standin_worker_call (fixture->worker, &call, keep_outcome, &fixture->outcome);
+	dff_standin_worker_call (fixture->worker, &call, store_outcome, &fixture->outcome);
 	assert_int_equal (fixture->outcome, DFF_WORKER_OK);
 }
 
@@ -86,9 +86,9 @@
 	int answers;
 	fixture_init (&fixture, false);
 	call_task (&fixture, DFF_WORKER_CALL_START, 1);
-	int64_t known = dff_worker_tasks_sequence (dff_standin_worker_tasks (fixture.worker));
-	assert_int_equal (renew_waiting (&fixture, known - 1, &answers), 1);
-	assert_int_equal (renew_waiting (&fixture, known, &answers), 0);
+	int64_t sequence = dff_worker_tasks_sequence (dff_standin_worker_tasks (fixture.worker));
+	assert_int_equal (renew_waiting (&fixture, sequence - 1, &answers), 1);
+	assert_int_equal (renew_waiting (&fixture, sequence, &answers), 0);
 	assert_int_equal (dff_standin_worker_next_due_ms (fixture.worker), 300);
 	fixture.clock.now_ms = 299;
 	dff_standin_worker_tick (fixture.worker);
@@ -96,18 +96,18 @@
 	fixture.clock.now_ms = 300;
 	dff_standin_worker_tick (fixture.worker);
 	assert_int_equal (answers, 1);
-	assert_int_equal (renew_waiting (&fixture, known + 1, &answers), 0);
+	assert_int_equal (renew_waiting (&fixture, sequence + 1, &answers), 0);
 	fixture.clock.now_ms = 1299;
 	dff_standin_worker_tick (fixture.worker);
 	assert_int_equal (answers, 0);
 	fixture.clock.now_ms = 1300;
 	dff_standin_worker_tick (fixture.worker);
 	assert_int_equal (answers, 1);
-	assert_int_equal (renew_waiting (&fixture, known + 1, &answers), 0);
+	assert_int_equal (renew_waiting (&fixture, sequence + 1, &answers), 0);
 	dff_standin_worker_leave (fixture.worker);
 	dff_standin_worker_tick (fixture.worker);
 	assert_int_equal (answers, 1);
-	assert_int_equal (renew_waiting (&fixture, known + 1, &answers), 1);
+	assert_int_equal (renew_waiting (&fixture, sequence + 1, &answers), 1);
 	fixture_clear (&fixture);
 }
 
--- a/tests/upstream/test-worker-tasks.c
+++ b/tests/upstream/test-worker-tasks.c
@@ -19,7 +19,7 @@
 	DFF_OP_THROTTLE,
 	DFF_OP_STOP,
 	DFF_OP_RENEW,
-	DFF_OP_LOOK,
+	DFF_OP_TICK,
 	DFF_OP_LEAVE,
 	DFF_OP_FAIL_EVERYTHING,
 	DFF_OP_STORE_DOWN,
@@ -41,7 +41,7 @@
 
 #define MAX_STEPS 12
 
-struct session {
+struct scenario {
 	const char *name;
 	const char *payload;
 	bool check_epochs;
@@ -53,16 +53,16 @@
 #define LEASE_MS INT64_C (1000)
 #define FIRST_EPOCH 5
 
-static const struct session sessions[] = {
+static const struct scenario scenarios[] = {
 	{"a held task does not run until it is released, then to its end",
 	 "{\"run_ms\":100,\"result_bytes\":10}",
 	 false,
 	 {
 		 {0, DFF_OP_START_HELD, 1, 0, 0, OK, DFF_TASK_HELD, false},
-		 {500, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_HELD, false},
+		 {500, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_HELD, false},
 		 {500, DFF_OP_RELEASE, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
-		 {599, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
-		 {600, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
+		 {599, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
+		 {600, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
 		 {600, DFF_OP_RELEASE, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
 		 {600, DFF_OP_STOP, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
 		 {600, DFF_OP_END},
@@ -99,7 +99,7 @@
 	 {
 		 {0, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
 		 {LEASE_MS - 1, DFF_OP_RENEW, 1, 0, 600, OK, DFF_TASK_RUNNING, true},
-		 {LEASE_MS + 599, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
+		 {LEASE_MS + 599, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
 		 {LEASE_MS + 600, DFF_OP_RENEW, 1, 0, LEASE_MS, OK, DFF_TASK_STOPPED, true},
 		 {2 * LEASE_MS, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_STOPPED, true},
 		 {2 * LEASE_MS, DFF_OP_END},
@@ -115,7 +115,7 @@
 		 {300, DFF_OP_RENEW, 1, 0, 200, OK, DFF_TASK_RUNNING, true},
 		 {800, DFF_OP_RENEW, 1, 0, 200, OK, DFF_TASK_RUNNING, true},
 		 {1100, DFF_OP_RENEW, 1, 0, 200, OK, DFF_TASK_RUNNING, true},
-		 {1200, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_STOPPED, true},
+		 {1200, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_STOPPED, true},
 		 {1200, DFF_OP_END},
 	 }},
 	{"a time to come does not prolong a lease",
@@ -124,7 +124,7 @@
 	 {
 		 {0, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
 		 {300, DFF_OP_RENEW, 1, 0, 301, OK, DFF_TASK_RUNNING, true},
-		 {LEASE_MS, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_STOPPED, true},
+		 {LEASE_MS, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_STOPPED, true},
 		 {LEASE_MS, DFF_OP_END},
 	 }},
 	/* Symptom: a task completes after its holder was told that it was lost. Sequence: the
@@ -135,7 +135,7 @@
 	 false,
 	 {
 		 {0, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
-		 {4000, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_STOPPED, true},
+		 {4000, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_STOPPED, true},
 		 {4000, DFF_OP_END},
 	 }},
 	{"work before the lease lapsed counts when the tick comes late",
@@ -143,7 +143,7 @@
 	 false,
 	 {
 		 {0, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
-		 {4000, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
+		 {4000, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
 		 {4000, DFF_OP_END},
 	 }},
 	{"throttling slows the work down or stops it",
@@ -153,8 +153,8 @@
 		 {0, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
 		 {100, DFF_OP_THROTTLE, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
 		 {400, DFF_OP_THROTTLE, 1, 0, 50, OK, DFF_TASK_RUNNING, true},
-		 {599, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
-		 {600, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
+		 {599, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
+		 {600, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
 		 {600, DFF_OP_THROTTLE, 1, 0, 50, REFUSED, DFF_TASK_COMPLETED, true},
 		 {600, DFF_OP_END},
 	 }},
@@ -209,7 +209,7 @@
 		 {1, DFF_OP_LEAVE, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
 		 {1, DFF_OP_START, 2, 0, 0, REFUSED, DFF_TASK_UNKNOWN, false},
 		 {1, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
-		 {100, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
+		 {100, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
 		 {100, DFF_OP_END},
 	 }},
 	{"a resumed task does not repeat what its checkpoint holds",
@@ -221,8 +221,8 @@
 		 {400, DFF_OP_STOP, 1, 0, 0, OK, DFF_TASK_STOPPED, true},
 		 {400, DFF_OP_CHECKPOINT, 1, 0, 0, REFUSED, DFF_TASK_STOPPED, true},
 		 {500, DFF_OP_RESUME, 2, 0, 0, OK, DFF_TASK_RUNNING, true},
-		 {699, DFF_OP_LOOK, 2, 0, 0, OK, DFF_TASK_RUNNING, true},
-		 {700, DFF_OP_LOOK, 2, 0, 0, OK, DFF_TASK_COMPLETED, true},
+		 {699, DFF_OP_TICK, 2, 0, 0, OK, DFF_TASK_RUNNING, true},
+		 {700, DFF_OP_TICK, 2, 0, 0, OK, DFF_TASK_COMPLETED, true},
 		 {700, DFF_OP_END},
 	 }},
 	/* Symptom: a caller is told "completed" and finds no result. Sequence: the work ends while
@@ -235,10 +235,10 @@
 		 {0, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
 		 {50, DFF_OP_STORE_DOWN, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
 		 {50, DFF_OP_CHECKPOINT, 1, 0, 0, REFUSED, DFF_TASK_RUNNING, true},
-		 {100, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
+		 {100, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
 		 {150, DFF_OP_STORE_UP, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
-		 {299, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
-		 {300, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
+		 {299, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
+		 {300, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
 		 {300, DFF_OP_END},
 	 }},
 	{"a task that is to fail fails, and so does every task of a faulty worker",
@@ -246,7 +246,7 @@
 	 false,
 	 {
 		 {0, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
-		 {100, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_FAILED, true},
+		 {100, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_FAILED, true},
 		 {100, DFF_OP_FAIL_EVERYTHING, 1, 0, 0, OK, DFF_TASK_FAILED, true},
 		 {100, DFF_OP_START_HELD, 2, 0, 0, OK, DFF_TASK_HELD, false},
 		 {100, DFF_OP_RELEASE, 2, 0, 0, OK, DFF_TASK_FAILED, true},
@@ -257,13 +257,13 @@
 	 false,
 	 {
 		 {0, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_RUNNING, true},
-		 {0, DFF_OP_LOOK, 1, 0, 0, OK, DFF_TASK_FAILED, true},
+		 {0, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_FAILED, true},
 		 {0, DFF_OP_END},
 	 }},
 };
 
 static void
-keep_outcome (void *user, const struct dff_worker_result *result)
+store_outcome (void *user, const struct dff_worker_result *result)
 {
 	*(enum dff_worker_outcome *)user = result->outcome;
 }
@@ -307,7 +307,7 @@
 	struct dff_worker_call call = step_call (step, payload);
 	fixture->outcome = DFF_WORKER_OK;
 	switch (step->op) {
-	case DFF_OP_LOOK:
+	case DFF_OP_TICK:
 		dff_standin_worker_tick (fixture->worker);
 		break;
 	case DFF_OP_LEAVE:
@@ -324,14 +324,14 @@
 		break;
 	default:
 		call.type = types[step->op];
-		dff_standin_worker_call (fixture->worker, &call, keep_outcome, &fixture->outcome);
+		dff_standin_worker_call (fixture->worker, &call, store_outcome, &fixture->outcome);
 		break;
 	}
 }
 
 /** Returns: what the worker says about a task. */
 static struct dff_task_report
-look_at (struct fixture *fixture, int32_t attempt, int32_t member)
+task_report (struct fixture *fixture, int32_t attempt, int32_t member)
 {
 	struct dff_task_report found = {.state = DFF_TASK_UNKNOWN};
 	g_autoptr (GArray) reports = g_array_new (FALSE, TRUE, sizeof (struct dff_task_report));
@@ -346,24 +346,24 @@
 }
 
 static void
-test_sessions (void **state)
+test_scenarios (void **state)
 {
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS (sessions); i++) {
-		const struct session *session = &sessions[i];
+	for (size_t i = 0; i < G_N_ELEMENTS (scenarios); i++) {
+		const struct scenario *scenario = &scenarios[i];
 		struct fixture fixture;
-		fixture_init (&fixture, session->check_epochs);
-		for (const struct step *step = session->steps; step->op != DFF_OP_END; step++) {
+		fixture_init (&fixture, scenario->check_epochs);
+		for (const struct step *step = scenario->steps; step->op != DFF_OP_END; step++) {
 			fixture.clock.now_ms = step->at_ms;
-			do_step (&fixture, step, dff_str_from (session->payload));
+			do_step (&fixture, step, dff_str_from (scenario->payload));
 			struct dff_task_report report =
-				look_at (&fixture, step->attempt, step->member);
-			bool as_stated = fixture.outcome == step->outcome &&
-					 report.state == step->state && report.ran == step->ran;
-			if (as_stated)
+				task_report (&fixture, step->attempt, step->member);
+			bool as_expected = fixture.outcome == step->outcome &&
+					   report.state == step->state && report.ran == step->ran;
+			if (as_expected)
 				continue;
-			fail_msg ("%s: step %d: outcome %d state %s ran %d", session->name,
-				  (int)(step - session->steps), fixture.outcome,
+			fail_msg ("%s: step %d: outcome %d state %s ran %d", scenario->name,
+				  (int)(step - scenario->steps), fixture.outcome,
 				  dff_task_state_name (report.state), report.ran);
 		}
 		fixture_clear (&fixture);
@@ -374,7 +374,7 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_sessions),
+		cmocka_unit_test (test_scenarios),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/upstream/http_worker.c
+++ b/upstream/http_worker.c
@@ -9,9 +9,9 @@
 #define HTTP_TOO_MANY_REQUESTS 429
 #define HTTP_UNAVAILABLE 503
 /** Time for the answer to travel, past the worker's own deadline, ms. */
-#define ANSWER_TRAVEL_MS 50
+#define ANSWER_TRANSIT_MS 50
 /** Workers whose time is remembered; beyond it all are forgotten, which costs one renewal each. */
-#define MAX_HEARD 4096
+#define MAX_CLOCKS 4096
 
 struct dff_http_worker {
 	struct dff_http_client *http;
@@ -27,7 +27,7 @@
 	 */
 	GQueue calls;
 	/** struct dff_name, address, to int64_t, the worker's clock in its last answer. */
-	GHashTable *heard;
+	GHashTable *last_clocks;
 	int64_t *uncertain;
 	int64_t *malformed;
 };
@@ -45,7 +45,7 @@
 };
 
 static enum dff_worker_outcome
-unanswered (struct dff_http_worker *worker, enum dff_http_outcome outcome)
+no_answer_outcome (struct dff_http_worker *worker, enum dff_http_outcome outcome)
 {
 	if (outcome == DFF_HTTP_UNSENT)
 		return DFF_WORKER_UNSENT;
@@ -61,7 +61,7 @@
 		 struct dff_worker_result *result)
 {
 	if (response->outcome != DFF_HTTP_ANSWERED)
-		return unanswered (worker, response->outcome);
+		return no_answer_outcome (worker, response->outcome);
 	bool valid = dff_worker_wire_parse_answer (response->body, result, worker->reports);
 	if (response->status >= 400 && response->status < 500)
 		return DFF_WORKER_REFUSED;
@@ -69,7 +69,7 @@
 		return DFF_WORKER_OK;
 	if (!valid)
 		(*worker->malformed)++;
-	return unanswered (worker, DFF_HTTP_UNCERTAIN);
+	return no_answer_outcome (worker, DFF_HTTP_UNCERTAIN);
 }
 
 static struct worker_call *
@@ -85,37 +85,39 @@
 
 /** Ends a call. Returns: what it was. */
 static struct worker_call
-call_take (struct worker_call *call)
+call_finish (struct worker_call *call)
 {
-	struct worker_call taken = *call;
+	struct worker_call finished = *call;
 	g_queue_unlink (&call->worker->calls, &call->link);
 	g_free (call);
-	return taken;
+	return finished;
 }
 
 static void
-note_time (struct dff_http_worker *worker, const struct dff_name *address, int64_t worker_ms)
+store_clock (struct dff_http_worker *worker,
+	     const struct dff_name *address,
+	     int64_t worker_clock_ms)
 {
-	int64_t *heard_ms = g_hash_table_lookup (worker->heard, address);
-	if (heard_ms != NULL) {
-		*heard_ms = worker_ms;
+	int64_t *clock_ms = g_hash_table_lookup (worker->last_clocks, address);
+	if (clock_ms != NULL) {
+		*clock_ms = worker_clock_ms;
 		return;
 	}
-	if (g_hash_table_size (worker->heard) >= MAX_HEARD)
-		g_hash_table_remove_all (worker->heard);
-	heard_ms = g_new (int64_t, 1);
-	*heard_ms = worker_ms;
-	g_hash_table_insert (worker->heard, dff_name_dup (address), heard_ms);
+	if (g_hash_table_size (worker->last_clocks) >= MAX_CLOCKS)
+		g_hash_table_remove_all (worker->last_clocks);
+	clock_ms = g_new (int64_t, 1);
+	*clock_ms = worker_clock_ms;
+	g_hash_table_insert (worker->last_clocks, dff_name_dup (address), clock_ms);
 }
 
 static void
-command_answered (void *user, const struct dff_http_response *response)
+handle_command_response (void *user, const struct dff_http_response *response)
 {
-	struct worker_call call = call_take (user);
+	struct worker_call call = call_finish (user);
 	struct dff_worker_result result = {0};
 	result.outcome = command_outcome (call.worker, response, &result);
 	if (result.outcome == DFF_WORKER_OK)
-		note_time (call.worker, &call.address, result.clock_ms);
+		store_clock (call.worker, &call.address, result.clock_ms);
 	call.done (call.user, &result);
 }
 
@@ -130,7 +132,7 @@
 	call->done = done;
 	call->address = *address;
 	request->address = *address;
-	dff_http_client_send (worker->http, request, command_answered, call);
+	dff_http_client_send (worker->http, request, handle_command_response, call);
 }
 
 static void
@@ -255,9 +257,9 @@
 	    void *user)
 {
 	struct dff_http_worker *worker = ctx;
-	const int64_t *heard_ms = g_hash_table_lookup (worker->heard, address);
+	const int64_t *clock_ms = g_hash_table_lookup (worker->last_clocks, address);
 	struct dff_worker_renewal renewal = {
-		lease_ms, after_sequence, heard_ms == NULL ? 0 : *heard_ms, worker->renew_wait_ms};
+		lease_ms, after_sequence, clock_ms == NULL ? 0 : *clock_ms, worker->renew_wait_ms};
 	g_string_truncate (worker->body, 0);
 	dff_worker_wire_append_renewal (worker->body, &renewal);
 	send_body (worker, address, DFF_WORKER_PATH_RENEW,
@@ -265,7 +267,7 @@
 }
 
 static bool
-says_leaving (const struct dff_http_response *response)
+has_leaving_header (const struct dff_http_response *response)
 {
 	return response->headers != NULL &&
 	       evhttp_find_header (response->headers, DFF_WORKER_HEADER_LEAVING) != NULL;
@@ -277,21 +279,21 @@
 request_outcome (struct dff_http_worker *worker, const struct dff_http_response *response)
 {
 	if (response->outcome != DFF_HTTP_ANSWERED)
-		return unanswered (worker, response->outcome);
+		return no_answer_outcome (worker, response->outcome);
 	if (response->status == HTTP_TOO_MANY_REQUESTS || response->status == HTTP_UNAVAILABLE)
 		return DFF_WORKER_REFUSED;
 	return DFF_WORKER_OK;
 }
 
 static void
-request_answered (void *user, const struct dff_http_response *response)
+handle_request_response (void *user, const struct dff_http_response *response)
 {
-	struct worker_call call = call_take (user);
+	struct worker_call call = call_finish (user);
 	struct dff_request_result result = {
 		.outcome = request_outcome (call.worker, response),
 		.status = response->status,
 		.body = response->body,
-		.leaving = says_leaving (response),
+		.leaving = has_leaving_header (response),
 	};
 	call.request_done (call.user, &result);
 }
@@ -324,11 +326,11 @@
 		.headers = headers,
 		.n_headers = G_N_ELEMENTS (headers) - (traceparent.len > 0 ? 0 : 1),
 		.body = body,
-		.timeout_ms = deadline_ms + ANSWER_TRAVEL_MS,
+		.timeout_ms = deadline_ms + ANSWER_TRANSIT_MS,
 	};
 	struct worker_call *call = call_new (worker, user);
 	call->request_done = done;
-	dff_http_client_send (worker->http, &request, request_answered, call);
+	dff_http_client_send (worker->http, &request, handle_request_response, call);
 }
 
 void
@@ -339,7 +341,7 @@
 	options->renew_timeout_ms = RENEW_TIMEOUT_MS;
 }
 
-static const struct dff_worker_client http_calls = {
+static const struct dff_worker_client http_interface = {
 	.start = send_start,
 	.release = send_release,
 	.checkpoint = send_checkpoint,
@@ -358,11 +360,12 @@
 	worker->command_timeout_ms = options->command_timeout_ms;
 	worker->renew_timeout_ms = options->renew_timeout_ms;
 	worker->renew_wait_ms = options->renew_wait_ms;
-	worker->client = http_calls;
+	worker->client = http_interface;
 	worker->client.ctx = worker;
 	worker->reports = g_array_new (FALSE, TRUE, sizeof (struct dff_task_report));
 	worker->body = g_string_new (NULL);
-	worker->heard = g_hash_table_new_full (dff_name_hash, dff_name_equal_func, g_free, g_free);
+	worker->last_clocks =
+		g_hash_table_new_full (dff_name_hash, dff_name_equal_func, g_free, g_free);
 	worker->uncertain = dff_metrics_counter (options->metrics, "dff_upstream_uncertain_total",
 						 "Calls to workers without a whole answer.");
 	worker->malformed = dff_metrics_counter (options->metrics, "dff_upstream_malformed_total",
@@ -374,8 +377,8 @@
 dff_http_worker_free (struct dff_http_worker *worker)
 {
 	while (!g_queue_is_empty (&worker->calls))
-		call_take (worker->calls.head->data);
-	g_hash_table_unref (worker->heard);
+		call_finish (worker->calls.head->data);
+	g_hash_table_unref (worker->last_clocks);
 	g_array_unref (worker->reports);
 	g_string_free (worker->body, TRUE);
 	g_free (worker);
--- a/upstream/watcher.c
+++ b/upstream/watcher.c
@@ -6,9 +6,9 @@
 #define RETRY_MS 250
 #define LEASE_MS 9000
 #define FAILURES_UNREACHABLE 2
-#define RETELL_MS 5000
+#define REPORT_REPEAT_MS 5000
 /** What happens within this time after a change is told together. */
-#define AFTER_NEWS_MS 50
+#define CHANGE_BATCH_MS 50
 #define JITTER_DIVISOR 8
 /** Reports in one sighting at the most: peers bound the length of a message. */
 #define MAX_REPORTS 512
@@ -21,11 +21,11 @@
 	/** Elements: struct watched, in the order they were added. */
 	GPtrArray *order;
 	/** Elements: struct watched, left the share while a renewal was in progress. */
-	GPtrArray *gone;
+	GPtrArray *removed;
 	GRand *random;
 	int64_t *renewals;
 	int64_t *failures;
-	int64_t *sightings;
+	int64_t *reports;
 	int64_t *restarts;
 };
 
@@ -38,26 +38,26 @@
 	int64_t sent_ms;
 	bool in_progress;
 	/** It left the share: the answer is dropped. */
-	bool gone;
+	bool removed;
 	/** Sequence the renewal in progress asked for, and the one that was reported last. */
-	int64_t asked_sequence;
+	int64_t requested_sequence;
 	int64_t sequence;
 	int64_t incarnation;
 	/** Last answer, or when watching began. */
-	int64_t heard_ms;
+	int64_t last_answer_ms;
 	int32_t failures;
 	/** What was told last. */
-	bool told;
-	bool told_reachable;
-	bool told_leaving;
-	int64_t told_silent_ms;
+	bool reported;
+	bool reported_reachable;
+	bool reported_leaving;
+	int64_t reported_silent_ms;
 	/** The renewal in progress was sent before everything was to be told again. */
-	bool asked_before;
+	bool renewal_outdated;
 	/** When what came after @retell_sequence is told again; 0: nothing is to be. */
-	int64_t retell_at_ms;
-	int64_t retell_sequence;
+	int64_t repeat_at_ms;
+	int64_t repeat_sequence;
 	/** The renewal in progress asks for it. */
-	bool retelling;
+	bool repeating;
 };
 
 void
@@ -66,7 +66,7 @@
 	memset (options, 0, sizeof (*options));
 	options->interval_ms = INTERVAL_MS;
 	options->retry_ms = RETRY_MS;
-	options->report_repeat_ms = RETELL_MS;
+	options->report_repeat_ms = REPORT_REPEAT_MS;
 	options->lease_ms = LEASE_MS;
 	options->failures_unreachable = FAILURES_UNREACHABLE;
 }
@@ -79,14 +79,14 @@
 	watcher->options = *options;
 	watcher->workers = g_hash_table_new (dff_name_hash, dff_name_equal_func);
 	watcher->order = g_ptr_array_new_with_free_func (g_free);
-	watcher->gone = g_ptr_array_new_with_free_func (g_free);
+	watcher->removed = g_ptr_array_new_with_free_func (g_free);
 	watcher->random = g_rand_new_with_seed ((guint32)options->seed);
 	watcher->renewals = dff_metrics_counter (metrics, "dff_watch_renewals_total",
 						 "Renewals sent to workers.");
 	watcher->failures = dff_metrics_counter (metrics, "dff_watch_failures_total",
 						 "Renewals without a proper answer.");
-	watcher->sightings = dff_metrics_counter (metrics, "dff_watch_sightings_total",
-						  "Changes told to the holder.");
+	watcher->reports = dff_metrics_counter (metrics, "dff_watch_sightings_total",
+						"Changes told to the holder.");
 	watcher->restarts = dff_metrics_counter (metrics, "dff_watch_restarts_total",
 						 "Workers found to have started anew.");
 	return watcher;
@@ -97,7 +97,7 @@
 {
 	g_hash_table_unref (watcher->workers);
 	g_ptr_array_unref (watcher->order);
-	g_ptr_array_unref (watcher->gone);
+	g_ptr_array_unref (watcher->removed);
 	g_rand_free (watcher->random);
 	g_free (watcher);
 }
@@ -118,93 +118,93 @@
 }
 
 static void
-tell (struct watched *worker, struct dff_worker_report *sighting)
+send_report (struct watched *worker, struct dff_worker_report *report)
 {
 	struct dff_watcher *watcher = worker->watcher;
-	worker->told = true;
-	worker->told_reachable = sighting->reachable;
-	worker->told_leaving = sighting->leaving;
-	worker->told_silent_ms = sighting->silent_ms;
-	sighting->worker = worker->name;
-	(*watcher->sightings)++;
-	watcher->options.report (watcher->options.ctx, sighting);
+	worker->reported = true;
+	worker->reported_reachable = report->reachable;
+	worker->reported_leaving = report->leaving;
+	worker->reported_silent_ms = report->silent_ms;
+	report->worker = worker->name;
+	(*watcher->reports)++;
+	watcher->options.report (watcher->options.ctx, report);
 }
 
 /** Asks for all tasks, now. */
 static void
-ask_all (struct watched *worker)
+request_all (struct watched *worker)
 {
 	worker->sequence = 0;
 	worker->due_ms = now_ms (worker->watcher);
 }
 
 static bool
-has_news (const struct watched *worker, const struct dff_worker_result *result)
+has_changes (const struct watched *worker, const struct dff_worker_result *result)
 {
-	return !worker->told || !worker->told_reachable || result->sequence != worker->sequence ||
-	       result->leaving != worker->told_leaving;
+	return !worker->reported || !worker->reported_reachable ||
+	       result->sequence != worker->sequence || result->leaving != worker->reported_leaving;
 }
 
 /* A sighting that is lost on its way, or that reaches a holder that is just going, would be the
  * only word of a task's end. Symptom: a job that has completed counts as running until its worker
  * is asked for another reason. */
 static void
-plan_retelling (struct watched *worker, int64_t after_sequence)
+schedule_repeat (struct watched *worker, int64_t after_sequence)
 {
 	struct dff_watcher *watcher = worker->watcher;
-	if (worker->retell_at_ms != 0) {
-		worker->retell_sequence = MIN (worker->retell_sequence, after_sequence);
+	if (worker->repeat_at_ms != 0) {
+		worker->repeat_sequence = MIN (worker->repeat_sequence, after_sequence);
 		return;
 	}
-	worker->retell_at_ms =
+	worker->repeat_at_ms =
 		now_ms (watcher) + jittered (watcher, watcher->options.report_repeat_ms);
-	worker->retell_sequence = after_sequence;
+	worker->repeat_sequence = after_sequence;
 }
 
 static void
-tell_answer (struct watched *worker, const struct dff_worker_result *result)
+report_answer (struct watched *worker, const struct dff_worker_result *result)
 {
-	size_t n_left = result->n_reports;
-	struct dff_worker_report piece = {
+	size_t n_remaining = result->n_reports;
+	struct dff_worker_report chunk = {
 		.reachable = true,
 		.leaving = result->leaving,
 		.reports = result->reports,
-		.complete = worker->asked_sequence == 0 && n_left <= MAX_REPORTS,
+		.complete = worker->requested_sequence == 0 && n_remaining <= MAX_REPORTS,
 	};
 	do {
-		piece.n_reports = MIN (n_left, MAX_REPORTS);
-		n_left -= piece.n_reports;
-		tell (worker, &piece);
-		piece.reports += piece.n_reports;
-	} while (n_left > 0);
+		chunk.n_reports = MIN (n_remaining, MAX_REPORTS);
+		n_remaining -= chunk.n_reports;
+		send_report (worker, &chunk);
+		chunk.reports += chunk.n_reports;
+	} while (n_remaining > 0);
 }
 
 static void
-take_answer (struct watched *worker, const struct dff_worker_result *result)
+handle_answer (struct watched *worker, const struct dff_worker_result *result)
 {
 	/* A worker that started anew has forgotten its tasks and counts its changes from the
 	 * beginning: asked for what came after the old sequence, it would hide both. */
-	bool anew = worker->incarnation != 0 && worker->incarnation != result->incarnation;
-	worker->heard_ms = now_ms (worker->watcher);
+	bool restarted = worker->incarnation != 0 && worker->incarnation != result->incarnation;
+	worker->last_answer_ms = now_ms (worker->watcher);
 	worker->failures = 0;
-	if (worker->asked_before || (anew && worker->asked_sequence != 0)) {
-		worker->asked_before = false;
-		ask_all (worker);
+	if (worker->renewal_outdated || (restarted && worker->requested_sequence != 0)) {
+		worker->renewal_outdated = false;
+		request_all (worker);
 		return;
 	}
-	bool again = worker->retelling;
-	bool news = anew || has_news (worker, result);
-	if (again)
-		worker->retell_at_ms = 0;
-	if (news)
-		plan_retelling (worker, anew ? 0 : worker->sequence);
-	*worker->watcher->restarts += anew;
+	bool repeat = worker->repeating;
+	bool changed = restarted || has_changes (worker, result);
+	if (repeat)
+		worker->repeat_at_ms = 0;
+	if (changed)
+		schedule_repeat (worker, restarted ? 0 : worker->sequence);
+	*worker->watcher->restarts += restarted;
 	worker->incarnation = result->incarnation;
 	worker->sequence = result->sequence;
-	if (news || again)
-		tell_answer (worker, result);
-	if (news)
-		worker->due_ms = worker->heard_ms + AFTER_NEWS_MS;
+	if (changed || repeat)
+		report_answer (worker, result);
+	if (changed)
+		worker->due_ms = worker->last_answer_ms + CHANGE_BATCH_MS;
 }
 
 /** Steps in which silence is told: each interval until well past the lease, so that the holder
@@ -213,9 +213,9 @@
 silence_step_ms (const struct watched *worker)
 {
 	const struct dff_watcher_options *options = &worker->watcher->options;
-	if (worker->told_silent_ms < 2 * (int64_t)options->lease_ms)
+	if (worker->reported_silent_ms < 2 * (int64_t)options->lease_ms)
 		return options->interval_ms;
-	return worker->told_silent_ms / 2;
+	return worker->reported_silent_ms / 2;
 }
 
 /** Soon at first, as one connection may have gone silent; then back to the interval, counted from
@@ -227,45 +227,45 @@
 	const struct dff_watcher_options *options = &watcher->options;
 	int32_t doublings = MIN (worker->failures - 1, MAX_RETRY_DOUBLINGS);
 	int32_t after_ms = MIN (options->retry_ms << doublings, options->interval_ms);
-	int64_t soonest_ms = now_ms (watcher) + jittered (watcher, options->retry_ms);
-	return MAX (worker->sent_ms + jittered (watcher, after_ms), soonest_ms);
+	int64_t earliest_ms = now_ms (watcher) + jittered (watcher, options->retry_ms);
+	return MAX (worker->sent_ms + jittered (watcher, after_ms), earliest_ms);
 }
 
 static void
-take_failure (struct watched *worker)
+handle_failure (struct watched *worker)
 {
 	struct dff_watcher *watcher = worker->watcher;
-	int64_t silent_ms = now_ms (watcher) - worker->heard_ms;
+	int64_t silent_ms = now_ms (watcher) - worker->last_answer_ms;
 	(*watcher->failures)++;
 	worker->failures++;
-	worker->asked_before = false;
+	worker->renewal_outdated = false;
 	worker->due_ms = retry_at_ms (worker);
 	if (worker->failures < watcher->options.failures_unreachable)
 		return;
-	bool flipped = !worker->told || worker->told_reachable;
-	if (!flipped && silent_ms < worker->told_silent_ms + silence_step_ms (worker))
+	bool flipped = !worker->reported || worker->reported_reachable;
+	if (!flipped && silent_ms < worker->reported_silent_ms + silence_step_ms (worker))
 		return;
-	struct dff_worker_report sighting = {
+	struct dff_worker_report report = {
 		.reachable = false,
-		.leaving = worker->told_leaving,
+		.leaving = worker->reported_leaving,
 		.silent_ms = silent_ms,
 	};
-	tell (worker, &sighting);
+	send_report (worker, &report);
 }
 
 static void
-renewed (void *user, const struct dff_worker_result *result)
+handle_renewal (void *user, const struct dff_worker_result *result)
 {
 	struct watched *worker = user;
 	worker->in_progress = false;
-	if (worker->gone) {
-		g_ptr_array_remove_fast (worker->watcher->gone, worker);
+	if (worker->removed) {
+		g_ptr_array_remove_fast (worker->watcher->removed, worker);
 		return;
 	}
 	if (result->outcome == DFF_WORKER_OK)
-		take_answer (worker, result);
+		handle_answer (worker, result);
 	else
-		take_failure (worker);
+		handle_failure (worker);
 }
 
 static void
@@ -275,14 +275,14 @@
 	const struct dff_worker_client *workers = watcher->options.workers;
 	worker->in_progress = true;
 	worker->sent_ms = now_ms (watcher);
-	worker->retelling = worker->retell_at_ms != 0 && worker->retell_at_ms <= worker->sent_ms;
-	worker->asked_sequence = worker->sequence;
-	if (worker->retelling)
-		worker->asked_sequence = MIN (worker->sequence, worker->retell_sequence);
+	worker->repeating = worker->repeat_at_ms != 0 && worker->repeat_at_ms <= worker->sent_ms;
+	worker->requested_sequence = worker->sequence;
+	if (worker->repeating)
+		worker->requested_sequence = MIN (worker->sequence, worker->repeat_sequence);
 	worker->due_ms = worker->sent_ms + jittered (watcher, watcher->options.interval_ms);
 	(*watcher->renewals)++;
 	workers->renew (workers->ctx, &worker->address, watcher->options.lease_ms,
-			worker->asked_sequence, renewed, worker);
+			worker->requested_sequence, handle_renewal, worker);
 }
 
 void
@@ -309,8 +309,8 @@
 	worker->watcher = watcher;
 	worker->name = added->name;
 	worker->address = added->address;
-	worker->heard_ms = now_ms (watcher);
-	worker->due_ms = worker->heard_ms +
+	worker->last_answer_ms = now_ms (watcher);
+	worker->due_ms = worker->last_answer_ms +
 			 g_rand_int_range (watcher->random, 0, watcher->options.interval_ms);
 	g_hash_table_insert (watcher->workers, &worker->name, worker);
 	g_ptr_array_add (watcher->order, worker);
@@ -322,9 +322,9 @@
 	struct watched *worker = g_ptr_array_index (watcher->order, at);
 	g_hash_table_remove (watcher->workers, &worker->name);
 	g_ptr_array_steal_index (watcher->order, at);
-	worker->gone = true;
+	worker->removed = true;
 	if (worker->in_progress) {
-		g_ptr_array_add (watcher->gone, worker);
+		g_ptr_array_add (watcher->removed, worker);
 		return;
 	}
 	g_free (worker);
@@ -363,8 +363,8 @@
 {
 	for (guint i = 0; i < watcher->order->len; i++) {
 		struct watched *worker = g_ptr_array_index (watcher->order, i);
-		worker->asked_before = worker->in_progress;
+		worker->renewal_outdated = worker->in_progress;
 		worker->sequence = 0;
-		worker->told = false;
+		worker->reported = false;
 	}
 }
