--- a/include/upstream/incarnation.h
+++ b/include/upstream/incarnation.h
@@ -6,35 +6,37 @@
 
 #include "common/str.h"
 
-/* One life of a worker, from its start to its end. Where workers tell when they started, one may
- * start again under the id that it had: it then runs nothing, has seen no epoch, and its clock and
- * the numbers of its ends begin anew. Elsewhere each life has an id of its own. */
+/* An incarnation of a worker: the time from its start to its end. On platforms that report start
+ * times, a worker may restart under the same id. The new incarnation runs no tasks, has seen no
+ * epoch, and its clock and the sequence numbers of its completions start again. On other platforms
+ * each incarnation has an id of its own. */
 
-/** In place of a start that was not told. */
+/** The start time was not reported. */
 #define DFF_START_UNREPORTED INT64_C (0)
-/** In place of one that cannot be read. */
+/** The reported start time cannot be parsed. */
 #define DFF_START_UNREADABLE INT64_C (-1)
 
 struct dff_incarnation {
 	struct dff_name id;
-	/** When it started, ms since 1970, by the worker's time of day. */
+	/** Start time by the worker's wall clock, ms since the Unix epoch; or one of the above. */
 	int64_t started_ms;
 };
 
 enum dff_incarnation_order {
-	/** The same life, or nothing tells them apart. */
+	/** The same incarnation, or a start time is not known. */
 	DFF_INCARNATION_SAME,
-	/** It started earlier. */
+	/** The compared incarnation started before the known one. */
 	DFF_INCARNATION_EARLIER,
-	/** It started later. */
+	/** The compared incarnation started after the known one. */
 	DFF_INCARNATION_LATER,
 };
 
-/** Returns: how the life that was born at @born_ms is to @known, which is of the same id. */
+/** Returns: the order of the incarnation that started at @started_ms relative to @known, which has
+ * the same id. */
 enum dff_incarnation_order dff_incarnation_compare (int64_t started_ms,
 						    const struct dff_incarnation *known);
 
-/** Returns: whether @born_ms tells when a life started. */
+/** Returns: whether @started_ms is a start time, neither unreported nor unreadable. */
 bool dff_start_is_known (int64_t started_ms);
 
 #endif
--- a/include/upstream/runner.h
+++ b/include/upstream/runner.h
@@ -10,51 +10,51 @@
 #include "upstream/incarnation.h"
 
 /*
- * Workers that run tasks under one lease each. A task's runs are numbered; a worker does nothing
- * for an epoch lower than the highest that it has seen, keeps ends until they are acknowledged, and
- * kills all it runs when its lease lapses. Deadlines are times on the worker's own clock, so that
- * an order that is carried out seconds late gives no more time than it was meant to.
+ * Workers that run tasks under one lease each. The runs of a task are numbered. A worker refuses
+ * calls with an epoch lower than the highest that it has seen, keeps completions until they are
+ * acknowledged, and kills all its tasks when its lease expires. Deadlines are times on the worker's
+ * own clock, so that an order that is processed seconds late does not extend the lease.
  *
  * Every call ends in exactly one callback, never before the call returns. A call without an answer
- * may have taken effect, or may do so later.
+ * may have taken effect, or may still take effect later.
  */
 
-/** What a worker says of itself. */
+/** Description of a worker, as it reports itself. */
 struct dff_upstream {
 	struct dff_incarnation incarnation;
 	/** "IP:PORT". */
 	struct dff_name address;
 	struct dff_name service;
-	/** Data centre that it is in; empty: not said. */
+	/** Data centre of the worker; empty: not reported. */
 	struct dff_name data_centre;
 	struct dff_name rack;
 	struct dff_name labels[DFF_WORKER_LABELS_MAX];
 	struct dff_resources capacity;
-	/** It is about to leave and is to get nothing new. */
+	/** The worker is about to leave and must not receive new tasks. */
 	bool leaving;
-	/** Least time until a leaving worker goes, ms; -1: not said. */
+	/** Minimum time until a leaving worker shuts down, ms; -1: not reported. */
 	int64_t remaining_ms;
 };
 
 enum dff_runner_outcome {
 	DFF_RUNNER_DONE,
-	/** The worker has seen a higher epoch: the sender no longer decides. */
+	/** The worker has seen a higher epoch: the sender is no longer the holder. */
 	DFF_RUNNER_STALE_EPOCH,
-	/** This run, or a higher one, was stopped or has ended there: it will not start. */
+	/** This run or a later one was stopped or has ended on the worker; it will not start. */
 	DFF_RUNNER_OLD_RUN,
 	/** The deadline has passed on the worker's clock. */
 	DFF_RUNNER_DEADLINE_PASSED,
-	/** It does not fit. */
+	/** The worker has not enough free capacity. */
 	DFF_RUNNER_NO_CAPACITY,
-	/** The worker is unhealthy and did nothing. */
+	/** The worker is unhealthy; the call had no effect. */
 	DFF_RUNNER_UNHEALTHY,
-	/** The worker does not understand the call, and did nothing. */
+	/** The worker does not understand the call; the call had no effect. */
 	DFF_RUNNER_INVALID,
-	/** Another life of the worker answers: the one meant is gone with all it ran. */
+	/** Another incarnation answered: the one addressed has ended, with all its tasks. */
 	DFF_RUNNER_OTHER_INCARNATION,
-	/** Never left this process. */
+	/** The call was not sent. */
 	DFF_RUNNER_UNSENT,
-	/** Done, not done, or still to be done. */
+	/** No answer: the call may have taken effect, may take effect later, or may be lost. */
 	DFF_RUNNER_UNKNOWN,
 };
 
@@ -63,11 +63,11 @@
 	DFF_RUN_COMPLETED,
 	DFF_RUN_FAILED,
 	DFF_RUN_STOPPED,
-	/** The worker's lease lapsed. */
+	/** The worker's lease expired. */
 	DFF_RUN_LEASE_EXPIRED,
 	/** Another member of its gang ended. */
 	DFF_RUN_GANG_BROKEN,
-	/** The other members of its gang did not come in time. */
+	/** The other members of its gang did not start in time. */
 	DFF_RUN_GANG_TIMEOUT,
 };
 
@@ -78,11 +78,11 @@
 	struct dff_name task;
 	int32_t run;
 	int64_t epoch;
-	/** Until when the worker's lease is to last, on its clock. */
+	/** End of the worker's lease, ms on the worker's clock. */
 	int64_t deadline_ms;
-	/** What the task is given. */
+	/** Input of the task, opaque. */
 	struct dff_str payload;
-	/** Where to go on from; empty: from the beginning. */
+	/** Checkpoint to resume from; empty: start from the beginning. */
 	struct dff_str checkpoint;
 	int32_t timeout_ms;
 };
@@ -91,11 +91,11 @@
 	struct dff_name worker;
 	struct dff_name address;
 	int64_t epoch;
-	/** Ends up to this number are on record and may be forgotten. */
+	/** Completions up to this sequence number are durable; the worker may discard them. */
 	int64_t acknowledged;
-	/** As in an order; 0: the lease is not renewed. */
+	/** End of the worker's lease, ms on the worker's clock; 0: the lease is not renewed. */
 	int64_t deadline_ms;
-	/** How long the worker may hold its answer back until a run ends, ms. */
+	/** How long the worker may delay its answer until a run ends, ms. */
 	int32_t wait_ms;
 	int32_t timeout_ms;
 };
@@ -109,7 +109,7 @@
 };
 
 struct dff_run_ended {
-	/** Rises from 1 in each life of the worker. */
+	/** Sequence number; starts at 1 in each incarnation of the worker. */
 	int64_t number;
 	struct dff_str task;
 	int32_t run;
@@ -120,11 +120,11 @@
 /** Valid in the callback only. */
 struct dff_runner_result {
 	enum dff_runner_outcome outcome;
-	/** The worker's clock when it answered; 0: not said. */
+	/** The worker's clock at its answer, ms; 0: not reported. */
 	int64_t clock_ms;
-	/** When the life that answered started, as in struct dff_incarnation. */
+	/** Start time of the incarnation that answered, as in struct dff_incarnation. */
 	int64_t started_ms;
-	/** Of a watch: everything that runs, and every end that is not acknowledged, in order. */
+	/** Of a watch: all running tasks and all unacknowledged completions, in order. */
 	const struct dff_run_active *running;
 	size_t n_running;
 	const struct dff_run_ended *ended;
@@ -138,7 +138,7 @@
 		       const struct dff_run_order *order,
 		       dff_runner_func done,
 		       void *user);
-	/** Stops a run; one that is not there yet is refused from then on. */
+	/** Stops a run. A run that the worker has not received yet is refused when it arrives. */
 	void (*stop) (void *ctx,
 		      const struct dff_run_order *order,
 		      dff_runner_func done,
--- a/include/upstream/worker_client.h
+++ b/include/upstream/worker_client.h
@@ -8,31 +8,32 @@
 #include "core/core.h"
 
 /*
- * The conversation with workers, behind callbacks so that tests and other platforms can take its
- * place. Asynchronous: each call ends in exactly one callback. docs/BACKING.md states what is
- * expected of a worker: a repeated start of the same (job, attempt, member) is the same start; a
- * stop of a task that was never seen leaves a tombstone that refuses its start from then on; a task
- * whose lease is not renewed in time is stopped by the worker itself; a held task does not run.
+ * Calls to workers, as an interface that tests and other platforms can replace. Asynchronous: each
+ * call ends in exactly one callback. docs/BACKING.md specifies the worker's side: starts are
+ * idempotent by (job, attempt, member); a stop of a task that the worker has not seen leaves a
+ * tombstone that refuses a later start; the worker itself stops a task whose lease is not renewed
+ * in time; a held task does not run.
  */
 
 enum dff_worker_outcome {
 	DFF_WORKER_OK,
-	/** The worker answered no: nothing was done, and the same call may be refused for good. */
+	/** The worker refused the call: it had no effect, and the same call may be refused
+	   permanently. */
 	DFF_WORKER_REFUSED,
-	/** Proven unsent: nothing was done. */
+	/** Provably not sent: no effect. */
 	DFF_WORKER_UNSENT,
-	/** No whole answer: done or not. */
+	/** No complete answer: the call may have taken effect. */
 	DFF_WORKER_UNCERTAIN,
 };
 
 enum dff_task_state {
-	DFF_TASK_UNKNOWN, /**< The worker does not know it. */
+	DFF_TASK_UNKNOWN, /**< The worker has no such task. */
 	DFF_TASK_HELD,
 	DFF_TASK_RUNNING,
 	DFF_TASK_COMPLETED,
 	DFF_TASK_FAILED,
-	DFF_TASK_STOPPED, /**< Stopped after it ran. */
-	DFF_TASK_REFUSED, /**< Tombstone: it never ran here and never will. */
+	DFF_TASK_STOPPED, /**< Stopped after it had run. */
+	DFF_TASK_REFUSED, /**< Tombstone: never ran on this worker and never will. */
 };
 
 struct dff_task_id {
@@ -41,18 +42,18 @@
 	int32_t member;
 };
 
-/** What a worker says about one task. */
+/** A worker's report on one task. */
 struct dff_task_report {
-	/** Completed tasks: length of the result, bytes; else 0. */
+	/** Length of the result of a completed task, bytes; else 0. */
 	int64_t result_length;
 	enum dff_task_state state;
 	/** Checkpoints taken so far. */
 	int32_t checkpoints;
 	struct dff_task_id task;
-	/** Whether it was ever released. */
+	/** Whether the task was ever released. */
 	bool ran;
-	/** Completed tasks: object key of the result's manifest, and SHA-256 (hex) of the result;
-	 * else empty. */
+	/** Object key of the manifest and SHA-256 (hex) of the result of a completed task; else
+	 * empty. */
 	struct dff_name result_key;
 	char result_digest[65];
 };
@@ -63,7 +64,7 @@
 	uint64_t accelerators;
 	struct dff_resources resources;
 	bool held;
-	/** The task is resumed from the job's last checkpoint when it has one. */
+	/** Resume from the job's last checkpoint, if there is one. */
 	bool resume;
 	int32_t lease_ms;
 	/** Opaque work description from the caller, JSON. */
@@ -74,14 +75,14 @@
 
 struct dff_worker_result {
 	enum dff_worker_outcome outcome;
-	/** Worker says that it is leaving. */
+	/** The worker reports that it is leaving. */
 	bool leaving;
 	/** Reports, valid in the callback only. */
 	const struct dff_task_report *reports;
 	size_t n_reports;
-	/** Sequence of the last report, to be passed to the next renewal. */
+	/** Sequence number of the last change; to be passed to the next renewal. */
 	int64_t sequence;
-	/** Changes when the worker starts anew: its tasks, tombstones and sequence are gone. */
+	/** Changes when the worker restarts and loses its tasks, tombstones and sequence. */
 	int64_t incarnation;
 	/** The worker's monotonic clock when it answered, ms; 0: unknown. */
 	int64_t clock_ms;
@@ -103,16 +104,16 @@
  * struct dff_worker_client:
  * @start: starts or, when @held, prepares one member
  * @release: lets a held member run
- * @checkpoint: takes a checkpoint; the result's report tells
+ * @checkpoint: takes a checkpoint; the result holds a report on the task
  * @throttle: sets the share of its resources a task may use, 0 to 100 percent
- * @stop: stops a task, or leaves a tombstone when it was never seen
+ * @stop: stops a task, or leaves a tombstone when the worker has not seen it
  * @query: reports every task of the worker
- * @renew: renews the leases of all tasks of the worker and reports what changed after
- *   @after_sequence; with nothing changed the answer is a few bytes. The leases end @lease_ms after
- *   the worker's last answer to this process before the call, however late the call arrives: silent
- *   for @lease_ms, the worker runs nothing that it was known to run. The first renewal after a
- *   hand-over only learns the worker's time, so @lease_ms spans several renewals.
- * @request: one short request; @deadline_ms is the time it may take from now
+ * @renew: renews the leases of all tasks of the worker and reports the changes after
+ *   @after_sequence; without changes the answer is a few bytes. The leases expire @lease_ms after
+ *   the worker's last answer to this process before the call, however late the call arrives: when a
+ *   worker has not answered for @lease_ms, its tasks have stopped. The first renewal after a
+ *   handover only obtains the worker's clock, so @lease_ms has to span several renewals.
+ * @request: sends one short request; @deadline_ms is its time limit, counted from the call
  * @ctx: passed to each
  *
  * @address is the worker's "IP:PORT" from the instance list.
--- a/include/upstream/worker_wire.h
+++ b/include/upstream/worker_wire.h
@@ -8,7 +8,7 @@
 #include "common/cleanup.h"
 #include "upstream/worker_client.h"
 
-/* The JSON bodies of the conversation with workers, both ways, as docs/BACKING.md states them. */
+/* JSON bodies of the calls to workers and of their answers, as docs/BACKING.md specifies them. */
 
 #define DFF_WORKER_PATH_START "/v1/tasks/start"
 #define DFF_WORKER_PATH_RELEASE "/v1/tasks/release"
@@ -19,10 +19,10 @@
 #define DFF_WORKER_PATH_RENEW "/v1/renew"
 #define DFF_WORKER_PATH_SERVICES "/v1/services/"
 
-/** Header of an answer to a short request: the worker says that it is leaving. */
+/** Header of an answer to a short request: the worker is leaving. */
 #define DFF_WORKER_HEADER_LEAVING "Worker-Leaving"
 
-/** A command about one task that exists or may exist. */
+/** A command for one task, which the worker may not have. */
 struct dff_worker_command {
 	struct dff_task_id task;
 	int64_t epoch;
@@ -33,16 +33,17 @@
 struct dff_worker_renewal {
 	int32_t lease_ms;
 	int64_t after_sequence;
-	/** The worker's own clock in its last answer to the sender: leases count from then. */
+	/** Worker's clock in its last answer, ms; leases count from it; 0: not known. */
 	int64_t from_ms;
-	/** With nothing to report, the answer may wait this long for something to. */
+	/** How long the worker may delay its answer while it has no change to report, ms. */
 	int32_t wait_ms;
 };
 
 /** Returns: a state's name on the wire. */
 const char *dff_task_state_name (enum dff_task_state state);
 
-/** Appends a start. A payload that is not JSON gives a body that every worker refuses. */
+/** Appends a start. A payload that is not valid JSON gives an empty body, which every worker
+ * refuses. */
 void dff_worker_wire_append_start (GString *out, const struct dff_task_start *start);
 
 /**
@@ -73,7 +74,7 @@
  * dff_worker_wire_parse_answer:
  * @reports: elements: struct dff_task_report; emptied, then filled; @result borrows them
  *
- * Leaves the outcome alone. Returns: false when malformed; @result is then without reports.
+ * Does not set the outcome. Returns: false when malformed; @result then has no reports.
  */
 bool dff_worker_wire_parse_answer (struct dff_str body,
 				   struct dff_worker_result *result,
--- a/tests/upstream/test-http-worker.c
+++ b/tests/upstream/test-http-worker.c
@@ -15,7 +15,7 @@
 #define LEASE_MS 60000
 #define ANSWER "{\"leaving\":false,\"sequence\":1,\"incarnation\":1,\"now_ms\":1}"
 
-/** The client's side, and what the last call ended with. */
+/** The client and the result of the last call. */
 struct fixture {
 	struct event_base *base;
 	struct dff_metrics *metrics;
@@ -27,7 +27,7 @@
 	enum dff_task_state state;
 	int status;
 	bool leaving;
-	/** The stand-in worker's side, where there is one. */
+	/** The stand-in worker; set by add_standin() only. */
 	struct dff_memory *memory;
 	struct dff_memory_handle *caller;
 	struct dff_standin_worker *standin;
@@ -181,8 +181,8 @@
 	evhttp_send_reply (request, answer->status, NULL, NULL);
 }
 
-/* Symptom: a job is reported as not run and runs. Sequence: a worker fails half-way through a start
- * and answers 500, or sends half an answer. Cause: any answer but 200 was taken for a refusal. */
+/* Guards against reporting a running job as not run: a worker that fails half-way through a start
+ * and answers 500, or sends half an answer, must not count as having refused. */
 static void
 test_only_4xx_is_a_refusal (void **state)
 {
@@ -249,8 +249,8 @@
 	fixture_clear (&fixture);
 }
 
-/* Symptom: a start is sent twice, or given up as unsent. Sequence: the start takes effect and its
- * answer is lost. Cause: no answer was taken for no effect. */
+/* Guards against repeating a start, or giving it up as unsent, when the start took effect and only
+ * its answer was lost. */
 static void
 test_lost_answer_is_uncertain (void **state)
 {
@@ -267,9 +267,9 @@
 	fixture_clear (&fixture);
 }
 
-/* Symptom: a worker is given up although it works. Sequence: something between the two ends forgets
- * the open connections: they stay open and silent, new ones work. Cause: calls went on being sent
- * on the old connection. */
+/* Guards against giving up a working worker: a middlebox drops its connection state, so that open
+ * connections stay open without answers while new ones work. Later calls have to use a new
+ * connection. */
 static void
 test_silent_connection_is_replaced (void **state)
 {
@@ -299,7 +299,7 @@
 		.worker = fixture.standin,
 		.listen = dff_name_from ("127.0.0.1:0"),
 	};
-	/* Opened before the other is closed, so that it cannot get its port. */
+	/* Opened before the first server is closed, so that it cannot be given the same port. */
 	struct dff_worker_server *other = dff_worker_server_new (&server, NULL);
 	dff_worker_server_free (fixture.server);
 	fixture.server = other;
--- a/tests/upstream/test-run-log.c
+++ b/tests/upstream/test-run-log.c
@@ -9,8 +9,8 @@
 #include "backing/memory.h"
 #include "standin/worker.h"
 
-/* Benches count executions by the run log: one line for each thing that begins to run, none for
- * what is only held or refused. */
+/* Benchmarks count executions by the run log: it has one line for each task or request that begins
+ * to run, and none for a task that is only held or is refused. */
 
 static void
 ignore_result (void *user, const struct dff_worker_result *result)
--- a/tests/upstream/test-watcher.c
+++ b/tests/upstream/test-watcher.c
@@ -15,11 +15,11 @@
 #define INTERVAL_MS INT64_C (1000)
 #define LEASE_MS INT64_C (9000)
 #define REPORT_REPEAT_MS INT64_C (5000)
-/** How often a change is told. */
+/** Number of times that each change is reported. */
 #define REPORTS_PER_CHANGE 2
 #define MAX_WORKERS 40
 
-/** What is known of one worker from the sightings. */
+/** State of one worker according to the reports received. */
 struct observed {
 	int32_t n_worker_reports;
 	int32_t n_reachable_reports;
@@ -29,8 +29,8 @@
 	bool complete;
 	int64_t silent_ms;
 	int64_t at_ms;
-	/** State of the last report of the task, UNSEEN without one or after a whole list without
-	 * it. */
+	/** State of the task in the last task report; UNKNOWN without a report, or after a complete
+	 * list without the task. */
 	enum dff_task_state task;
 };
 
@@ -44,7 +44,7 @@
 	struct dff_watched_worker share[MAX_WORKERS];
 	size_t n_workers;
 	struct observed observed[MAX_WORKERS];
-	/** The next so many sightings are lost on their way. */
+	/** Number of worker reports, from the next one, that are dropped. */
 	int32_t lose_reports;
 };
 
@@ -195,9 +195,8 @@
 	fixture_clear (&fixture);
 }
 
-/* Symptom: a worker that hangs keeps its place in the tables. Sequence: its connections stay open
- * and nothing is answered, for longer than the lease; then it answers again. Cause: an open
- * connection was taken for a live worker. */
+/* Guards against taking a hanging worker for a live one: its connections stay open but nothing is
+ * answered for longer than the lease; then it answers again. */
 static void
 test_silent_worker_is_reported_in_time (void **state)
 {
@@ -222,9 +221,8 @@
 	fixture_clear (&fixture);
 }
 
-/* Symptom: a task runs on at a worker whose holder has given it up. Sequence: renewals arrive and
- * their answers are lost; the watcher tells of silence past the lease. Cause: the worker prolonged
- * the lease with each renewal. */
+/* Guards against a task that runs on after the holder has given its worker up: renewals arrive, but
+ * their answers are lost. The worker must not prolong the lease with each renewal. */
 static void
 test_lost_answers_end_the_lease (void **state)
 {
@@ -243,8 +241,8 @@
 	fixture_clear (&fixture);
 }
 
-/* Symptom: the end of a task is never heard of. Sequence: the answer that reports it is lost.
- * Cause: the worker, or the watcher, took what was sent for what had arrived. */
+/* Guards against losing a completion when the answer that reports it is lost: neither the worker
+ * nor the watcher may treat a change as received because it was sent. */
 static void
 test_lost_answer_is_reported_again (void **state)
 {
@@ -260,9 +258,8 @@
 	fixture_clear (&fixture);
 }
 
-/* Symptom: a job that has completed counts as running. Sequence: the sighting that tells of its end
- * is lost between two processes, and nothing else happens at the worker. Cause: a change was told
- * once. */
+/* Guards against counting a completed job as running: the report of its end is lost between two
+ * processes and nothing else changes at the worker, so each change has to be reported twice. */
 static void
 test_lost_report_is_repeated (void **state)
 {
@@ -275,14 +272,14 @@
 	run (&fixture, 2 * INTERVAL_MS);
 	assert_int_equal (fixture.lose_reports, 0);
 	assert_int_equal (fixture.observed[0].task, DFF_TASK_UNKNOWN);
-	/* Due after RETELL_MS and its jitter, told with the renewal after that. */
+	/* Due after REPORT_REPEAT_MS and its jitter; sent with the renewal after that. */
 	run (&fixture, REPORT_REPEAT_MS + 2 * INTERVAL_MS);
 	assert_int_equal (fixture.observed[0].task, DFF_TASK_RUNNING);
 	fixture_clear (&fixture);
 }
 
-/* Symptom: a worker with a long past is never heard of. Sequence: its whole list makes a message
- * that is longer than peers accept. Cause: the list was told at once. */
+/* Guards against a worker with a long task list that is never reported: in one message, the list
+ * would exceed the length that peers accept. */
 static void
 test_long_report_lists_are_split (void **state)
 {
@@ -322,9 +319,9 @@
 	}
 }
 
-/* Symptom: running tasks are stopped when a process dies. Sequence: the watcher's process dies, its
- * share goes to another, which has seen nothing. Cause: leases were tied to one process, or the new
- * watcher asked only for what came after what it had not seen. */
+/* Guards against stopping running tasks when the watcher's process fails and its share is assigned
+ * to another process, which has no state. Leases must not depend on one process, and the new
+ * watcher has to request all tasks. */
 static void
 test_handover_keeps_tasks_and_reports_all (void **state)
 {
@@ -348,9 +345,8 @@
 	fixture_clear (&fixture);
 }
 
-/* Symptom: the tables hold a task for ever that no worker runs. Sequence: a worker's process
- * crashes and comes back between two renewals. Cause: it answers as before, with nothing to report,
- * and nothing tells that it is not the same. */
+/* Guards against keeping a task that no worker runs: a worker crashes and restarts between two
+ * renewals and answers as before, with no changes. */
 static void
 test_restart_is_reported_as_a_complete_list (void **state)
 {
@@ -372,9 +368,9 @@
 	}
 }
 
-/* Symptom: a new holder misses a task that ended just before it took over. Sequence: a renewal is
- * on its way when the holder changes; its answer, asked for by the old sequence, is taken for the
- * whole list. Cause: "tell everything" did not wait for a renewal sent after it. */
+/* Guards against a new holder that misses a task which ended just before the takeover: a renewal is
+ * in progress when the holder changes, and its answer covers only the changes after the old
+ * sequence number. It must not count as the complete list. */
 static void
 test_new_holder_receives_all_tasks (void **state)
 {
@@ -397,9 +393,9 @@
 	}
 }
 
-/* Symptom: a crash, or a sighting of a worker that is watched elsewhere. Sequence: a worker leaves
- * the share while its renewal is on its way, and comes back at another address. Cause: the answer
- * was taken for the new entry's. */
+/* Guards against a crash, or a report on a worker that another process watches: a worker leaves the
+ * share while its renewal is in progress and returns at another address. The late answer must not
+ * be taken for the new entry's. */
 static void
 test_answers_after_removal_are_dropped (void **state)
 {
--- a/tests/upstream/test-worker-calls.c
+++ b/tests/upstream/test-worker-calls.c
@@ -15,7 +15,7 @@
 	*(enum dff_worker_outcome *)user = result->outcome;
 }
 
-/** Carries out a call about the one task, which the worker answers at once. */
+/** Makes a call for the only task; the worker answers at once. */
 static void
 call_task (struct fixture *fixture, enum dff_worker_call_type type, int32_t attempt)
 {
@@ -62,7 +62,7 @@
 	(*(int *)user)++;
 }
 
-/** Renews with a wait of 1000 ms. Returns: how many answers have come, at once. */
+/** Renews with a wait of 1000 ms. Returns: the number of answers received immediately. */
 static int
 renew_waiting (struct fixture *fixture, int64_t after, int *answers)
 {
@@ -75,9 +75,8 @@
 	return *answers;
 }
 
-/* Symptom: the end of a task is heard of a second late, and each job's completion with it.
- * Sequence: a task ends just after a renewal was answered. Cause: renewals were answered at once.
- */
+/* Guards against reporting a completion a second late, when a task ends just after a renewal was
+ * answered: a renewal has to wait for a change. */
 static void
 test_renewal_waits_for_something_to_report (void **state)
 {
--- a/tests/upstream/test-worker-tasks.c
+++ b/tests/upstream/test-worker-tasks.c
@@ -7,8 +7,8 @@
 
 #include "tests/upstream/worker_fixture.h"
 
-/* The stand-in worker's tasks as sessions: each step happens at its time and states the task as it
- * is afterwards. */
+/* Tasks of the stand-in worker, as scenarios: each step is executed at its time and gives the
+ * expected state of the task afterwards. */
 
 enum op {
 	DFF_OP_START,
@@ -67,9 +67,9 @@
 		 {600, DFF_OP_STOP, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
 		 {600, DFF_OP_END},
 	 }},
-	/* Symptom: a job reported as not run runs. Sequence: a start is delayed in the network, the
-	 * holder gives up and stops the task, the caller is told, the start arrives. Cause: a stop
-	 * of a task that is not there leaves no trace. */
+	/* Guards against running a job that was reported as not run: a start is delayed in the
+	 * network, the holder gives up, stops the task and answers the caller; then the start
+	 * arrives. The stop has to leave a tombstone. */
 	{"a stop of an unseen task refuses its start from then on",
 	 "{\"run_ms\":100}",
 	 false,
@@ -81,10 +81,10 @@
 		 {7, DFF_OP_START, 2, 0, 0, OK, DFF_TASK_RUNNING, true},
 		 {8, DFF_OP_END},
 	 }},
-	/* Symptom: one member of a gang runs alone. Sequence: a gang is held, its holder dies, the
-	 * leases lapse, the members that were stopped are reported as not run, and a release that
-	 * was delayed arrives. Cause: a lapsed task was only forgotten. */
-	{"a held task whose lease has lapsed never runs",
+	/* Guards against one member of a gang running alone: the holder of a held gang fails, the
+	 * leases expire, the stopped members are reported as not run, and then a delayed release
+	 * arrives. A task whose lease expired has to leave a tombstone. */
+	{"a held task whose lease has expired never runs",
 	 "{\"run_ms\":100}",
 	 false,
 	 {
@@ -93,7 +93,7 @@
 		 {LEASE_MS, DFF_OP_START, 1, 0, 0, REFUSED, DFF_TASK_REFUSED, false},
 		 {LEASE_MS, DFF_OP_END},
 	 }},
-	{"a running task whose lease has lapsed is stopped",
+	{"a running task whose lease has expired is stopped",
 	 "{\"run_ms\":9000}",
 	 false,
 	 {
@@ -104,9 +104,9 @@
 		 {2 * LEASE_MS, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_STOPPED, true},
 		 {2 * LEASE_MS, DFF_OP_END},
 	 }},
-	/* Symptom: a task runs on after its holder took it for lost. Sequence: the worker answers
-	 * at 200, then renewals reach it and their answers are lost; the holder counts the lease
-	 * from 200. Cause: the worker counted it from the arrival of each renewal. */
+	/* Guards against a task that runs on after the holder has given it up: the worker answers
+	 * at 200 ms, then renewals arrive but their answers are lost. The holder counts the lease
+	 * from 200 ms; the worker must not count it from the arrival of each renewal. */
 	{"renewals whose answers are lost do not prolong a lease",
 	 "{\"run_ms\":9000}",
 	 false,
@@ -118,7 +118,7 @@
 		 {1200, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_STOPPED, true},
 		 {1200, DFF_OP_END},
 	 }},
-	{"a time to come does not prolong a lease",
+	{"a time in the future does not prolong a lease",
 	 "{\"run_ms\":9000}",
 	 false,
 	 {
@@ -127,9 +127,9 @@
 		 {LEASE_MS, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_STOPPED, true},
 		 {LEASE_MS, DFF_OP_END},
 	 }},
-	/* Symptom: a task completes after its holder was told that it was lost. Sequence: the
-	 * worker is paused past the lease and the work's end, then ticks. Cause: the end was looked
-	 * at before the lease. */
+	/* Guards against completing a task after it was reported as lost: the worker is paused past
+	 * both the lease and the end of the work. The lease has to be checked before the
+	 * completion. */
 	{"work past the lease does not count when the tick comes late",
 	 "{\"run_ms\":1500}",
 	 false,
@@ -138,7 +138,7 @@
 		 {4000, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_STOPPED, true},
 		 {4000, DFF_OP_END},
 	 }},
-	{"work before the lease lapsed counts when the tick comes late",
+	{"work before the lease expired counts when the tick comes late",
 	 "{\"run_ms\":900}",
 	 false,
 	 {
@@ -158,8 +158,9 @@
 		 {600, DFF_OP_THROTTLE, 1, 0, 50, REFUSED, DFF_TASK_COMPLETED, true},
 		 {600, DFF_OP_END},
 	 }},
-	/* Symptom: a task runs twice on one worker. Sequence: the answer to a start is lost, the
-	 * start is sent again, also after the task has ended. Cause: a repeated start was new. */
+	/* Guards against running a task twice on one worker: the answer to a start is lost and the
+	 * start is sent again, possibly after the task has ended. A repeated start must have no
+	 * effect. */
 	{"a repeated start is the same start",
 	 "{\"run_ms\":100}",
 	 false,
@@ -170,7 +171,7 @@
 		 {100, DFF_OP_STOP, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
 		 {100, DFF_OP_END},
 	 }},
-	{"accelerators in use are refused, and are free again after the end",
+	{"accelerators in use are refused, and are free again after the task ends",
 	 "{\"run_ms\":100}",
 	 false,
 	 {
@@ -180,9 +181,8 @@
 		 {1, DFF_OP_START, 1, 1, 0, OK, DFF_TASK_RUNNING, true},
 		 {1, DFF_OP_END},
 	 }},
-	/* Symptom: a process that was paused stops a task that its successor started. Sequence:
-	 * epoch 6 commands the worker, then a command of epoch 5 arrives. Cause: nothing told old
-	 * epochs from new ones. */
+	/* Guards against a paused process that stops a task of its successor: a command of epoch 5
+	 * arrives after the worker has received one of epoch 6. */
 	{"a worker that checks epochs refuses an older one",
 	 "{\"run_ms\":100}",
 	 true,
@@ -193,7 +193,7 @@
 		 {0, DFF_OP_STOP, 1, 0, 7, OK, DFF_TASK_STOPPED, true},
 		 {0, DFF_OP_END},
 	 }},
-	{"a worker that does not check epochs obeys",
+	{"a worker that does not check epochs accepts an older one",
 	 "{\"run_ms\":100}",
 	 false,
 	 {
@@ -225,9 +225,8 @@
 		 {700, DFF_OP_TICK, 2, 0, 0, OK, DFF_TASK_COMPLETED, true},
 		 {700, DFF_OP_END},
 	 }},
-	/* Symptom: a caller is told "completed" and finds no result. Sequence: the work ends while
-	 * the object store is down. Cause: completion was reported before the result was durable.
-	 */
+	/* Guards against reporting a job as completed before its result is durable: the work ends
+	 * while the object store is down. */
 	{"a task completes only once its result is written",
 	 "{\"run_ms\":100,\"result_bytes\":600000}",
 	 false,
@@ -241,7 +240,7 @@
 		 {300, DFF_OP_TICK, 1, 0, 0, OK, DFF_TASK_COMPLETED, true},
 		 {300, DFF_OP_END},
 	 }},
-	{"a task that is to fail fails, and so does every task of a faulty worker",
+	{"a task set to fail fails, and so does every task of a faulty worker",
 	 "{\"run_ms\":100,\"fail\":true}",
 	 false,
 	 {
@@ -252,7 +251,7 @@
 		 {100, DFF_OP_RELEASE, 2, 0, 0, OK, DFF_TASK_FAILED, true},
 		 {100, DFF_OP_END},
 	 }},
-	{"a payload that cannot be read fails its task",
+	{"a payload that cannot be parsed fails its task",
 	 "{\"run_ms\":-1}",
 	 false,
 	 {
@@ -329,7 +328,7 @@
 	}
 }
 
-/** Returns: what the worker says about a task. */
+/** Returns: the worker's report on a task; UNKNOWN if there is none. */
 static struct dff_task_report
 task_report (struct fixture *fixture, int32_t attempt, int32_t member)
 {
--- a/tests/upstream/test-worker-wire.c
+++ b/tests/upstream/test-worker-wire.c
@@ -50,10 +50,8 @@
 	}
 }
 
-/* Symptom: a job that was accepted without a payload, which it need not have, fails at its first
- * attempt, and its workers are taken for faulty. Sequence: the start is put into JSON, the payload
- * of no bytes is none, and the start goes out empty; every worker refuses it. Cause: all tests had
- * a payload. */
+/* Guards against failing a job without a payload, which is optional, and blaming its workers: the
+ * empty payload made the whole body of the start empty, and every worker refused it. */
 static void
 test_start_without_payload (void **state)
 {
@@ -71,9 +69,8 @@
 	assert_string_equal (payload->str, "{}");
 }
 
-/* Symptom: a caller's job starts a task that is not held, outside its gang. Sequence: a payload
- * closes its own object and adds "held":false behind it. Cause: text from outside was pasted into
- * the body. */
+/* Guards against starting a task outside its gang: a payload that closes its own object and adds
+ * "held":false must not add a key to the body. */
 static void
 test_payload_cannot_add_keys (void **state)
 {
--- a/tests/upstream/worker_fixture.h
+++ b/tests/upstream/worker_fixture.h
@@ -4,7 +4,7 @@
 #include "backing/memory.h"
 #include "standin/worker.h"
 
-/* A stand-in worker in memory, under a virtual clock that begins at 0. */
+/* An in-memory stand-in worker with a virtual clock that starts at 0. */
 
 struct fixture {
 	struct dff_clock_virtual clock;
--- a/upstream/http_worker.c
+++ b/upstream/http_worker.c
@@ -8,9 +8,10 @@
 #define RENEW_TIMEOUT_MS 1000
 #define HTTP_TOO_MANY_REQUESTS 429
 #define HTTP_UNAVAILABLE 503
-/** Time for the answer to travel, past the worker's own deadline, ms. */
+/** Transit time allowed for the answer after the worker's own deadline, ms. */
 #define ANSWER_TRANSIT_MS 50
-/** Workers whose time is remembered; beyond it all are forgotten, which costs one renewal each. */
+/** Maximum number of workers whose last clock is kept. When it is reached, all are dropped, which
+ * costs each worker one renewal that does not prolong leases. */
 #define MAX_CLOCKS 4096
 
 struct dff_http_worker {
@@ -23,10 +24,10 @@
 	GArray *reports;
 	/** Reused for each body; the HTTP client copies it. */
 	GString *body;
-	/** Elements: struct worker_call: the HTTP client drops calls in progress when it is freed.
-	 */
+	/** Elements: struct worker_call. Calls that are still in progress are freed with this
+	 * struct, because a freed HTTP client does not call back. */
 	GQueue calls;
-	/** struct dff_name, address, to int64_t, the worker's clock in its last answer. */
+	/** Key: struct dff_name, address; value: int64_t, worker's clock in its last answer. */
 	GHashTable *last_clocks;
 	int64_t *uncertain;
 	int64_t *malformed;
@@ -34,11 +35,11 @@
 
 /** A call in progress. */
 struct worker_call {
-	/** Its place in the worker's calls; data is the call itself. */
+	/** Link in the worker's queue of calls; its data is this struct. */
 	GList link;
 	struct dff_http_worker *worker;
 	struct dff_name address;
-	/** One of the two. */
+	/** Exactly one of the two is set. */
 	dff_worker_func done;
 	dff_request_func request_done;
 	void *user;
@@ -53,8 +54,8 @@
 	return DFF_WORKER_UNCERTAIN;
 }
 
-/* Only a 4xx says that nothing was done. A 5xx, or a body that cannot be read, may come from a
- * worker that failed half-way: taking it for a refusal would report a task as not run that runs. */
+/* Only a 4xx proves that the call had no effect. A 5xx or a body that cannot be parsed may come
+ * from a worker that failed half-way: a refusal would report a running task as not run. */
 static enum dff_worker_outcome
 command_outcome (struct dff_http_worker *worker,
 		 const struct dff_http_response *response,
@@ -83,7 +84,7 @@
 	return call;
 }
 
-/** Ends a call. Returns: what it was. */
+/** Removes and frees a call. Returns: a copy of it. */
 static struct worker_call
 call_finish (struct worker_call *call)
 {
@@ -273,8 +274,8 @@
 	       evhttp_find_header (response->headers, DFF_WORKER_HEADER_LEAVING) != NULL;
 }
 
-/* A worker answers 429 and 503 only before it begins a request: such a request has not run and may
- * be moved to another worker, also when it is not idempotent. */
+/* A worker answers 429 and 503 only before it begins a request. Such a request has not run and may
+ * be sent to another worker, even if it is not idempotent. */
 static enum dff_worker_outcome
 request_outcome (struct dff_http_worker *worker, const struct dff_http_response *response)
 {
--- a/upstream/watcher.c
+++ b/upstream/watcher.c
@@ -7,20 +7,20 @@
 #define LEASE_MS 9000
 #define FAILURES_UNREACHABLE 2
 #define REPORT_REPEAT_MS 5000
-/** What happens within this time after a change is told together. */
+/** Delay of the renewal after a change, ms: changes within it are reported together. */
 #define CHANGE_BATCH_MS 50
 #define JITTER_DIVISOR 8
-/** Reports in one sighting at the most: peers bound the length of a message. */
+/** Maximum number of task reports in one worker report: peers limit the length of a message. */
 #define MAX_REPORTS 512
 #define MAX_RETRY_DOUBLINGS 6
 
 struct dff_watcher {
 	struct dff_watcher_options options;
-	/** struct dff_name, the worker's name, to struct watched. */
+	/** Key: struct dff_name, the worker's name; value: struct watched. */
 	GHashTable *workers;
-	/** Elements: struct watched, in the order they were added. */
+	/** Elements: struct watched, in the order in which they were added. */
 	GPtrArray *order;
-	/** Elements: struct watched, left the share while a renewal was in progress. */
+	/** Elements: struct watched that left the share while a renewal was in progress. */
 	GPtrArray *removed;
 	GRand *random;
 	int64_t *renewals;
@@ -33,30 +33,30 @@
 	struct dff_watcher *watcher;
 	struct dff_name name;
 	struct dff_name address;
-	/** When it is renewed next. */
+	/** Time of the next renewal, ms. */
 	int64_t due_ms;
 	int64_t sent_ms;
 	bool in_progress;
-	/** It left the share: the answer is dropped. */
+	/** Left the share: the answer to the renewal in progress is dropped. */
 	bool removed;
-	/** Sequence the renewal in progress asked for, and the one that was reported last. */
+	/** Sequence number sent in the renewal in progress, and the last one received. */
 	int64_t requested_sequence;
 	int64_t sequence;
 	int64_t incarnation;
-	/** Last answer, or when watching began. */
+	/** Time of the last answer, ms; before the first, the time at which watching began. */
 	int64_t last_answer_ms;
 	int32_t failures;
-	/** What was told last. */
+	/** Contents of the last report to the holder; @reported is false when there is none. */
 	bool reported;
 	bool reported_reachable;
 	bool reported_leaving;
 	int64_t reported_silent_ms;
-	/** The renewal in progress was sent before everything was to be told again. */
+	/** Renewal in progress was sent before dff_watcher_report_all(): its answer is partial. */
 	bool renewal_outdated;
-	/** When what came after @retell_sequence is told again; 0: nothing is to be. */
+	/** Time at which changes after @repeat_sequence are repeated, ms; 0: none is due. */
 	int64_t repeat_at_ms;
 	int64_t repeat_sequence;
-	/** The renewal in progress asks for it. */
+	/** The renewal in progress requests the changes to be repeated. */
 	bool repeating;
 };
 
@@ -108,8 +108,8 @@
 	return dff_clock_now_ms (watcher->options.clock);
 }
 
-/** An interval, jittered: after an outage all workers would else be renewed at the same moment, in
- * every process, from then on. */
+/** Returns: a jittered interval. Without the jitter, all workers would be renewed at the same
+ * moment in every process after an outage, and remain synchronised. */
 static int32_t
 jittered (struct dff_watcher *watcher, int32_t interval_ms)
 {
@@ -130,7 +130,7 @@
 	watcher->options.report (watcher->options.ctx, report);
 }
 
-/** Asks for all tasks, now. */
+/** Schedules an immediate renewal that requests all tasks. */
 static void
 request_all (struct watched *worker)
 {
@@ -145,9 +145,8 @@
 	       result->sequence != worker->sequence || result->leaving != worker->reported_leaving;
 }
 
-/* A sighting that is lost on its way, or that reaches a holder that is just going, would be the
- * only word of a task's end. Symptom: a job that has completed counts as running until its worker
- * is asked for another reason. */
+/* A report can be lost on its way, or reach a holder that is stepping down. Without a repeat, a job
+ * that has completed would count as running until its worker is queried for another reason. */
 static void
 schedule_repeat (struct watched *worker, int64_t after_sequence)
 {
@@ -182,8 +181,8 @@
 static void
 handle_answer (struct watched *worker, const struct dff_worker_result *result)
 {
-	/* A worker that started anew has forgotten its tasks and counts its changes from the
-	 * beginning: asked for what came after the old sequence, it would hide both. */
+	/* A restarted worker has lost its tasks and restarts its sequence numbers. The answer to a
+	 * renewal with an old sequence number would hide both, so all tasks are requested. */
 	bool restarted = worker->incarnation != 0 && worker->incarnation != result->incarnation;
 	worker->last_answer_ms = now_ms (worker->watcher);
 	worker->failures = 0;
@@ -207,8 +206,8 @@
 		worker->due_ms = worker->last_answer_ms + CHANGE_BATCH_MS;
 }
 
-/** Steps in which silence is told: each interval until well past the lease, so that the holder
- * learns in time that it has lapsed, then ever longer ones. */
+/** Step in which the time without an answer is reported: each interval until well past the lease,
+ * so that the holder detects its expiry in time, then increasingly longer. */
 static int64_t
 silence_step_ms (const struct watched *worker)
 {
@@ -218,8 +217,9 @@
 	return worker->reported_silent_ms / 2;
 }
 
-/** Soon at first, as one connection may have gone silent; then back to the interval, counted from
- * the sending, as the time-out has been waited for already. */
+/** Returns: the time of the next retry. The first retry comes soon, because only one connection may
+ * have stopped answering; later ones approach the interval. The delay counts from the sending, as
+ * the timeout has already passed. */
 static int64_t
 retry_at_ms (const struct watched *worker)
 {
@@ -348,7 +348,7 @@
 	for (guint at = watcher->order->len; at > 0; at--) {
 		const struct watched *worker = g_ptr_array_index (watcher->order, at - 1);
 		const struct dff_watched_worker *kept = g_hash_table_lookup (wanted, &worker->name);
-		/* At another address it is another worker. */
+		/* A changed address means a different worker. */
 		if (kept == NULL || !dff_name_equal (&kept->address, &worker->address))
 			remove_worker (watcher, at - 1);
 	}
--- a/upstream/worker_wire.c
+++ b/upstream/worker_wire.c
@@ -98,7 +98,7 @@
 	       get_int32 (object, "member", 0, DFF_JOB_GANG_MAX - 1, &task->member);
 }
 
-/* Names have a restricted alphabet, so that they need no escaping. */
+/* Names have a restricted alphabet and need no escaping. */
 static void
 append_task (GString *out, const struct dff_task_id *task)
 {
@@ -115,14 +115,14 @@
 static void
 append_resources (GString *out, const struct dff_task_start *start)
 {
-	/* A string: JSON integers of 64 bits lose their low bits in many readers. */
+	/* Sent as a string: many JSON parsers lose the low bits of 64-bit integers. */
 	g_string_append_printf (out, ",\"accelerators\":\"%016" PRIx64 "\"", start->accelerators);
 	g_string_append_printf (
 		out, ",\"slots\":%" PRId32 ",\"cores\":%" PRId32 ",\"memory_gb\":%" PRId32,
 		start->resources.slots, start->resources.cores, start->resources.memory_gb);
 }
 
-/* Parsed, to be printed again: text pasted in as it is could close the object and add keys. */
+/* Parsed and serialised again: raw text could close the object and add keys. */
 static json_t *
 parse_payload (struct dff_str text)
 {
