--- a/common/http_client.c
+++ b/common/http_client.c
@@ -36,7 +36,7 @@
 	/** Exchanges that have failed and whose callback is due. */
 	GQueue failed;
 	/** Connections that cannot be freed inside evhttp's callback. */
-	GPtrArray *broken;
+	GPtrArray *retired;
 	struct event *deferred;
 	struct event *sweep;
 };
@@ -131,7 +131,7 @@
 
 /* Takes @exchange out of its lists; its callback is run by the deferred event. */
 static void
-fail_later (struct exchange *exchange, enum dff_http_outcome outcome)
+defer_failure (struct exchange *exchange, enum dff_http_outcome outcome)
 {
 	struct dff_http_client *client = exchange->client;
 	exchange->failure = outcome;
@@ -155,7 +155,7 @@
 	struct endpoint *endpoint = exchange->endpoint;
 	g_ptr_array_remove_fast (endpoint->active, exchange);
 	g_ptr_array_remove_fast (endpoint->connections, exchange->connection);
-	g_ptr_array_add (exchange->client->broken, exchange->connection);
+	g_ptr_array_add (exchange->client->retired, exchange->connection);
 	(*exchange->client->counters.connections)--;
 	exchange->connection = NULL;
 	event_active (exchange->client->deferred, 0, 0);
@@ -163,7 +163,7 @@
 
 /* A body that ends where the connection ends may have been cut, and nobody could tell. */
 static bool
-is_whole (struct evhttp_request *request)
+is_complete (struct evhttp_request *request)
 {
 	struct evkeyvalq *headers = evhttp_request_get_input_headers (request);
 	int status = evhttp_request_get_response_code (request);
@@ -172,7 +172,7 @@
 	       evhttp_find_header (headers, "Transfer-Encoding") != NULL;
 }
 
-static void pump (struct endpoint *endpoint);
+static void dispatch_waiting (struct endpoint *endpoint);
 
 static void
 finish_answered (struct exchange *exchange, struct evhttp_request *request)
@@ -191,7 +191,7 @@
 	response.body.data = (const char *)evbuffer_pullup (input, -1);
 	if (response.body.data == NULL)
 		response.body.data = "";
-	pump (endpoint);
+	dispatch_waiting (endpoint);
 	exchange->done (exchange->user, &response);
 	exchange_free (exchange);
 }
@@ -204,13 +204,13 @@
 	if (exchange->connection == NULL)
 		return;
 	bool answered = request != NULL && evhttp_request_get_response_code (request) != 0;
-	if (answered && is_whole (request)) {
+	if (answered && is_complete (request)) {
 		finish_answered (exchange, request);
 		return;
 	}
 	enum dff_http_outcome outcome = answered ? DFF_HTTP_UNCERTAIN : failure_outcome (exchange);
 	retire_connection (exchange);
-	fail_later (exchange, outcome);
+	defer_failure (exchange, outcome);
 }
 
 static void
@@ -222,7 +222,7 @@
 	(*exchange->client->counters.timeouts)++;
 	if (exchange->connection == NULL) {
 		g_queue_remove (&exchange->endpoint->waiting, exchange);
-		fail_later (exchange, DFF_HTTP_UNSENT);
+		defer_failure (exchange, DFF_HTTP_UNSENT);
 		return;
 	}
 	/* A connection that did not answer in time may have gone silent for good, and what forgot
@@ -231,7 +231,7 @@
 	enum dff_http_outcome outcome = failure_outcome (exchange);
 	retire_connection (exchange);
 	close_idle_connections (exchange->endpoint, 0);
-	fail_later (exchange, outcome);
+	defer_failure (exchange, outcome);
 }
 
 static struct dff_http_connection *
@@ -268,7 +268,7 @@
 
 /* Hands waiting requests to connections as long as there are any. */
 static void
-pump (struct endpoint *endpoint)
+dispatch_waiting (struct endpoint *endpoint)
 {
 	while (!g_queue_is_empty (&endpoint->waiting)) {
 		close_idle_connections (endpoint, endpoint->client->options.max_idle_ms);
@@ -279,19 +279,19 @@
 		exchange->connection = connection;
 		g_ptr_array_add (endpoint->active, exchange);
 		struct evhttp_request *request = g_steal_pointer (&exchange->request);
-		bool taken = dff_http_connection_send (
+		bool accepted = dff_http_connection_send (
 			connection, request, exchange->method, exchange->path,
 			exchange->timeout_ms + EVHTTP_TIMEOUT_MARGIN_MS);
 		/* Failures inside the call have been taken in by request_done(). */
-		if (taken || exchange->connection == NULL)
+		if (accepted || exchange->connection == NULL)
 			continue;
 		retire_connection (exchange);
-		fail_later (exchange, DFF_HTTP_UNSENT);
+		defer_failure (exchange, DFF_HTTP_UNSENT);
 	}
 }
 
 static void
-call_back_failed (struct dff_http_client *client)
+run_failure_callbacks (struct dff_http_client *client)
 {
 	/* Those that fail anew in a callback wait for the next round, so that a caller who sends
 	 * again at once cannot hold up the loop. */
@@ -304,7 +304,7 @@
 					   : client->counters.uncertain;
 		(*counter)++;
 		if (exchange->endpoint != NULL)
-			pump (exchange->endpoint);
+			dispatch_waiting (exchange->endpoint);
 		exchange->done (exchange->user, &response);
 		exchange_free (exchange);
 	}
@@ -316,11 +316,11 @@
 	(void)fd;
 	(void)what;
 	struct dff_http_client *client = ctx;
-	while (client->broken->len > 0) {
-		dff_http_connection_free (client->broken->pdata[0]);
-		g_ptr_array_remove_index_fast (client->broken, 0);
+	while (client->retired->len > 0) {
+		dff_http_connection_free (client->retired->pdata[0]);
+		g_ptr_array_remove_index_fast (client->retired, 0);
 	}
-	call_back_failed (client);
+	run_failure_callbacks (client);
 }
 
 static gboolean
@@ -378,7 +378,7 @@
 	init_counters (&client->counters, options->metrics);
 	client->endpoints =
 		g_hash_table_new_full (dff_name_hash, dff_name_equal_func, g_free, endpoint_free);
-	client->broken = g_ptr_array_new ();
+	client->retired = g_ptr_array_new ();
 	client->deferred = event_new (options->base, -1, 0, run_deferred, client);
 	client->sweep = event_new (options->base, -1, EV_PERSIST, sweep_idle, client);
 	struct timeval interval = dff_timeval_from_ms (options->max_idle_ms);
@@ -391,9 +391,9 @@
 {
 	event_free (client->deferred);
 	event_free (client->sweep);
-	for (guint i = 0; i < client->broken->len; i++)
-		dff_http_connection_free (client->broken->pdata[i]);
-	g_ptr_array_unref (client->broken);
+	for (guint i = 0; i < client->retired->len; i++)
+		dff_http_connection_free (client->retired->pdata[i]);
+	g_ptr_array_unref (client->retired);
 	struct exchange *exchange;
 	while ((exchange = g_queue_pop_head (&client->failed)) != NULL)
 		exchange_free (exchange);
@@ -469,17 +469,17 @@
 	struct endpoint *endpoint = exchange->endpoint;
 	(*client->counters.requests)++;
 	if (endpoint == NULL) {
-		fail_later (exchange, DFF_HTTP_UNSENT);
+		defer_failure (exchange, DFF_HTTP_UNSENT);
 		return;
 	}
 	g_queue_push_tail (&endpoint->waiting, exchange);
 	exchange->timer = evtimer_new (client->options.base, deadline_passed, exchange);
 	struct timeval timeout = dff_timeval_from_ms (request->timeout_ms);
 	evtimer_add (exchange->timer, &timeout);
-	pump (endpoint);
+	dispatch_waiting (endpoint);
 	if (endpoint->waiting.length <= (guint)client->options.max_waiting)
 		return;
 	(*client->counters.refused)++;
 	g_queue_pop_tail (&endpoint->waiting);
-	fail_later (exchange, DFF_HTTP_UNSENT);
+	defer_failure (exchange, DFF_HTTP_UNSENT);
 }
--- a/common/log.c
+++ b/common/log.c
@@ -23,9 +23,9 @@
 /** What bounds the lines on standard output. */
 static struct {
 	double tokens;
-	int64_t earned_ms;
+	int64_t refilled_ms;
 	int64_t dropped;
-} output;
+} stdout_limit;
 
 static const char *const part_names[DFF_LOG_N_CATEGORIES] = {
 	[DFF_LOG_CORE] = "core",         [DFF_LOG_CELL] = "cell",
@@ -88,12 +88,12 @@
 take_token (void)
 {
 	int64_t now_ms = dff_clock_now_ms (dff_clock_system ());
-	double earned = (double)(now_ms - output.earned_ms) * LINES_PER_S / 1000.0;
-	output.tokens = MIN (output.tokens + earned, LINES_BURST);
-	output.earned_ms = now_ms;
-	if (output.tokens < 1.0)
+	double refill = (double)(now_ms - stdout_limit.refilled_ms) * LINES_PER_S / 1000.0;
+	stdout_limit.tokens = MIN (stdout_limit.tokens + refill, LINES_BURST);
+	stdout_limit.refilled_ms = now_ms;
+	if (stdout_limit.tokens < 1.0)
 		return false;
-	output.tokens -= 1.0;
+	stdout_limit.tokens -= 1.0;
 	return true;
 }
 
@@ -104,23 +104,24 @@
 	(void)appender;
 	char line[LINE_MAX_BYTES];
 	if (!take_token ()) {
-		output.dropped++;
+		stdout_limit.dropped++;
 		return 0;
 	}
-	if (output.dropped > 0) {
-		int length = snprintf (line, sizeof (line),
-				       "log: Lines dropped. count=%" PRId64 "\n", output.dropped);
+	if (stdout_limit.dropped > 0) {
+		int length =
+			snprintf (line, sizeof (line), "log: Lines dropped. count=%" PRId64 "\n",
+				  stdout_limit.dropped);
 		if (write (STDOUT_FILENO, line, (size_t)length) != length) {
-			output.dropped++;
+			stdout_limit.dropped++;
 			return 0;
 		}
-		output.dropped = 0;
+		stdout_limit.dropped = 0;
 	}
 	int length = format_line (line, sizeof (line), event);
 	length = MIN (length, (int)sizeof (line) - 1);
 	line[length - 1] = '\n';
 	if (write (STDOUT_FILENO, line, (size_t)length) != length)
-		output.dropped++;
+		stdout_limit.dropped++;
 	return length;
 }
 
@@ -160,8 +161,8 @@
 	int flags = fcntl (STDOUT_FILENO, F_GETFL);
 	if (flags >= 0)
 		fcntl (STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
-	output.tokens = LINES_BURST;
-	output.earned_ms = dff_clock_now_ms (dff_clock_system ());
+	stdout_limit.tokens = LINES_BURST;
+	stdout_limit.refilled_ms = dff_clock_now_ms (dff_clock_system ());
 	init_with ("stdout-lines", &stdout_appender_type, level);
 }
 
--- a/common/setting.c
+++ b/common/setting.c
@@ -386,12 +386,12 @@
 			GError **error)
 {
 	struct dff_setting_reader reader = {.table = table, .input = input, .error = error};
-	json_error_t fault;
-	json_t *root =
-		json_loadb (input->text.data, input->text.len, JSON_REJECT_DUPLICATES, &fault);
+	json_error_t syntax_error;
+	json_t *root = json_loadb (input->text.data, input->text.len, JSON_REJECT_DUPLICATES,
+				   &syntax_error);
 	if (root == NULL) {
-		report (&reader, DFF_SETTINGS_ERROR_SYNTAX, MAX (fault.line, 1), "syntax: %s",
-			fault.text);
+		report (&reader, DFF_SETTINGS_ERROR_SYNTAX, MAX (syntax_error.line, 1),
+			"syntax: %s", syntax_error.text);
 		return false;
 	}
 	reader.root = root;
@@ -406,12 +406,12 @@
 			void *object,
 			GError **error)
 {
-	g_autoptr (GError) fault = NULL;
+	g_autoptr (GError) read_error = NULL;
 	g_autofree char *data = NULL;
 	gsize len = 0;
 	struct dff_setting_reader reader = {.table = table, .input = input, .error = error};
-	if (!g_file_get_contents (input->source, &data, &len, &fault)) {
-		report (&reader, DFF_SETTINGS_ERROR_READ, 1, "%s", fault->message);
+	if (!g_file_get_contents (input->source, &data, &len, &read_error)) {
+		report (&reader, DFF_SETTINGS_ERROR_READ, 1, "%s", read_error->message);
 		return false;
 	}
 	if (len > MAX_FILE_BYTES) {
--- a/tests/common/test-http-client.c
+++ b/tests/common/test-http-client.c
@@ -48,27 +48,27 @@
 };
 
 static void
-drop (struct fixture *fixture, struct bufferevent *bev)
+close_connection (struct fixture *fixture, struct bufferevent *bev)
 {
 	g_ptr_array_remove (fixture->open, bev);
 	bufferevent_free (bev);
 }
 
 static void
-flushed (struct bufferevent *bev, void *ctx)
+handle_flush (struct bufferevent *bev, void *ctx)
 {
-	drop (ctx, bev);
+	close_connection (ctx, bev);
 }
 
 static void
-closed (struct bufferevent *bev, short what, void *ctx)
+handle_close (struct bufferevent *bev, short what, void *ctx)
 {
 	(void)what;
-	drop (ctx, bev);
+	close_connection (ctx, bev);
 }
 
 static void
-readable (struct bufferevent *bev, void *ctx)
+handle_readable (struct bufferevent *bev, void *ctx)
 {
 	struct fixture *fixture = ctx;
 	struct evbuffer *input = bufferevent_get_input (bev);
@@ -85,9 +85,9 @@
 	if (!action->close)
 		return;
 	if (action->answer == NULL)
-		drop (fixture, bev);
+		close_connection (fixture, bev);
 	else
-		bufferevent_setcb (bev, NULL, flushed, closed, fixture);
+		bufferevent_setcb (bev, NULL, handle_flush, handle_close, fixture);
 }
 
 static void
@@ -103,7 +103,7 @@
 	struct fixture *fixture = ctx;
 	fixture->accepted++;
 	struct bufferevent *bev = bufferevent_socket_new (fixture->base, fd, BEV_OPT_CLOSE_ON_FREE);
-	bufferevent_setcb (bev, readable, NULL, closed, fixture);
+	bufferevent_setcb (bev, handle_readable, NULL, handle_close, fixture);
 	bufferevent_enable (bev, EV_READ | EV_WRITE);
 	g_ptr_array_add (fixture->open, bev);
 }
@@ -140,7 +140,7 @@
 {
 	g_clear_pointer (&fixture->listener, evconnlistener_free);
 	while (fixture->open->len > 0)
-		drop (fixture, fixture->open->pdata[0]);
+		close_connection (fixture, fixture->open->pdata[0]);
 }
 
 static int
@@ -157,7 +157,7 @@
 }
 
 static void
-play (struct fixture *fixture, const struct action *actions, size_t n_actions)
+set_actions (struct fixture *fixture, const struct action *actions, size_t n_actions)
 {
 	fixture->actions = actions;
 	fixture->n_actions = n_actions;
@@ -165,7 +165,7 @@
 }
 
 static void
-take_answer (void *user, const struct dff_http_response *response)
+store_answer (void *user, const struct dff_http_response *response)
 {
 	struct answer *answer = user;
 	answer->calls++;
@@ -189,7 +189,7 @@
 		.body = dff_str_from ("body"),
 		.timeout_ms = timeout_ms,
 	};
-	dff_http_client_send (fixture->client, &request, take_answer, answer);
+	dff_http_client_send (fixture->client, &request, store_answer, answer);
 	assert_int_equal (answer->calls, 0);
 }
 
@@ -235,7 +235,7 @@
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct answer answer;
-		play (fixture, &cases[i].action, 1);
+		set_actions (fixture, &cases[i].action, 1);
 		send_request (fixture, cases[i].timeout_ms, &answer);
 		wait_for (&answer);
 		assert_int_equal (answer.outcome, cases[i].outcome);
@@ -272,11 +272,11 @@
 }
 
 static void
-test_connection_is_kept (void **state)
+test_connection_is_reused (void **state)
 {
 	struct fixture *fixture = *state;
 	static const struct action action = {ANSWER, false};
-	play (fixture, &action, 1);
+	set_actions (fixture, &action, 1);
 	for (int i = 0; i < 5; i++) {
 		struct answer answer;
 		send_request (fixture, 5000, &answer);
@@ -290,11 +290,11 @@
  * server reads the request and closes without a byte of answer. Cause: HTTP libraries take this for
  * an idle connection that was closed and send again on a new one. */
 static void
-test_closed_kept_connection_is_not_retried (void **state)
+test_closed_connection_is_not_retried (void **state)
 {
 	struct fixture *fixture = *state;
 	static const struct action actions[] = {{ANSWER, false}, {NULL, true}, {ANSWER, false}};
-	play (fixture, actions, G_N_ELEMENTS (actions));
+	set_actions (fixture, actions, G_N_ELEMENTS (actions));
 	static const enum dff_http_outcome outcomes[] = {DFF_HTTP_ANSWERED, DFF_HTTP_UNCERTAIN,
 							 DFF_HTTP_ANSWERED};
 	for (int i = 0; i < 3; i++) {
@@ -315,7 +315,7 @@
 {
 	struct fixture *fixture = *state;
 	static const struct action actions[] = {{ANSWER, false}, {NULL, false}, {ANSWER, false}};
-	play (fixture, actions, G_N_ELEMENTS (actions));
+	set_actions (fixture, actions, G_N_ELEMENTS (actions));
 	struct answer answer;
 	send_request (fixture, 5000, &answer);
 	wait_for (&answer);
@@ -332,7 +332,7 @@
  * Sequence: several connections are kept, something between the two ends forgets all of them, new
  * ones work. Cause: only the connection that kept silent was replaced. */
 static void
-test_connections_forgotten_together_are_replaced_together (void **state)
+test_all_dropped_connections_are_replaced (void **state)
 {
 	struct fixture *fixture = *state;
 	static const struct action action = {ANSWER, false};
@@ -342,7 +342,7 @@
 	options.metrics = fixture->metrics;
 	dff_http_client_free (fixture->client);
 	fixture->client = dff_http_client_new (&options);
-	play (fixture, &action, 1);
+	set_actions (fixture, &action, 1);
 	struct answer answers[3];
 	for (int i = 0; i < 3; i++)
 		send_request (fixture, 5000, &answers[i]);
@@ -368,7 +368,7 @@
 {
 	struct fixture *fixture = *state;
 	static const struct action action = {NULL, false};
-	play (fixture, &action, 1);
+	set_actions (fixture, &action, 1);
 	struct answer answers[4];
 	static const int32_t timeouts[] = {60, 30, 30, 5000};
 	for (int i = 0; i < 4; i++)
@@ -389,7 +389,7 @@
 {
 	struct fixture *fixture = *state;
 	static const struct action action = {NULL, false};
-	play (fixture, &action, 1);
+	set_actions (fixture, &action, 1);
 	struct answer answers[3];
 	for (int i = 0; i < 3; i++)
 		send_request (fixture, 5000, &answers[i]);
@@ -409,7 +409,7 @@
 		dff_metrics_counter (fixture->metrics, "dff_http_client_sent_bytes_total", "");
 	const int64_t *received =
 		dff_metrics_counter (fixture->metrics, "dff_http_client_received_bytes_total", "");
-	play (fixture, &action, 1);
+	set_actions (fixture, &action, 1);
 	for (int i = 1; i <= 3; i++) {
 		struct answer answer;
 		send_request (fixture, 5000, &answer);
@@ -428,13 +428,13 @@
 						 teardown),
 		cmocka_unit_test_setup_teardown (test_malformed_addresses_are_unsent, setup,
 						 teardown),
-		cmocka_unit_test_setup_teardown (test_connection_is_kept, setup, teardown),
-		cmocka_unit_test_setup_teardown (test_closed_kept_connection_is_not_retried, setup,
+		cmocka_unit_test_setup_teardown (test_connection_is_reused, setup, teardown),
+		cmocka_unit_test_setup_teardown (test_closed_connection_is_not_retried, setup,
 						 teardown),
 		cmocka_unit_test_setup_teardown (test_silent_connection_is_replaced, setup,
 						 teardown),
-		cmocka_unit_test_setup_teardown (
-			test_connections_forgotten_together_are_replaced_together, setup, teardown),
+		cmocka_unit_test_setup_teardown (test_all_dropped_connections_are_replaced, setup,
+						 teardown),
 		cmocka_unit_test_setup_teardown (test_waiting_is_bounded, setup, teardown),
 		cmocka_unit_test_setup_teardown (test_bytes_are_counted, setup, teardown),
 		cmocka_unit_test_setup_teardown (test_free_drops_requests, setup, teardown),
