--- a/common/clock.c
+++ b/common/clock.c
@@ -8,8 +8,9 @@
 	return (int64_t)time->tv_sec * 1000 + time->tv_nsec / 1000000;
 }
 
-/* CLOCK_MONOTONIC stands still while a virtual machine is suspended. A lease holder suspended past
- * its lease would then believe in it on resume; CLOCK_BOOTTIME counts the suspended time. */
+/* CLOCK_MONOTONIC does not advance while a virtual machine is suspended: on resume, a holder
+ * suspended past its lease would assume it is still valid. CLOCK_BOOTTIME counts the suspended
+ * time. */
 static int64_t
 system_monotonic_ms (void *ctx)
 {
--- a/common/digest.c
+++ b/common/digest.c
@@ -3,8 +3,8 @@
 #include <openssl/evp.h>
 #include <sodium.h>
 
-/* OpenSSL uses the processor's own instructions where GLib and libsodium compute in C; looking the
- * algorithm up anew for each digest would cost more than digesting a short answer. */
+/* OpenSSL uses the processor's SHA instructions, GLib and libsodium compute in C. The algorithm is
+ * fetched once: fetching it for each digest costs more than digesting a short answer. */
 static EVP_MD *
 algorithm (void)
 {
--- a/common/event_loop.c
+++ b/common/event_loop.c
@@ -2,9 +2,9 @@
 
 #include <glib.h>
 
-/* evhttp stops reading while a request is answered and begins again after it. Each time would be a
- * call of epoll_ctl(), four for a request that is passed on; the change list drops what cancels out
- * within one turn of the loop. */
+/* evhttp disables reading while a request is answered and enables it afterwards. Each change would
+ * cost a call of epoll_ctl(), four for each forwarded request; the change list drops changes that
+ * cancel out within one iteration of the loop. */
 struct event_base *
 dff_event_base_new (void)
 {
--- a/common/http_client.c
+++ b/common/http_client.c
@@ -14,7 +14,7 @@
 #define MAX_WAITING_DEFAULT 256
 #define MAX_IDLE_MS_DEFAULT 10000
 #define MAX_BODY_BYTES_DEFAULT (4 << 20)
-/** evhttp's own timeout comes this much after the deadline, so that the deadline decides. */
+/** Difference between evhttp's timeout and the deadline, ms, so that the deadline fires first. */
 #define EVHTTP_TIMEOUT_MARGIN_MS 1000
 
 struct counters {
@@ -31,35 +31,35 @@
 struct dff_http_client {
 	struct dff_http_client_options options;
 	struct counters counters;
-	/** struct dff_name to struct endpoint. */
+	/** Key: struct dff_name, address; value: struct endpoint. */
 	GHashTable *endpoints;
-	/** Exchanges that have failed and whose callback is due. */
+	/** Elements: struct exchange that has failed and whose callback is pending. */
 	GQueue failed;
-	/** Connections that cannot be freed inside evhttp's callback. */
+	/** Elements: struct dff_http_connection to be freed outside evhttp's callback. */
 	GPtrArray *retired;
 	struct event *deferred;
 	struct event *sweep;
 };
 
-/** One address: its connections and the requests that wait for one. */
+/** Connections to one address and the requests that wait for one of them. */
 struct endpoint {
 	struct dff_http_client *client;
 	char host[INET_ADDRSTRLEN];
 	uint16_t port;
-	/** struct dff_http_connection, at most max_connections. */
+	/** Elements: struct dff_http_connection, at most max_connections. */
 	GPtrArray *connections;
-	/** struct exchange, at most max_waiting. */
+	/** Elements: struct exchange, at most max_waiting. */
 	GQueue waiting;
-	/** struct exchange that has a connection. */
+	/** Elements: struct exchange with a connection. */
 	GPtrArray *active;
 };
 
-/** One request from send to callback. */
+/** One request, from sending to its callback. */
 struct exchange {
 	struct dff_http_client *client;
-	/** NULL: the address is not one. */
+	/** NULL: the address is malformed. */
 	struct endpoint *endpoint;
-	/** Owned until it is handed to a connection. */
+	/** Owned until it is passed to a connection. */
 	struct evhttp_request *request;
 	enum evhttp_cmd_type method;
 	char *path;
@@ -129,7 +129,7 @@
 	g_free (endpoint);
 }
 
-/* Takes @exchange out of its lists; its callback is run by the deferred event. */
+/* Removes @exchange from its lists; the deferred event runs its callback. */
 static void
 defer_failure (struct exchange *exchange, enum dff_http_outcome outcome)
 {
@@ -148,7 +148,7 @@
 								   : DFF_HTTP_UNSENT;
 }
 
-/* Takes the connection from the pool; it is freed by the deferred event. */
+/* Removes the connection from the pool; the deferred event frees it. */
 static void
 retire_connection (struct exchange *exchange)
 {
@@ -161,7 +161,7 @@
 	event_active (exchange->client->deferred, 0, 0);
 }
 
-/* A body that ends where the connection ends may have been cut, and nobody could tell. */
+/* A body without length or chunked encoding ends with the connection: truncation goes unnoticed. */
 static bool
 is_complete (struct evhttp_request *request)
 {
@@ -200,7 +200,7 @@
 request_done (struct evhttp_request *request, void *ctx)
 {
 	struct exchange *exchange = ctx;
-	/* The connection is NULL when the deadline has passed in this round of the loop. */
+	/* The connection is NULL when the deadline has passed in this iteration of the loop. */
 	if (exchange->connection == NULL)
 		return;
 	bool answered = request != NULL && evhttp_request_get_response_code (request) != 0;
@@ -225,9 +225,10 @@
 		defer_failure (exchange, DFF_HTTP_UNSENT);
 		return;
 	}
-	/* A connection that did not answer in time may have gone silent for good, and what forgot
-	 * it may have forgotten the others to the address. Symptom otherwise: after a middlebox
-	 * restarted, as many requests time out as there are connections. */
+	/* A connection that did not answer in time may be dead because a middlebox dropped its
+	 * state, and with it that of all connections to this address. The idle ones are closed as
+	 * well; otherwise, after a middlebox restart, each of them would cost one more request that
+	 * times out. */
 	enum dff_http_outcome outcome = failure_outcome (exchange);
 	retire_connection (exchange);
 	close_idle_connections (exchange->endpoint, 0);
@@ -247,7 +248,7 @@
 	return connection;
 }
 
-/* Returns: (nullable): the idle connection that was used last, else a new one if one is allowed. */
+/* Returns: (nullable): the most recently used idle connection; else a new one, up to the limit. */
 static struct dff_http_connection *
 find_connection (struct endpoint *endpoint)
 {
@@ -266,7 +267,7 @@
 	return best;
 }
 
-/* Hands waiting requests to connections as long as there are any. */
+/* Sends waiting requests while a connection is available. */
 static void
 dispatch_waiting (struct endpoint *endpoint)
 {
@@ -282,7 +283,7 @@
 		bool accepted = dff_http_connection_send (
 			connection, request, exchange->method, exchange->path,
 			exchange->timeout_ms + EVHTTP_TIMEOUT_MARGIN_MS);
-		/* Failures inside the call have been taken in by request_done(). */
+		/* Failures during the call have been handled by request_done(). */
 		if (accepted || exchange->connection == NULL)
 			continue;
 		retire_connection (exchange);
@@ -293,8 +294,8 @@
 static void
 run_failure_callbacks (struct dff_http_client *client)
 {
-	/* Those that fail anew in a callback wait for the next round, so that a caller who sends
-	 * again at once cannot hold up the loop. */
+	/* Requests that fail during a callback wait for the next iteration: a caller that resends
+	 * at once must not block the loop. */
 	guint n = client->failed.length;
 	for (guint i = 0; i < n; i++) {
 		struct exchange *exchange = g_queue_pop_head (&client->failed);
@@ -331,11 +332,11 @@
 	close_idle_connections (endpoint, endpoint->client->options.max_idle_ms);
 	if (endpoint->connections->len > 0 || !g_queue_is_empty (&endpoint->waiting))
 		return FALSE;
-	/* An exchange whose callback is due still points to its endpoint. */
+	/* An exchange whose callback is pending still refers to its endpoint. */
 	return g_queue_is_empty (&((struct dff_http_client *)client)->failed);
 }
 
-/* Without it, connections to workers that were replaced would stay open for ever. */
+/* Without this, connections to workers that were replaced would stay open. */
 static void
 sweep_idle (evutil_socket_t fd, short what, void *ctx)
 {
--- a/common/http_connection.c
+++ b/common/http_connection.c
@@ -38,10 +38,11 @@
 	return dff_clock_now_ms (dff_clock_system ());
 }
 
-/* evhttp reports every failure alike. Without this, a request that a worker has read and that lost
- * its answer would be reported like one whose connection was refused, and would be sent again.
- * evhttp fills the output buffer only once the connection is made, and bytes leave the buffer only
- * when they are written or the connection is reset, so that "unsent" is never claimed wrongly. */
+/* evhttp does not distinguish failures. Without this callback, a request that a worker has read but
+ * whose answer was lost would look like a refused connection and would be sent again. evhttp fills
+ * the output buffer only once the connection is established, and bytes leave the buffer only when
+ * they are written or the connection is reset, so that a sent request is never reported as
+ * unsent. */
 static void
 output_changed (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *ctx)
 {
@@ -60,7 +61,7 @@
 	*connection->traffic.received_bytes += (int64_t)info->n_added;
 }
 
-/* Without the address check any certificate of the same issuer would do, another process's too. */
+/* Without this check, another process's certificate of the same issuer would be accepted. */
 static struct bufferevent *
 new_tls_bufferevent (struct event_base *base, const char *host, SSL_CTX *tls)
 {
@@ -82,8 +83,8 @@
 	struct bufferevent *tls_bev = tls != NULL ? new_tls_bufferevent (base, host, tls) : NULL;
 	connection->evcon =
 		evhttp_connection_base_bufferevent_new (base, NULL, tls_bev, host, port);
-	/* evhttp would send a failed request again by itself; whether that is safe is only known to
-	 * the caller. Symptom otherwise: a worker sees one non-idempotent request twice. */
+	/* By default evhttp retries a failed request, although only the caller knows whether this
+	 * is safe: a worker would receive a non-idempotent request twice. */
 	evhttp_connection_set_retries (connection->evcon, 0);
 	evhttp_connection_set_max_body_size (connection->evcon, (ev_ssize_t)max_body_bytes);
 	evhttp_connection_set_max_headers_size (connection->evcon, MAX_HEADERS_BYTES);
--- a/common/http_connection.h
+++ b/common/http_connection.h
@@ -6,7 +6,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* One keep-alive connection of the HTTP client, with what evhttp does not tell: whether a byte of
+/* One keep-alive connection of the HTTP client. In addition to evhttp, it records whether a byte of
  * the current request has left the process. */
 
 /* OpenSSL's SSL_CTX. */
@@ -14,20 +14,19 @@
 
 struct dff_http_connection;
 
-/** Counters that a connection adds to: bytes of HTTP, without TLS, TCP and IP. */
+/** Counters updated by a connection, in bytes of HTTP, without TLS, TCP and IP. */
 struct dff_http_traffic {
 	int64_t *sent_bytes;
 	int64_t *received_bytes;
 };
 
-/** Returns: @ms as libevent wants it. */
 struct timeval dff_timeval_from_ms (int32_t ms);
 
 /**
  * dff_http_connection_new:
- * @tls: (nullable): speak TLS
+ * @tls: (nullable): use TLS
  *
- * Returns: a connection that is made when it is first used.
+ * Returns: (transfer full): a connection; it is established at its first request.
  */
 struct dff_http_connection *dff_http_connection_new (struct event_base *base,
 						     const char *host,
@@ -36,17 +35,17 @@
 						     const struct dff_http_traffic *traffic,
 						     struct ssl_ctx_st *tls);
 
-/** Closes it; no callback of its request comes. Not to be called from one. */
+/** Closes the connection without a callback of its request. Must not be called from one. */
 void dff_http_connection_free (struct dff_http_connection *connection);
 
 /**
  * dff_http_connection_send:
- * @request: owned by the connection from then on, whatever is returned
- * @timeout_ms: evhttp's own limit; longer than the deadline that the caller keeps
+ * @request: owned by the connection from then on, also if the call fails
+ * @timeout_ms: evhttp's own timeout; longer than the caller's deadline
  *
- * The request's callback may run before this returns.
+ * The request's callback may run before this call returns.
  *
- * Returns: false when evhttp refused it.
+ * Returns: false when evhttp refused the request.
  */
 bool dff_http_connection_send (struct dff_http_connection *connection,
 			       struct evhttp_request *request,
@@ -54,13 +53,13 @@
 			       const char *path,
 			       int32_t timeout_ms);
 
-/** Marks the end of its request. */
+/** Marks the current request as ended. */
 void dff_http_connection_set_idle (struct dff_http_connection *connection);
 
 /** Returns: whether a request is being sent or answered. */
 bool dff_http_connection_is_busy (const struct dff_http_connection *connection);
 
-/** Returns: monotonic ms at which its last request ended; only while it is not busy. */
+/** Returns: the time at which the last request ended, monotonic ms; valid only while not busy. */
 int64_t dff_http_connection_idle_since_ms (const struct dff_http_connection *connection);
 
 /** Returns: whether a byte of the last request may have left this process. */
--- a/common/json_locate.c
+++ b/common/json_locate.c
@@ -23,7 +23,7 @@
 		scanner->offset++;
 }
 
-/* Skips white space and the separators ',' and ':': the text is known to be valid. */
+/* Skips white space and the separators ',' and ':', which need no check: the text is valid JSON. */
 static char
 scanner_next (struct scanner *scanner)
 {
@@ -33,7 +33,7 @@
 	return scanner_peek (scanner);
 }
 
-/* Returns: what stands between the quotes, escapes left as they are. */
+/* Returns: the text between the quotes, with escapes not decoded. */
 static struct dff_str
 scanner_skip_string (struct scanner *scanner)
 {
@@ -102,7 +102,7 @@
 	return scanner_next (scanner) != ']';
 }
 
-/* Takes one step, "name" or "[3]", off @path. */
+/* Consumes one component of @path, "name" or "[3]". */
 static bool
 scanner_step (struct scanner *scanner, const char **path)
 {
--- a/common/log.c
+++ b/common/log.c
@@ -10,17 +10,18 @@
 
 #include "common/clock.h"
 
-/* log4c_init() would look for a log4crc in the working and the home directory and let it override
- * the settings. It is not called: categories and the one appender are set up here. */
+/* log4c_init() is not called: it would read a log4crc from the working or home directory that may
+ * override the settings. Categories and the only appender are set up here. */
 
 #define ROOT_CATEGORY "dragonflyfold"
-/** Longest line, bytes. */
+/** Maximum length of a line, bytes. */
 #define LINE_MAX_BYTES 1200
-/** Lines to standard output a second, and in a burst: a busy holder writes some dozens a second. */
+/** Rate limit of standard output, lines a second, and burst size in lines. A busy holder writes a
+ * few dozen lines a second. */
 #define LINES_PER_S 400.0
 #define LINES_BURST 2000.0
 
-/** What bounds the lines on standard output. */
+/** Token bucket that limits the lines on standard output. */
 static struct {
 	double tokens;
 	int64_t refilled_ms;
@@ -83,7 +84,7 @@
 	return fputs (line, stderr);
 }
 
-/* Whether one more line may be written; lines beyond the rate are counted. */
+/* Returns: whether one more line may be written. */
 static bool
 take_token (void)
 {
@@ -97,7 +98,7 @@
 	return true;
 }
 
-/* Never blocks: a reader that does not keep up loses lines and is told how many. */
+/* Never blocks: lines that the reader does not keep up with are dropped; their number is logged. */
 static int
 append_to_stdout (log4c_appender_t *appender, const log4c_logging_event_t *event)
 {
--- a/common/metrics.c
+++ b/common/metrics.c
@@ -16,8 +16,8 @@
 	int64_t value;
 };
 
-/** Upper bounds of a histogram's buckets, ms; the last bucket has none. From an answer of the store
- * to the longest that a caller waits. */
+/** Upper bounds of histogram buckets, ms; the last bucket is unbounded. They range from the time of
+ * an answer of the store to the longest time that a caller waits. */
 static const int64_t bucket_bounds[] = {2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000};
 
 #define N_BUCKETS (G_N_ELEMENTS (bucket_bounds) + 1)
@@ -30,9 +30,9 @@
 };
 
 struct dff_metrics {
-	/** Elements: struct metric *, in order of family and name. */
+	/** Elements: struct metric *, sorted by family and name. */
 	GPtrArray *metrics;
-	/** Elements: struct dff_histogram *, in the order in which they were asked for. */
+	/** Elements: struct dff_histogram *, in order of creation. */
 	GPtrArray *histograms;
 };
 
@@ -53,7 +53,7 @@
 	g_free (metrics);
 }
 
-/** Length of the name without labels. */
+/** Returns: the length of the name without labels. */
 static size_t
 family_len (const char *name)
 {
@@ -67,8 +67,8 @@
 	return len == family_len (b) && memcmp (a, b, len) == 0;
 }
 
-/* Plain order of names would put "a_b" between "a" and "a{...}"; a scraper refuses a family whose
- * samples are not together. */
+/* Sorted by plain name, "a_b" would stand between "a" and "a{...}": a scraper refuses a family
+ * whose samples are not contiguous. */
 static int
 compare_names (const char *a, const char *b)
 {
--- a/common/setting.c
+++ b/common/setting.c
@@ -7,7 +7,7 @@
 #include "common/json_locate.h"
 #include "common/log.h"
 
-/** Largest file, bytes. */
+/** Maximum size of a file, bytes. */
 #define MAX_FILE_BYTES 1048576
 #define DIGEST_PREFIX "sha256:"
 #define DIGEST_HEX_LEN 64
@@ -268,7 +268,7 @@
 	GError **error;
 	bool failed;
 	const json_t *root;
-	/** Elements: int; line of the nth key of the outermost object. */
+	/** Elements: int, the line of each key of the outermost object. */
 	GArray *key_lines;
 };
 
@@ -369,8 +369,8 @@
 		report (reader, DFF_SETTINGS_ERROR_SYNTAX, 1, "syntax: expected an object");
 		return;
 	}
-	/* The nth key in jansson's insertion order is the nth key of the text, because duplicates
-	 * are refused. */
+	/* The nth key in jansson's insertion order is the nth key of the text: duplicates are
+	 * rejected. */
 	reader->key_lines = dff_json_key_lines (reader->input->text);
 	read_keys (reader, object);
 	check_required (reader);
--- a/common/trace.c
+++ b/common/trace.c
@@ -20,7 +20,8 @@
 	GString *line;
 };
 
-/** Returns: the value of a lower-case hexadecimal digit, or -1; the standard forbids upper case. */
+/** Returns: the value of a lower-case hexadecimal digit, else -1; the standard forbids upper
+ * case. */
 static int
 hex_value (char digit)
 {
@@ -69,7 +70,7 @@
 {
 	if (version == VERSION_INVALID)
 		return false;
-	/* A later version may append fields after another dash; version 00 may not. */
+	/* A later version may append fields after another dash; version 00 must not. */
 	if (text.len > DFF_TRACEPARENT_LEN)
 		return version != 0 && text.data[DFF_TRACEPARENT_LEN] == '-';
 	return true;
@@ -143,7 +144,7 @@
 	g_free (tracer);
 }
 
-/** SplitMix64: ids need to be distinct, not secret. */
+/** SplitMix64: ids have to be unique, not secret. */
 static uint64_t
 next_random (struct dff_tracer *tracer)
 {
@@ -203,8 +204,8 @@
 	append_text (line, key, text, (gssize)len);
 }
 
-/* Written by hand: a span is on the way of each request, and no value needs escaping (names have a
- * restricted alphabet, words are static). */
+/* Serialised by hand, because each request writes spans. No value needs escaping: names have a
+ * restricted alphabet, outcomes are static words. */
 void
 dff_span_end (struct dff_tracer *tracer,
 	      const struct dff_span *span,
--- a/include/common/clock.h
+++ b/include/common/clock.h
@@ -3,13 +3,13 @@
 
 #include <stdint.h>
 
-/* Time as an interface, so that every state machine runs under a virtual clock in tests. */
+/* Clock interface, so that state machines run under a virtual clock in tests. */
 
 /**
  * struct dff_clock:
- * @monotonic_ms: milliseconds that never go back and go on while the machine is suspended
- * @wall_ms: milliseconds since the Unix epoch, for display, spans and retention only, as it may be
- *   wrong or jump; docs/decisions/retention.md says why that does no harm there
+ * @monotonic_ms: monotonic milliseconds, which include the time that the machine is suspended
+ * @wall_ms: milliseconds since the Unix epoch; for display, spans and retention only, because the
+ *   wall clock may be wrong or jump; docs/decisions/retention.md says why retention tolerates this
  * @ctx: passed to both
  */
 struct dff_clock {
@@ -29,8 +29,7 @@
 
 /**
  * struct dff_clock_virtual:
- * A clock that moves only when told to. Initialise @now_ms; @clock.ctx is set by
- * dff_clock_virtual_init().
+ * A clock that advances only when @now_ms is changed. Set up by dff_clock_virtual_init().
  */
 struct dff_clock_virtual {
 	struct dff_clock clock;
--- a/include/common/event_loop.h
+++ b/include/common/event_loop.h
@@ -6,8 +6,8 @@
 /**
  * dff_event_base_new:
  *
- * Returns: (transfer full): the loop of a process, to be freed with event_base_free(). No
- * descriptor that it watches may be a duplicate of another.
+ * Returns: (transfer full): an event loop, to be freed with event_base_free(). None of the file
+ * descriptors that it watches may be a duplicate (dup()) of another one.
  */
 struct event_base *dff_event_base_new (void);
 
--- a/include/common/http_client.h
+++ b/include/common/http_client.h
@@ -11,9 +11,8 @@
 #include "common/str.h"
 
 /*
- * HTTP/1.1 client over evhttp: a bounded pool of keep-alive connections for each address, a
- * deadline for each request, and connections that went silent replaced. It never sends a request
- * twice.
+ * HTTP/1.1 client over evhttp with a bounded pool of keep-alive connections for each address, which
+ * are replaced when they stop answering, and a deadline for each request. It never retries.
  */
 
 /* OpenSSL's SSL_CTX. */
@@ -24,16 +23,16 @@
 struct dff_http_client_options {
 	struct event_base *base;
 	struct dff_metrics *metrics;
-	/** Connections to each address at the most; further requests wait in order. */
+	/** Maximum number of connections to each address; further requests wait in order. */
 	int32_t max_connections;
-	/** Requests waiting for each address at the most; beyond it they end as UNSENT at once. */
+	/** Maximum number of waiting requests for each address; more end as UNSENT at once. */
 	int32_t max_waiting;
-	/** An idle connection older than this is closed instead of used, ms: a middlebox may have
-	 * forgotten it without telling. */
+	/** Maximum idle time, ms. Older connections are closed, not reused: a middlebox may have
+	 * dropped their state without notice. */
 	int32_t max_idle_ms;
 	size_t max_body_bytes;
-	/** (nullable): speak TLS; the peer's certificate has to name the IP that is connected to.
-	 */
+	/** (nullable): use TLS; the server's certificate has to name the IP address connected
+	 * to. */
 	struct ssl_ctx_st *tls;
 };
 
@@ -69,9 +68,10 @@
 enum dff_http_outcome {
 	/** A whole response was read. */
 	DFF_HTTP_ANSWERED,
-	/** Proven unsent: no byte of the request left this process, or no connection was made. */
+	/** Provably not sent: no byte of the request left this process, or no connection was
+	 * made. */
 	DFF_HTTP_UNSENT,
-	/** Sent at least in part, and no whole response came in time. */
+	/** At least partly sent, and no complete response arrived in time. */
 	DFF_HTTP_UNCERTAIN,
 };
 
--- a/include/common/http_listen.h
+++ b/include/common/http_listen.h
@@ -10,7 +10,7 @@
  * @address: "IP:PORT", IPv4; port 0: any
  * @bound: (out): the address that is bound
  *
- * Binds @http.
+ * Binds @http to @address.
  *
  * Returns: (nullable): the socket, owned by @http; NULL when @address is malformed or cannot be
  * bound.
--- a/include/common/json_locate.h
+++ b/include/common/json_locate.h
@@ -5,8 +5,8 @@
 
 #include "common/str.h"
 
-/* Lines of values in a JSON text, for messages about faults. jansson keeps positions for syntax
- * errors only, so the text is walked once more. */
+/* Line numbers of values in a JSON text, for error messages. jansson keeps positions for syntax
+ * errors only, so the text is scanned a second time. */
 
 /**
  * dff_json_locate:
@@ -21,10 +21,11 @@
  * dff_json_key_lines:
  * @text: valid JSON
  *
- * Unlike a path, the place of a key in its object also finds keys that hold '.', '[' or escapes.
+ * Keys are identified by their order, so that keys with '.', '[' or escapes, which a path cannot
+ * express, are found as well.
  *
  * Returns: (transfer full): the line, from 1, of each key of the outermost object, in the order of
- * the text; nothing when it is no object. Elements: int.
+ * the text; empty when the text is not an object. Elements: int.
  */
 GArray *dff_json_key_lines (struct dff_str text);
 
--- a/include/common/log.h
+++ b/include/common/log.h
@@ -6,8 +6,8 @@
 
 #include "common/str.h"
 
-/* Logs through log4c: one category for each part, whose name is the fixed prefix of its lines. A
- * message is one short sentence; values follow as key=value pairs. */
+/* Logging through log4c, with one category for each part; its name is the prefix of the part's
+ * lines. A message is one short sentence, followed by key=value pairs. */
 
 enum dff_log_category {
 	DFF_LOG_CORE,
@@ -30,22 +30,20 @@
 	DFF_LOG_ERROR,
 };
 
-/** Starts logging to standard error; before it, and in tests that do not call it, nothing is
- * written. */
+/** Starts logging to standard error. Without this call, as in most tests, nothing is written. */
 void dff_log_init (enum dff_log_level level);
 
-/** The same to standard output, bounded in lines a second and never blocking: lines that do not fit
- * are dropped and counted. */
+/** Starts logging to standard output. It never blocks, and the number of lines a second is limited:
+ * lines that exceed the limit or the reader's buffer are dropped and counted. */
 void dff_log_init_stdout (enum dff_log_level level);
 
 /** Changes the lowest level that is written. */
 void dff_log_set_level (enum dff_log_level level);
 
-/** Reads "debug", "info", "warning" or "error". Returns: false when it is none. */
+/** Parses "debug", "info", "warning" or "error". Returns: false for any other text. */
 bool dff_log_level_parse (struct dff_str text, enum dff_log_level *level);
 
-/** Writes one line, prefixed by the part, when its level is written: a short sentence, then
- * key=value pairs. */
+/** Writes one line, prefixed by the part, if @level is enabled: a sentence and key=value pairs. */
 void dff_log (enum dff_log_category part, enum dff_log_level level, const char *format, ...)
 	G_GNUC_PRINTF (3, 4);
 
--- a/include/common/metrics.h
+++ b/include/common/metrics.h
@@ -6,8 +6,8 @@
 #include "common/cleanup.h"
 #include <stdint.h>
 
-/* The project's own counters and gauges, printed in the Prometheus text format. One registry a
- * process, passed in, so that several processes' worth can live in one test. */
+/* Counters, gauges and histograms in the Prometheus text format. The registry is passed in, one for
+ * each process, so that a test can run several processes. */
 
 struct dff_metrics;
 
@@ -41,7 +41,7 @@
 struct dff_histogram *
 dff_metrics_histogram (struct dff_metrics *metrics, const char *name, const char *help);
 
-/** Takes in one time. */
+/** Adds one observation. */
 void dff_histogram_observe (struct dff_histogram *histogram, int64_t ms);
 
 /** Appends every metric in the Prometheus text format, in order of name. */
--- a/include/common/rendezvous.h
+++ b/include/common/rendezvous.h
@@ -3,19 +3,19 @@
 
 #include "common/str.h"
 
-/* Rendezvous (highest random weight) hashing over XXH3: every process computes the same owner from
- * the same members, with no message, and a join or leave moves only the share of that member. */
+/* Rendezvous (highest random weight) hashing over XXH3. Every process computes the same owner from
+ * the same members without a message, and a join or leave moves only that member's share. */
 
-/** Returns: the weight of @member for @key; the highest weight owns. */
+/** Returns: the weight of @member for @key; the member with the highest weight is the owner. */
 uint64_t dff_rendezvous_weight (struct dff_str key, const struct dff_name *member);
 
 /**
  * dff_rendezvous_owner:
- * @key: what is to be owned
+ * @key: identifies the object to assign
  * @members: candidates, in any order
- * @n_members: how many, may be 0
+ * @n_members: may be 0
  *
- * Returns: index of the owner in @members, or -1 when there is none.
+ * Returns: index of the owner in @members; -1 without members.
  */
 int dff_rendezvous_owner (struct dff_str key, const struct dff_name *members, size_t n_members);
 
--- a/include/common/setting.h
+++ b/include/common/setting.h
@@ -9,8 +9,8 @@
 
 #include "common/str.h"
 
-/* Settings as tables of keys: reading, checking, reloading and the manual pages all follow a table.
- * The values go into a struct of whoever has the table. */
+/* Settings described by tables of keys, from which reading, checking, reloading and the manual
+ * pages are derived. The values are stored in a struct of the table's owner. */
 
 enum dff_setting_type {
 	DFF_SETTING_NAME,    /**< struct dff_name of @max bytes at the most. */
@@ -30,20 +30,20 @@
 	bool reloadable;
 	int32_t min;
 	int32_t max;
-	/** JSON text of the default; NULL: required, or empty. */
+	/** JSON text of the default; NULL: the key is required, or empty by default. */
 	const char *default_text;
 	/** Unit of a number; NULL: a plain count. */
 	const char *unit;
 	const char *help;
-	/** Of the member that holds the value. */
+	/** Offset of the member that holds the value. */
 	size_t offset;
 };
 
 struct dff_setting_table {
-	/** In the order of the manual page. */
+	/** Keys, in the order of the manual page. */
 	const struct dff_setting *settings;
 	size_t n_settings;
-	/** Manual page of the keys, for messages. */
+	/** Name of the manual page of the keys, for error messages. */
 	const char *page;
 };
 
@@ -61,54 +61,55 @@
 const struct dff_setting *dff_setting_table_find (const struct dff_setting_table *table,
 						  const char *key);
 
-/** Sets every key of @object that has a default; its strings exist. */
+/** Sets every key of @object that has a default; its GString members have to be allocated. */
 void dff_setting_table_assign_defaults (const struct dff_setting_table *table, void *object);
 
-/** Returns: whether both hold the same value for the key. */
+/** Returns: whether @a and @b hold the same value for the key. */
 bool dff_setting_equal (const struct dff_setting *setting, const void *a, const void *b);
 
-/** Returns: the number that the key of type DFF_SETTING_INTEGER holds. */
+/** Returns: the value of a key of type DFF_SETTING_INTEGER. */
 int32_t dff_setting_integer (const struct dff_setting *setting, const void *object);
 
-/** One reading of a file. */
+/** State while one file is read. */
 struct dff_setting_reader;
 
-/** Reports a fault at the line of a key, at the first where the file does not name it. */
+/** Reports an error at the line of a key; at line 1 if the file does not contain the key. */
 void dff_setting_reader_report_at (struct dff_setting_reader *reader,
 				   const char *key,
 				   const char *format,
 				   ...) G_GNUC_PRINTF (3, 4);
 
-/** Returns: whether the file names the key. */
+/** Returns: whether the file contains the key. */
 bool dff_setting_reader_has_key (const struct dff_setting_reader *reader, const char *key);
 
-/** Checks what no key alone can tell. */
+/** Checks rules that involve more than one key. */
 typedef void (*dff_setting_check_func) (struct dff_setting_reader *reader, const void *object);
 
 struct dff_setting_input {
 	struct dff_str text;
 	/** Name of the file, for messages. */
 	const char *source;
-	/** (nullable): called once the keys are read. */
+	/** (nullable): called after the keys have been read. */
 	dff_setting_check_func check;
-	/** (nullable): every fault found, "FILE:LINE: key: what was expected"; elements: char *. */
+	/** (nullable): receives all errors, "FILE:LINE: key: what was expected"; elements: char
+	 * *. */
 	GPtrArray *errors;
 };
 
 /**
  * dff_setting_table_read:
- * @object: where the values go; has its defaults
+ * @object: receives the values; its defaults have to be set
  *
  * Checks syntax, unknown, missing and repeated keys, types and ranges.
  *
- * Returns: false when there was a fault.
+ * Returns: false if there was an error.
  */
 bool dff_setting_table_read (const struct dff_setting_table *table,
 			     const struct dff_setting_input *input,
 			     void *object,
 			     GError **error);
 
-/** The same for a file, of 1 MiB at the most. @input.text is not used. */
+/** Like dff_setting_table_read(), for the file @input.source, at most 1 MiB, not @input.text. */
 bool dff_setting_table_load (const struct dff_setting_table *table,
 			     const struct dff_setting_input *input,
 			     void *object,
@@ -116,16 +117,16 @@
 
 /**
  * dff_setting_table_reload:
- * @fixed: elements: char *: keys that differ in @fresh but cannot change while running
+ * @fixed: receives the keys that differ in @fresh but cannot change at run time; elements: char *
  *
- * Copies what may change from @fresh into @object.
+ * Copies the values of reloadable keys from @fresh into @object.
  */
 void dff_setting_table_reload (const struct dff_setting_table *table,
 			       void *object,
 			       const void *fresh,
 			       GPtrArray *fixed);
 
-/** Appends the reference of every key in scdoc, as the manual page holds it. */
+/** Appends the reference of all keys in scdoc format, as in the manual page. */
 void dff_setting_table_describe (const struct dff_setting_table *table, GString *out);
 
 #endif
--- a/include/common/signal_loop.h
+++ b/include/common/signal_loop.h
@@ -3,7 +3,7 @@
 
 #include <event2/event.h>
 
-/** What a process does on signals. */
+/** Signal handlers of a process. */
 struct dff_signal_handlers {
 	/** SIGTERM and SIGINT. */
 	void (*stop) (void *ctx, int signal_number);
@@ -12,7 +12,7 @@
 	void *ctx;
 };
 
-/** Runs the loop until it is broken, with @handlers on signals; SIGPIPE is ignored. */
+/** Runs the event loop until it is exited, with @handlers installed; SIGPIPE is ignored. */
 void dff_signal_loop_run (struct event_base *base, const struct dff_signal_handlers *handlers);
 
 #endif
--- a/include/common/trace.h
+++ b/include/common/trace.h
@@ -9,11 +9,11 @@
 #include "common/clock.h"
 #include "common/str.h"
 
-/* Traces: W3C trace context in and out, one span for each hop, written as JSON lines. */
+/* Tracing: W3C trace context is parsed and propagated; each hop writes one span as a JSON line. */
 
 struct dff_trace_context {
 	uint8_t trace_id[16];
-	/** Span that the next span is a child of; zeros: none. */
+	/** Parent of the next span; zeros: none. */
 	uint8_t span_id[8];
 	bool sampled;
 };
@@ -21,24 +21,24 @@
 /** Length of a traceparent header value, without terminator. */
 #define DFF_TRACEPARENT_LEN 55
 
-/** Reads a traceparent header value. Returns: false, and a zero context, when it is malformed. */
+/** Parses a traceparent header value. Returns: false, and a zero context, when it is malformed. */
 bool dff_trace_context_parse (struct dff_str traceparent, struct dff_trace_context *context);
 
-/** Writes a traceparent header value with terminator. */
+/** Formats a traceparent header value, with terminator. */
 void dff_trace_context_format (const struct dff_trace_context *context,
 			       char out[DFF_TRACEPARENT_LEN + 1]);
 
 struct dff_tracer;
 
-/** Takes one finished span as a JSON line without line end. */
+/** Receives one finished span as a JSON line without line terminator. */
 typedef void (*dff_trace_sink_func) (void *ctx, struct dff_str line);
 
 /**
  * dff_tracer_new:
  * @clock: source of span times
  * @instance: written into each span
- * @seed: seeds the ids; a process passes random bits, a test a constant
- * @sink: (nullable): NULL drops spans
+ * @seed: seed of the ids; random in a process, constant in a test
+ * @sink: (nullable): NULL discards spans
  */
 struct dff_tracer *dff_tracer_new (const struct dff_clock *clock,
 				   const struct dff_name *instance,
@@ -50,10 +50,10 @@
 
 DFF_DEFINE_CLEANUP (dff_tracer, dff_tracer_free);
 
-/** Starts a new trace: the context that a request without traceparent gets. */
+/** Starts a new trace, for a request without traceparent. */
 struct dff_trace_context dff_trace_start (struct dff_tracer *tracer);
 
-/** A hop being timed, held by value. */
+/** A span in progress, held by value. */
 struct dff_span {
 	struct dff_trace_context context; /**< Pass this on: span_id is the span's own. */
 	uint8_t parent_id[8];
--- a/tests/common/test-http-client.c
+++ b/tests/common/test-http-client.c
@@ -16,14 +16,14 @@
 #define ANSWER "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 #define LAST_ANSWER "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nhello"
 
-/** What the server does once it has read a request. */
+/** Reaction of the server to a request. */
 struct action {
 	/** (nullable) */
 	const char *answer;
 	bool close;
 };
 
-/* A server that plays one action for each request, the last one again and again. */
+/* A server that executes one action for each request; the last one is repeated. */
 struct fixture {
 	struct event_base *base;
 	struct evconnlistener *listener;
@@ -32,7 +32,7 @@
 	size_t n_actions;
 	int accepted;
 	int requests;
-	/** Bytes read. */
+	/** Number of bytes received. */
 	size_t received;
 	GPtrArray *open;
 	struct dff_metrics *metrics;
@@ -201,9 +201,9 @@
 	assert_int_equal (answer->calls, 1);
 }
 
-/* Symptom: a request is called unsent and sent again, and the worker has run it twice. Sequence:
- * the request is read, and the connection closes, falls silent or is cut inside the answer. Cause:
- * evhttp reports each of these like a refused connection. */
+/* Guards against reporting a sent request as unsent, so that it is sent again and runs twice: the
+ * request is read, then the connection closes, stops answering or is cut within the answer. evhttp
+ * reports all of these like a refused connection. */
 static void
 test_outcome_of_each_failure (void **state)
 {
@@ -286,9 +286,9 @@
 	assert_int_equal (fixture->accepted, 1);
 }
 
-/* Symptom: one request reaches the server twice. Sequence: a kept connection is used again, the
- * server reads the request and closes without a byte of answer. Cause: HTTP libraries take this for
- * an idle connection that was closed and send again on a new one. */
+/* Guards against delivering a request twice: on a reused connection, the server reads the request
+ * and closes without an answer. HTTP libraries assume that an idle connection was closed and retry
+ * on a new one. */
 static void
 test_closed_connection_is_not_retried (void **state)
 {
@@ -307,9 +307,8 @@
 	assert_int_equal (fixture->accepted, 2);
 }
 
-/* Symptom: after one connection fell silent, every later request times out too. Sequence: a
- * middlebox forgets the connection, a request on it gets no answer. Cause: the connection stays in
- * the pool. */
+/* Guards against timeouts of all later requests after a middlebox has dropped one connection's
+ * state: a connection that did not answer must not stay in the pool. */
 static void
 test_silent_connection_is_replaced (void **state)
 {
@@ -328,9 +327,9 @@
 	assert_int_equal (fixture->accepted, 2);
 }
 
-/* Symptom: after a middlebox restarted, as many requests time out as there were connections.
- * Sequence: several connections are kept, something between the two ends forgets all of them, new
- * ones work. Cause: only the connection that kept silent was replaced. */
+/* Guards against one timeout for each pooled connection after a middlebox restart: it drops the
+ * state of all connections at once, while new ones work. The idle connections have to be replaced
+ * together with the one that did not answer. */
 static void
 test_all_dropped_connections_are_replaced (void **state)
 {
@@ -361,8 +360,8 @@
 	assert_int_equal (fixture->accepted, 4);
 }
 
-/* One connection, silent: the first request is sent, two wait until their deadline and are proven
- * unsent, a fourth is refused at once. */
+/* With one connection that never answers, the first request is sent, two wait until their deadline
+ * and end as unsent, and a fourth is refused at once. */
 static void
 test_waiting_is_bounded (void **state)
 {
@@ -399,7 +398,7 @@
 	assert_int_equal (answers[0].calls, 0);
 }
 
-/* The bar for control traffic is measured by these counters: they must say what the server saw. */
+/* The control traffic limit relies on these counters: they must match the bytes received. */
 static void
 test_bytes_are_counted (void **state)
 {
