--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -3,30 +3,30 @@
 #include "common/log.h"
 #include "daemon/daemon_private.h"
 
-#define SHARE_INTERVAL_MS 1000
+#define ASSIGNMENT_INTERVAL_MS 1000
 #define GRANT_INTERVAL_MS 2000
 /* Time for the members to hear of each other and for a holder to send grants, before a new process
  * works out its own. */
-#define FIRST_GRANTS_MS 3000
+#define FIRST_GRANTS_WAIT_MS 3000
 
 static void
-tick_shares (struct dff_daemon *daemon, int64_t now_ms)
+tick_assignments (struct dff_daemon *daemon, int64_t now_ms)
 {
-	if (now_ms >= daemon->next_share_ms) {
-		daemon->next_share_ms = now_ms + SHARE_INTERVAL_MS;
-		dff_daemon_share_watching (daemon);
-		dff_daemon_rank (daemon);
-		dff_daemon_check_isolation (daemon, now_ms);
+	if (now_ms >= daemon->next_assignment_ms) {
+		daemon->next_assignment_ms = now_ms + ASSIGNMENT_INTERVAL_MS;
+		dff_daemon_assign_workers (daemon);
+		dff_daemon_update_rank (daemon);
+		dff_daemon_update_isolation (daemon, now_ms);
 	}
 	if (now_ms >= daemon->next_grants_ms) {
 		daemon->next_grants_ms = now_ms + GRANT_INTERVAL_MS;
-		dff_daemon_share_grants (daemon);
-		dff_daemon_share_without_holder (daemon, now_ms);
+		dff_daemon_assign_grants (daemon);
+		dff_daemon_assign_own_grants (daemon, now_ms);
 	}
 }
 
 static void
-tell_state (struct dff_daemon *daemon)
+publish_state (struct dff_daemon *daemon)
 {
 	bool holder = dff_cell_is_holder (daemon->cell);
 	dff_peer_set_state (daemon->peer, dff_entry_is_ready (daemon->entry), daemon->draining,
@@ -41,14 +41,14 @@
 	struct dff_daemon *daemon = ctx;
 	int64_t now_ms = dff_clock_now_ms (daemon->clock);
 	dff_instance_watch_tick (daemon->instance_watch);
-	dff_pool_watch_tick (daemon->follower);
+	dff_pool_watch_tick (daemon->pool_watch);
 	dff_peer_tick (daemon->peer);
-	tick_shares (daemon, now_ms);
+	tick_assignments (daemon, now_ms);
 	dff_watcher_tick (daemon->watcher);
 	dff_cell_tick (daemon->cell);
 	dff_entry_tick (daemon->entry);
 	dff_recorder_tick (daemon->recorder);
-	tell_state (daemon);
+	publish_state (daemon);
 	if (daemon->spans != NULL)
 		fflush (daemon->spans);
 	if (dff_entry_drain_requested (daemon->entry))
@@ -73,7 +73,7 @@
 	daemon->settings = settings;
 	daemon->clock = dff_clock_system ();
 	daemon->started_ms = dff_clock_now_ms (daemon->clock);
-	daemon->grants_until_ms = daemon->started_ms + FIRST_GRANTS_MS;
+	daemon->grants_until_ms = daemon->started_ms + FIRST_GRANTS_WAIT_MS;
 	daemon->metrics = dff_metrics_new ();
 	daemon->instances = g_array_new (FALSE, TRUE, sizeof (struct dff_instance));
 	daemon->leaving_workers =
--- a/daemon/daemon_private.h
+++ b/daemon/daemon_private.h
@@ -44,7 +44,7 @@
 	struct dff_cell *cell;
 	struct dff_watcher *watcher;
 	struct dff_entry *entry;
-	struct dff_pool_watch *follower;
+	struct dff_pool_watch *pool_watch;
 	struct dff_instance_watch *instance_watch;
 
 	/** Instances as last read. Elements: struct dff_instance. */
@@ -58,18 +58,18 @@
 	/** The same, told before those in @job_watchers; dropped first. */
 	GHashTable *older_job_watchers;
 	int64_t started_ms;
-	int64_t heard_peer_ms;
-	int64_t next_share_ms;
+	int64_t last_peer_heartbeat_ms;
+	int64_t next_assignment_ms;
 	int64_t next_grants_ms;
 	/** Until when a holder's grants are waited for. */
 	int64_t grants_until_ms;
 	/** Of the last grants received. */
 	int64_t grant_epoch;
 	/** Of the last holder that the watcher told everything to. */
-	int64_t told_epoch;
+	int64_t reported_epoch;
 	bool draining;
 	int64_t drain_started_ms;
-	bool cut_off;
+	bool aborted;
 };
 
 /** Makes every part and binds the listeners. */
@@ -100,19 +100,19 @@
 void dff_daemon_handle_message (void *ctx, const uint8_t *data, size_t len);
 
 /** This process's watcher saw something. */
-void dff_daemon_handle_own_sighting (void *ctx, const struct dff_worker_report *sighting);
+void dff_daemon_handle_own_worker_report (void *ctx, const struct dff_worker_report *report);
 
 /** Splits the request slots of the region's workers over the live processes, when holder. */
-void dff_daemon_share_grants (struct dff_daemon *daemon);
+void dff_daemon_assign_grants (struct dff_daemon *daemon);
 
 /** Works out this process's own grants when no holder's have been taken for a while. */
-void dff_daemon_share_without_holder (struct dff_daemon *daemon, int64_t now_ms);
+void dff_daemon_assign_own_grants (struct dff_daemon *daemon, int64_t now_ms);
 
 /** Chooses the workers that this process watches. */
-void dff_daemon_share_watching (struct dff_daemon *daemon);
+void dff_daemon_assign_workers (struct dff_daemon *daemon);
 
 /** Tells the cell how many candidates go before this process. */
-void dff_daemon_rank (struct dff_daemon *daemon);
+void dff_daemon_update_rank (struct dff_daemon *daemon);
 
 /** Jobs in each of the two tables of watchers at the most. A watch is a hint: a process that is not
  * told reads the row itself after a while, so that dropping one costs time, not answers. */
@@ -132,7 +132,7 @@
 				  enum dff_outcome outcome);
 
 /** Watches whether neither store nor peers answer, and tells the entry. */
-void dff_daemon_check_isolation (struct dff_daemon *daemon, int64_t now_ms);
+void dff_daemon_update_isolation (struct dff_daemon *daemon, int64_t now_ms);
 
 /** Goes one step on in a graceful stop. */
 void dff_daemon_continue_drain (struct dff_daemon *daemon, int64_t now_ms);
--- a/daemon/drain.c
+++ b/daemon/drain.c
@@ -27,14 +27,14 @@
 void
 dff_daemon_abort (struct dff_daemon *daemon)
 {
-	daemon->cut_off = true;
+	daemon->aborted = true;
 	event_base_loopexit (daemon->base, NULL);
 }
 
 bool
 dff_daemon_was_aborted (const struct dff_daemon *daemon)
 {
-	return daemon->cut_off;
+	return daemon->aborted;
 }
 
 static bool
--- a/daemon/events.c
+++ b/daemon/events.c
@@ -23,7 +23,7 @@
 				  struct dff_str text)
 {
 	struct dff_daemon *daemon = ctx;
-	dff_pool_watch_offer (daemon->follower, generation, revision, text);
+	dff_pool_watch_offer (daemon->pool_watch, generation, revision, text);
 }
 
 static void
@@ -59,14 +59,14 @@
 
 /* A new holder elsewhere has not heard what this process's watcher told the one before it. */
 static void
-tell_new_holder (struct dff_daemon *daemon)
+report_to_new_holder (struct dff_daemon *daemon)
 {
 	if (daemon->peer == NULL || daemon->watcher == NULL)
 		return;
 	const struct dff_member *holder = dff_peer_holder (daemon->peer);
-	if (holder == NULL || holder->holder_epoch <= daemon->told_epoch)
+	if (holder == NULL || holder->holder_epoch <= daemon->reported_epoch)
 		return;
-	daemon->told_epoch = holder->holder_epoch;
+	daemon->reported_epoch = holder->holder_epoch;
 	dff_watcher_report_all (daemon->watcher);
 }
 
@@ -74,13 +74,13 @@
 handle_members_changed (void *ctx)
 {
 	struct dff_daemon *daemon = ctx;
-	daemon->next_share_ms = 0;
+	daemon->next_assignment_ms = 0;
 	daemon->next_grants_ms = 0;
-	tell_new_holder (daemon);
+	report_to_new_holder (daemon);
 }
 
 static void
-note_leaving (struct dff_daemon *daemon, const struct dff_name *worker)
+mark_leaving (struct dff_daemon *daemon, const struct dff_name *worker)
 {
 	dff_entry_handle_worker_leaving (daemon->entry, worker);
 	if (g_hash_table_contains (daemon->leaving_workers, worker))
@@ -91,23 +91,23 @@
 
 /* A watcher's sighting, this process's own or a peer's. */
 static void
-handle_sighting (void *ctx, const struct dff_worker_report *sighting)
+handle_worker_report (void *ctx, const struct dff_worker_report *report)
 {
 	struct dff_daemon *daemon = ctx;
-	if (sighting->leaving)
-		note_leaving (daemon, &sighting->worker);
-	else if (g_hash_table_remove (daemon->leaving_workers, &sighting->worker))
+	if (report->leaving)
+		mark_leaving (daemon, &report->worker);
+	else if (g_hash_table_remove (daemon->leaving_workers, &report->worker))
 		daemon->next_grants_ms = 0;
-	dff_cell_handle_worker_report (daemon->cell, sighting);
+	dff_cell_handle_worker_report (daemon->cell, report);
 }
 
 void
-dff_daemon_handle_own_sighting (void *ctx, const struct dff_worker_report *sighting)
+dff_daemon_handle_own_worker_report (void *ctx, const struct dff_worker_report *report)
 {
 	struct dff_daemon *daemon = ctx;
-	if (sighting->leaving)
-		note_leaving (daemon, &sighting->worker);
-	dff_peer_send_worker_report (daemon->peer, sighting);
+	if (report->leaving)
+		mark_leaving (daemon, &report->worker);
+	dff_peer_send_worker_report (daemon->peer, report);
 }
 
 static void
@@ -140,7 +140,7 @@
 	dff_peer_set_instances (daemon->peer, instances, n_instances);
 	dff_cell_set_instances (daemon->cell, instances, n_instances);
 	dff_entry_set_instances (daemon->entry, instances, n_instances);
-	daemon->next_share_ms = 0;
+	daemon->next_assignment_ms = 0;
 	daemon->next_grants_ms = 0;
 }
 
@@ -160,7 +160,7 @@
 		.job_hint = handle_job_hint,
 		.job_ended = handle_job_ended,
 		.job_watch = handle_job_watch,
-		.worker_report = handle_sighting,
+		.worker_report = handle_worker_report,
 		.grants_received = handle_grants,
 		.members_changed = handle_members_changed,
 		.ctx = daemon,
--- a/daemon/isolation.c
+++ b/daemon/isolation.c
@@ -3,9 +3,9 @@
 #include <glib.h>
 
 static bool
-is_silent (const struct dff_isolation *isolation, int64_t heard_ms, int64_t now_ms)
+is_silent (const struct dff_isolation *isolation, int64_t last_ms, int64_t now_ms)
 {
-	int64_t since_ms = MAX (heard_ms, isolation->started_ms);
+	int64_t since_ms = MAX (last_ms, isolation->started_ms);
 	return now_ms - since_ms > isolation->timeout_ms;
 }
 
--- a/daemon/job_watchers.c
+++ b/daemon/job_watchers.c
@@ -11,7 +11,7 @@
  * a process that was holder for a while. Symptom of refusing new ones once the table is full:
  * callers get every result seconds late from then on. The older half goes instead. */
 static void
-make_room (struct dff_daemon *daemon)
+evict_older_jobs (struct dff_daemon *daemon)
 {
 	if (g_hash_table_size (daemon->job_watchers) < DFF_DAEMON_WATCHED_JOBS_MAX)
 		return;
@@ -27,7 +27,7 @@
 {
 	GArray *watchers = g_hash_table_lookup (daemon->job_watchers, job);
 	if (watchers == NULL) {
-		make_room (daemon);
+		evict_older_jobs (daemon);
 		watchers = g_array_new (FALSE, FALSE, sizeof (struct dff_name));
 		g_hash_table_insert (daemon->job_watchers, dff_name_dup (job), watchers);
 	}
@@ -39,10 +39,10 @@
 }
 
 static void
-tell_watchers (struct dff_daemon *daemon,
-	       GHashTable *jobs,
-	       const struct dff_name *job,
-	       enum dff_outcome outcome)
+notify_watchers (struct dff_daemon *daemon,
+		 GHashTable *jobs,
+		 const struct dff_name *job,
+		 enum dff_outcome outcome)
 {
 	const GArray *watchers = g_hash_table_lookup (jobs, job);
 	if (watchers == NULL)
@@ -60,6 +60,6 @@
 			     enum dff_outcome outcome)
 {
 	dff_entry_handle_job_ended (daemon->entry, job, outcome);
-	tell_watchers (daemon, daemon->job_watchers, job, outcome);
-	tell_watchers (daemon, daemon->older_job_watchers, job, outcome);
+	notify_watchers (daemon, daemon->job_watchers, job, outcome);
+	notify_watchers (daemon, daemon->older_job_watchers, job, outcome);
 }
--- a/daemon/parts.c
+++ b/daemon/parts.c
@@ -94,7 +94,7 @@
 	watcher.seed = random_seed ();
 	watcher.interval_ms = settings->watch_interval_ms;
 	watcher.lease_ms = settings->task_lease_ms;
-	watcher.report = dff_daemon_handle_own_sighting;
+	watcher.report = dff_daemon_handle_own_worker_report;
 	watcher.ctx = daemon;
 	daemon->watcher = dff_watcher_new (&watcher);
 }
@@ -178,9 +178,9 @@
 }
 
 static void
-start_following (struct dff_daemon *daemon)
+start_watches (struct dff_daemon *daemon)
 {
-	struct dff_pool_watch_options follower = {
+	struct dff_pool_watch_options pool_watch = {
 		.table = dff_http_table_interface (daemon->table),
 		.clock = daemon->clock,
 		.metrics = daemon->metrics,
@@ -188,7 +188,7 @@
 		.in_force = dff_daemon_handle_pool_in_force,
 		.ctx = daemon,
 	};
-	daemon->follower = dff_pool_watch_new (&follower);
+	daemon->pool_watch = dff_pool_watch_new (&pool_watch);
 	struct dff_instance_watch_options watch = {
 		.list = dff_http_instance_list_interface (daemon->list),
 		.clock = daemon->clock,
@@ -249,7 +249,7 @@
 	start_cell (daemon);
 	if (!start_entry (daemon, error))
 		return false;
-	start_following (daemon);
+	start_watches (daemon);
 	return true;
 }
 
@@ -270,8 +270,8 @@
 {
 	if (daemon->entry != NULL)
 		dff_entry_free (daemon->entry);
-	if (daemon->follower != NULL)
-		dff_pool_watch_free (daemon->follower);
+	if (daemon->pool_watch != NULL)
+		dff_pool_watch_free (daemon->pool_watch);
 	if (daemon->instance_watch != NULL)
 		dff_instance_watch_free (daemon->instance_watch);
 	if (daemon->cell != NULL)
--- a/daemon/settings.c
+++ b/daemon/settings.c
@@ -33,7 +33,7 @@
 }
 
 static int64_t
-integer_of (const struct dff_settings *settings, const char *key)
+integer_value (const struct dff_settings *settings, const char *key)
 {
 	return dff_setting_integer (dff_setting_table_find (dff_settings_table (), key), settings);
 }
@@ -43,11 +43,11 @@
 		const struct dff_settings *settings,
 		const struct relation *relation)
 {
-	int64_t smaller = integer_of (settings, relation->smaller);
-	int64_t larger = integer_of (settings, relation->larger);
+	int64_t smaller = integer_value (settings, relation->smaller);
+	int64_t larger = integer_value (settings, relation->larger);
 	int64_t margin = 0;
 	if (relation->margin != NULL)
-		margin = integer_of (settings, relation->margin);
+		margin = integer_value (settings, relation->margin);
 	if (smaller + margin < larger)
 		return;
 	bool named = dff_setting_reader_has_key (reader, relation->smaller);
@@ -71,7 +71,7 @@
 }
 
 static void
-check_together (struct dff_setting_reader *reader, const void *object)
+check_settings (struct dff_setting_reader *reader, const void *object)
 {
 	check_tls (reader, object);
 	for (size_t i = 0; i < G_N_ELEMENTS (relations); i++)
@@ -82,7 +82,7 @@
 dff_settings_parse (struct dff_str text, const char *source, GPtrArray *errors, GError **error)
 {
 	struct dff_setting_input input = {
-		.text = text, .source = source, .check = check_together, .errors = errors};
+		.text = text, .source = source, .check = check_settings, .errors = errors};
 	DFF_AUTO (dff_settings) settings = settings_new ();
 	if (!dff_setting_table_read (dff_settings_table (), &input, settings, error))
 		return NULL;
@@ -93,7 +93,7 @@
 dff_settings_load (const char *path, GPtrArray *errors, GError **error)
 {
 	struct dff_setting_input input = {
-		.source = path, .check = check_together, .errors = errors};
+		.source = path, .check = check_settings, .errors = errors};
 	DFF_AUTO (dff_settings) settings = settings_new ();
 	if (!dff_setting_table_load (dff_settings_table (), &input, settings, error))
 		return NULL;
--- a/daemon/shares.c
+++ b/daemon/shares.c
@@ -29,7 +29,7 @@
 }
 
 void
-dff_daemon_share_watching (struct dff_daemon *daemon)
+dff_daemon_assign_workers (struct dff_daemon *daemon)
 {
 	g_autoptr (GArray) members = live_members (daemon);
 	g_autoptr (GArray) workers = g_array_new (FALSE, FALSE, sizeof (struct dff_watched_worker));
@@ -43,13 +43,13 @@
 		g_array_append_val (workers, worker);
 		g_array_append_val (names, instance->id);
 	}
-	g_autoptr (GArray) mine = g_array_new (FALSE, FALSE, sizeof (guint));
+	g_autoptr (GArray) assigned = g_array_new (FALSE, FALSE, sizeof (guint));
 	dff_watch_assign (&daemon->settings->instance,
 			  (const struct dff_name *)(void *)members->data, members->len,
-			  (const struct dff_name *)(void *)names->data, names->len, mine);
+			  (const struct dff_name *)(void *)names->data, names->len, assigned);
 	g_autoptr (GArray) share = g_array_new (FALSE, FALSE, sizeof (struct dff_watched_worker));
-	for (guint i = 0; i < mine->len; i++) {
-		guint index = g_array_index (mine, guint, i);
+	for (guint i = 0; i < assigned->len; i++) {
+		guint index = g_array_index (assigned, guint, i);
 		g_array_append_val (share,
 				    g_array_index (workers, struct dff_watched_worker, index));
 	}
@@ -63,7 +63,7 @@
 }
 
 void
-dff_daemon_rank (struct dff_daemon *daemon)
+dff_daemon_update_rank (struct dff_daemon *daemon)
 {
 	g_autoptr (GArray) members = live_members (daemon);
 	struct dff_str region = {daemon->settings->region.data, daemon->settings->region.len};
@@ -123,7 +123,7 @@
 }
 
 static GPtrArray *
-share_out (const struct dff_daemon *daemon, const GArray *members)
+compute_grants (const struct dff_daemon *daemon, const GArray *members)
 {
 	g_autoptr (GArray) workers = grant_workers (daemon);
 	return dff_grants_assign (
@@ -132,12 +132,12 @@
 }
 
 void
-dff_daemon_share_grants (struct dff_daemon *daemon)
+dff_daemon_assign_grants (struct dff_daemon *daemon)
 {
 	if (!dff_cell_is_holder (daemon->cell) || daemon->pool == NULL)
 		return;
 	g_autoptr (GArray) members = grant_members (daemon);
-	g_autoptr (GPtrArray) shares = share_out (daemon, members);
+	g_autoptr (GPtrArray) shares = compute_grants (daemon, members);
 	for (guint i = 0; i < members->len; i++) {
 		const struct dff_grant_member *member =
 			&g_array_index (members, struct dff_grant_member, i);
@@ -154,14 +154,14 @@
  * where views differ for a moment, a worker that has no slot left refuses and the request moves on.
  */
 void
-dff_daemon_share_without_holder (struct dff_daemon *daemon, int64_t now_ms)
+dff_daemon_assign_own_grants (struct dff_daemon *daemon, int64_t now_ms)
 {
 	/* A holder is granted slots by itself, unless its epoch is lower than one that it had
 	 * grants of: then the table was lost, and it must not wait for ever. */
 	if (now_ms < daemon->grants_until_ms || daemon->pool == NULL)
 		return;
 	g_autoptr (GArray) members = grant_members (daemon);
-	g_autoptr (GPtrArray) shares = share_out (daemon, members);
+	g_autoptr (GPtrArray) shares = compute_grants (daemon, members);
 	for (guint i = 0; i < members->len; i++) {
 		const struct dff_grant_member *member =
 			&g_array_index (members, struct dff_grant_member, i);
--- a/daemon/watch_isolation.c
+++ b/daemon/watch_isolation.c
@@ -19,11 +19,11 @@
  * is cut off. Symptom: it goes on accepting a token that was revoked. It says it is not ready, so
  * that the balancer sends callers elsewhere. */
 void
-dff_daemon_check_isolation (struct dff_daemon *daemon, int64_t now_ms)
+dff_daemon_update_isolation (struct dff_daemon *daemon, int64_t now_ms)
 {
 	const struct dff_isolation isolation = {
 		.started_ms = daemon->started_ms,
-		.store_ms = dff_pool_watch_last_answer_ms (daemon->follower),
+		.store_ms = dff_pool_watch_last_answer_ms (daemon->pool_watch),
 		.has_peers = dff_peer_members (daemon->peer)->len > 1,
 		.peer_ms = last_peer_ms (daemon),
 		.timeout_ms = daemon->settings->isolated_after_ms,
--- a/include/daemon/pool_watch.h
+++ b/include/daemon/pool_watch.h
@@ -1,5 +1,5 @@
-#ifndef DFF_DAEMON_POOL_FOLLOWER_H
-#define DFF_DAEMON_POOL_FOLLOWER_H
+#ifndef DFF_DAEMON_POOL_WATCH_H
+#define DFF_DAEMON_POOL_WATCH_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -36,12 +36,12 @@
 /** Returns: (transfer full): a follower without a pool. */
 struct dff_pool_watch *dff_pool_watch_new (const struct dff_pool_watch_options *options);
 
-void dff_pool_watch_free (struct dff_pool_watch *follower);
+void dff_pool_watch_free (struct dff_pool_watch *watch);
 
 DFF_DEFINE_CLEANUP (dff_pool_watch, dff_pool_watch_free);
 
 /** Polls the table when it is time to. */
-void dff_pool_watch_tick (struct dff_pool_watch *follower);
+void dff_pool_watch_tick (struct dff_pool_watch *watch);
 
 /**
  * dff_pool_watch_offer:
@@ -51,15 +51,15 @@
  *
  * Returns: whether it is now in force.
  */
-bool dff_pool_watch_offer (struct dff_pool_watch *follower,
+bool dff_pool_watch_offer (struct dff_pool_watch *watch,
 			   int64_t generation,
 			   int64_t revision,
 			   struct dff_str text);
 
 /** Returns: the generation in force, 0: none. */
-int64_t dff_pool_watch_generation (const struct dff_pool_watch *follower);
+int64_t dff_pool_watch_generation (const struct dff_pool_watch *watch);
 
 /** Returns: when the table last answered a poll, monotonic ms; 0: never. */
-int64_t dff_pool_watch_last_answer_ms (const struct dff_pool_watch *follower);
+int64_t dff_pool_watch_last_answer_ms (const struct dff_pool_watch *watch);
 
 #endif
--- a/tests/daemon/test-daemon-steps.c
+++ b/tests/daemon/test-daemon-steps.c
@@ -17,7 +17,7 @@
 #define WORKER_SLOTS 3
 #define ALL_SLOTS (2 * WORKER_SLOTS)
 #define GRACE_MS 3000
-#define LIMIT_MS 6000
+#define DRAIN_TIMEOUT_MS 6000
 
 struct fixture {
 	struct harness *harness;
@@ -26,14 +26,14 @@
 };
 
 static void
-never_list (void *ctx, dff_instance_list_func done, void *user)
+ignore_list_call (void *ctx, dff_instance_list_func done, void *user)
 {
 	(void)ctx;
 	(void)done;
 	(void)user;
 }
 
-static const struct dff_instance_list silent_list = {.list = never_list};
+static const struct dff_instance_list silent_list = {.list = ignore_list_call};
 
 static struct dff_instance_watch *
 instance_watch_new (struct fixture *fixture)
@@ -138,14 +138,14 @@
 	struct dff_daemon *daemons = fixture.daemons;
 	int64_t now_ms = fixture.harness->clock.now_ms;
 	daemons[0].grants_until_ms = now_ms + 1;
-	dff_daemon_share_without_holder (&daemons[0], now_ms);
+	dff_daemon_assign_own_grants (&daemons[0], now_ms);
 	assert_int_equal (granted_slots (&daemons[0]), 0);
 	expect_status (send_request (fixture.harness, 0), 503);
 
 	now_ms = fixture.harness->clock.now_ms;
 	daemons[0].grants_until_ms = now_ms;
 	for (int i = 0; i < HARNESS_PROCESSES; i++)
-		dff_daemon_share_without_holder (&daemons[i], now_ms);
+		dff_daemon_assign_own_grants (&daemons[i], now_ms);
 	int32_t granted = granted_slots (&daemons[0]) + granted_slots (&daemons[1]);
 	assert_int_equal (granted, ALL_SLOTS);
 	assert_in_range (granted_slots (&daemons[0]), 1, ALL_SLOTS - 1);
@@ -156,7 +156,7 @@
 
 /* Makes the daemon holder of its cell, which has no workers to ask. */
 static void
-take_cell (struct fixture *fixture, const struct dff_daemon *daemon)
+acquire_cell (struct fixture *fixture, const struct dff_daemon *daemon)
 {
 	dff_cell_set_pool (daemon->cell, daemon->pool);
 	dff_cell_set_instances (daemon->cell, NULL, 0);
@@ -179,10 +179,10 @@
 	begin (&fixture);
 	struct dff_daemon *daemon = &fixture.daemons[0];
 	daemon->grant_epoch = 7;
-	take_cell (&fixture, daemon);
+	acquire_cell (&fixture, daemon);
 	assert_in_range (dff_cell_epoch (daemon->cell), 1, daemon->grant_epoch - 1);
 	daemon->grants_until_ms = fixture.harness->clock.now_ms;
-	dff_daemon_share_without_holder (daemon, fixture.harness->clock.now_ms);
+	dff_daemon_assign_own_grants (daemon, fixture.harness->clock.now_ms);
 	assert_in_range (granted_slots (daemon), 1, ALL_SLOTS - 1);
 	end (&fixture);
 }
@@ -200,7 +200,7 @@
 	for (int i = 0; i < HARNESS_PROCESSES; i++) {
 		struct dff_daemon *daemon = &fixture.daemons[i];
 		g_hash_table_add (daemon->leaving_workers, dff_name_dup (&leaving));
-		dff_daemon_share_without_holder (daemon, fixture.harness->clock.now_ms);
+		dff_daemon_assign_own_grants (daemon, fixture.harness->clock.now_ms);
 	}
 	int32_t granted = granted_slots (&fixture.daemons[0]) + granted_slots (&fixture.daemons[1]);
 	assert_int_equal (granted, WORKER_SLOTS);
@@ -211,7 +211,7 @@
  * is told to stop, the balancer goes on sending for a while. Cause: the process refused before the
  * balancer could know, or ended before the request had its answer. */
 static void
-test_drain_waits_for_what_is_in_flight (void **state)
+test_drain_waits_for_requests_in_flight (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -227,13 +227,13 @@
 
 	dff_daemon_drain (daemon);
 	assert_false (dff_entry_is_ready (daemon->entry));
-	int64_t began_ms = harness->clock.now_ms;
-	dff_daemon_continue_drain (daemon, began_ms + GRACE_MS - 1);
+	int64_t started_ms = harness->clock.now_ms;
+	dff_daemon_continue_drain (daemon, started_ms + GRACE_MS - 1);
 	expect_status (send_request (harness, 0), 200);
-	dff_daemon_continue_drain (daemon, began_ms + GRACE_MS);
+	dff_daemon_continue_drain (daemon, started_ms + GRACE_MS);
 	expect_status (send_request (harness, 0), 503);
 	dff_cell_tick (daemon->cell);
-	dff_daemon_continue_drain (daemon, began_ms + GRACE_MS + 1);
+	dff_daemon_continue_drain (daemon, started_ms + GRACE_MS + 1);
 	harness_step (harness);
 	assert_false (event_base_got_exit (harness->base));
 
@@ -241,7 +241,7 @@
 	expect_status (in_flight, 200);
 	/* An idle connection is closed a while after its last answer. */
 	harness_run (harness, 1000);
-	dff_daemon_continue_drain (daemon, began_ms + GRACE_MS + 2);
+	dff_daemon_continue_drain (daemon, started_ms + GRACE_MS + 2);
 	event_base_loop (harness->base, EVLOOP_NONBLOCK);
 	assert_true (event_base_got_exit (harness->base));
 	assert_false (dff_daemon_was_aborted (daemon));
@@ -251,7 +251,7 @@
 /* Symptom: a planned stop never ends, though a time limit is set. Sequence: a worker keeps a
  * request for ever. Cause: the limit was looked at only with nothing in flight. */
 static void
-test_drain_ends_at_its_limit (void **state)
+test_drain_ends_at_time_limit (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -259,16 +259,16 @@
 	struct harness *harness = fixture.harness;
 	struct dff_daemon *daemon = &fixture.daemons[0];
 	struct harness_answer held = {.outcome = DFF_WORKER_OK, .status = 200, .held = true};
-	daemon->settings->drain_timeout_ms = LIMIT_MS;
+	daemon->settings->drain_timeout_ms = DRAIN_TIMEOUT_MS;
 	harness_grant (harness, WORKER_SLOTS, 600000);
 	harness_next_answer (harness, &held);
 	struct harness_client *in_flight = send_request (harness, 0);
 	harness_run (harness, 20);
 	dff_daemon_drain (daemon);
-	int64_t began_ms = harness->clock.now_ms;
-	dff_daemon_continue_drain (daemon, began_ms + LIMIT_MS);
+	int64_t started_ms = harness->clock.now_ms;
+	dff_daemon_continue_drain (daemon, started_ms + DRAIN_TIMEOUT_MS);
 	assert_false (dff_daemon_was_aborted (daemon));
-	dff_daemon_continue_drain (daemon, began_ms + LIMIT_MS + 1);
+	dff_daemon_continue_drain (daemon, started_ms + DRAIN_TIMEOUT_MS + 1);
 	assert_true (dff_daemon_was_aborted (daemon));
 	harness_client_free (in_flight);
 	end (&fixture);
@@ -294,7 +294,7 @@
  * that had ended, or are of another region, are left behind in a holder until its table is full.
  * Cause: from then on new watches were dropped, and nothing ever made room. */
 static void
-test_forgotten_watches_make_room (void **state)
+test_stale_watches_are_evicted (void **state)
 {
 	(void)state;
 	static const int n_jobs = 4 * DFF_DAEMON_WATCHED_JOBS_MAX;
@@ -322,12 +322,12 @@
 {
 	signal (SIGPIPE, SIG_IGN);
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_forgotten_watches_make_room),
+		cmocka_unit_test (test_stale_watches_are_evicted),
 		cmocka_unit_test (test_slots_without_a_holder),
 		cmocka_unit_test (test_slots_of_a_holder_whose_grants_are_outdated),
 		cmocka_unit_test (test_leaving_worker_is_not_granted),
-		cmocka_unit_test (test_drain_waits_for_what_is_in_flight),
-		cmocka_unit_test (test_drain_ends_at_its_limit),
+		cmocka_unit_test (test_drain_waits_for_requests_in_flight),
+		cmocka_unit_test (test_drain_ends_at_time_limit),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/daemon/test-drain-step.c
+++ b/tests/daemon/test-drain-step.c
@@ -8,7 +8,7 @@
 #include "daemon/drain_step.h"
 
 struct step_case {
-	const char *what;
+	const char *name;
 	struct dff_drain_times times;
 	bool idle;
 	bool refuses;
@@ -37,10 +37,10 @@
 	};
 	for (size_t i = 0; i < sizeof (cases) / sizeof (cases[0]); i++) {
 		if (dff_drain_refuses (&cases[i].times) != cases[i].refuses)
-			fail_msg ("%s: refuses: expected %d", cases[i].what, cases[i].refuses);
+			fail_msg ("%s: refuses: expected %d", cases[i].name, cases[i].refuses);
 		enum dff_drain_step step = dff_drain_next (&cases[i].times, cases[i].idle);
 		if (step != cases[i].step)
-			fail_msg ("%s: step %d, expected %d", cases[i].what, (int)step,
+			fail_msg ("%s: step %d, expected %d", cases[i].name, (int)step,
 				  (int)cases[i].step);
 	}
 }
--- a/tests/daemon/test-isolation.c
+++ b/tests/daemon/test-isolation.c
@@ -15,7 +15,7 @@
 #define OLD_MS (RECENT_MS - 1)
 
 struct isolation_case {
-	const char *what;
+	const char *name;
 	int64_t store_ms;
 	int64_t peer_ms;
 	int64_t now_ms;
@@ -47,7 +47,7 @@
 		const struct dff_isolation isolation = {STARTED_MS, at->store_ms, at->has_peers,
 							at->peer_ms, TIMEOUT_MS};
 		if (dff_is_isolated (&isolation, at->now_ms) != at->isolated)
-			fail_msg ("%s: expected %d", at->what, at->isolated);
+			fail_msg ("%s: expected %d", at->name, at->isolated);
 	}
 }
 
--- a/tests/daemon/test-pool-follower.c
+++ b/tests/daemon/test-pool-follower.c
@@ -18,12 +18,12 @@
 
 struct fixture {
 	struct memory_fixture site;
-	struct dff_pool_watch *follower;
+	struct dff_pool_watch *watch;
 	/** What the follower sees: the caller's table, with its rows counted. */
 	struct dff_table table;
 	int64_t rows_read;
 	int64_t in_force;
-	bool went_back;
+	bool regressed;
 };
 
 static void
@@ -32,7 +32,7 @@
 	struct fixture *fixture = ctx;
 	assert_true (text.len > 0);
 	if (pool->generation <= fixture->in_force)
-		fixture->went_back = true;
+		fixture->regressed = true;
 	fixture->in_force = pool->generation;
 }
 
@@ -97,7 +97,7 @@
 		.in_force = handle_in_force,
 		.ctx = fixture,
 	};
-	fixture->follower = dff_pool_watch_new (&options);
+	fixture->watch = dff_pool_watch_new (&options);
 	*state = fixture;
 	return 0;
 }
@@ -107,7 +107,7 @@
 {
 	struct fixture *fixture = *state;
 	memory_fixture_close (&fixture->site);
-	dff_pool_watch_free (fixture->follower);
+	dff_pool_watch_free (fixture->watch);
 	memory_fixture_clear (&fixture->site);
 	g_free (fixture);
 	return 0;
@@ -117,7 +117,7 @@
 tick (void *user)
 {
 	struct fixture *fixture = user;
-	dff_pool_watch_tick (fixture->follower);
+	dff_pool_watch_tick (fixture->watch);
 }
 
 static void
@@ -148,7 +148,7 @@
 }
 
 static void
-take_revision (void *user, const struct dff_table_result *result)
+store_revision (void *user, const struct dff_table_result *result)
 {
 	assert_int_equal (result->n_rows, 1);
 	*(int64_t *)user = result->rows[0].revision;
@@ -157,14 +157,14 @@
 struct offer_case {
 	int64_t generation;
 	const char *text;
-	bool taken;
+	bool accepted;
 	int64_t in_force;
 };
 
 /* Symptom: a revoked token works again. Sequence: files arrive late and out of order. Cause: the
  * last one to arrive was taken for the newest. */
 static void
-test_never_goes_back (void **state)
+test_generation_never_decreases (void **state)
 {
 	struct fixture *fixture = *state;
 	static const struct offer_case cases[] = {
@@ -173,20 +173,20 @@
 		{0, POOL, false, 5}, {-1, POOL, false, 5}, {6, POOL, true, 6},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
-		bool taken = dff_pool_watch_offer (fixture->follower, cases[i].generation, 0,
-						   dff_str_from (cases[i].text));
-		assert_int_equal (taken, cases[i].taken);
-		assert_int_equal (dff_pool_watch_generation (fixture->follower), cases[i].in_force);
+		bool accepted = dff_pool_watch_offer (fixture->watch, cases[i].generation, 0,
+						      dff_str_from (cases[i].text));
+		assert_int_equal (accepted, cases[i].accepted);
+		assert_int_equal (dff_pool_watch_generation (fixture->watch), cases[i].in_force);
 	}
 	commit_pool (fixture, 4);
 	run_for (fixture, 5 * POLL_MS);
 	assert_int_equal (fixture->in_force, 6);
-	assert_false (fixture->went_back);
+	assert_false (fixture->regressed);
 }
 
 /** The follower does not poll meanwhile. */
 static void
-let_be (void *user)
+do_nothing (void *user)
 {
 	(void)user;
 }
@@ -197,8 +197,8 @@
 	int64_t revision = 0;
 	const struct dff_table *table = &fixture->site.caller->table;
 	struct dff_str key = dff_str_from (DFF_POOL_ROW_KEY);
-	table->get (table->ctx, &key, 1, take_revision, &revision);
-	memory_fixture_run (&fixture->site, POLL_MS / 4, let_be, NULL);
+	table->get (table->ctx, &key, 1, store_revision, &revision);
+	memory_fixture_run (&fixture->site, POLL_MS / 4, do_nothing, NULL);
 	assert_true (revision > 0);
 	return revision;
 }
@@ -208,17 +208,17 @@
  * did not say which row it had brought. Here a row that is newer is still read, and so is the row
  * of a file that could not be put in force. */
 static void
-test_a_brought_row_is_not_read_again (void **state)
+test_pushed_row_is_not_read_again (void **state)
 {
 	struct fixture *fixture = *state;
 	commit_pool (fixture, 4);
 	int64_t revision = row_revision (fixture);
-	assert_false (dff_pool_watch_offer (fixture->follower, 4, revision, dff_str_from ("{")));
+	assert_false (dff_pool_watch_offer (fixture->watch, 4, revision, dff_str_from ("{")));
 	run_for (fixture, 2 * POLL_MS);
 	assert_int_equal (fixture->rows_read, 1);
 	commit_pool (fixture, 5);
 	revision = row_revision (fixture);
-	assert_true (dff_pool_watch_offer (fixture->follower, 5, revision, dff_str_from (POOL)));
+	assert_true (dff_pool_watch_offer (fixture->watch, 5, revision, dff_str_from (POOL)));
 	run_for (fixture, 5 * POLL_MS);
 	assert_int_equal (fixture->rows_read, 1);
 	commit_pool (fixture, 6);
@@ -243,7 +243,7 @@
 
 /* Symptom: the same. Sequence: a poll is never answered. Cause: the next one waited for it. */
 static void
-test_polls_on_after_a_poll_without_answer (void **state)
+test_polling_continues_after_lost_poll (void **state)
 {
 	struct fixture *fixture = *state;
 	run_for (fixture, POLL_MS);
@@ -254,7 +254,7 @@
 	assert_int_equal (fixture->in_force, 0);
 	run_for (fixture, 45000);
 	assert_int_equal (fixture->in_force, 7);
-	assert_false (fixture->went_back);
+	assert_false (fixture->regressed);
 }
 
 /* Symptom: an idle process receives 1.2 KB a second of pool file; with the pool of a large region
@@ -278,14 +278,15 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown (test_a_brought_row_is_not_read_again, set_up,
+		cmocka_unit_test_setup_teardown (test_pushed_row_is_not_read_again, set_up,
+						 tear_down),
+		cmocka_unit_test_setup_teardown (test_generation_never_decreases, set_up,
 						 tear_down),
-		cmocka_unit_test_setup_teardown (test_never_goes_back, set_up, tear_down),
 		cmocka_unit_test_setup_teardown (test_polls_when_the_push_is_lost, set_up,
 						 tear_down),
 		cmocka_unit_test_setup_teardown (test_unchanged_row_is_read_once, set_up,
 						 tear_down),
-		cmocka_unit_test_setup_teardown (test_polls_on_after_a_poll_without_answer, set_up,
+		cmocka_unit_test_setup_teardown (test_polling_continues_after_lost_poll, set_up,
 						 tear_down),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
