--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -5,8 +5,8 @@
 
 #define ASSIGNMENT_INTERVAL_MS 1000
 #define GRANT_INTERVAL_MS 2000
-/* Time for the members to hear of each other and for a holder to send grants, before a new process
- * works out its own. */
+/* Time for the members to discover each other and for a holder to send grants, before a new process
+ * computes its own. */
 #define FIRST_GRANTS_WAIT_MS 3000
 
 static void
--- a/daemon/drain.c
+++ b/daemon/drain.c
@@ -43,10 +43,10 @@
 	return dff_entry_is_drained (daemon->entry) && dff_cell_is_drained (daemon->cell);
 }
 
-/* The balancer learns from /readyz, a while late, that this process is going. What it still sends
- * in that while is served: refusing it at once would cost callers a retry at every planned stop.
- * After the grace new work is refused, and the loop ends when the last request in flight has its
- * whole answer and the cell has been given back. */
+/* The load balancer detects with a delay, by /readyz, that this process is stopping. Requests that
+ * it sends during this delay are served: refusing them would cost callers a retry at each planned
+ * stop. After the grace period new work is refused. The loop exits when the last request in flight
+ * has its complete answer and the cell's lease is released. */
 void
 dff_daemon_continue_drain (struct dff_daemon *daemon, int64_t now_ms)
 {
--- a/daemon/drain_step.h
+++ b/daemon/drain_step.h
@@ -4,32 +4,31 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* What a process that is being stopped does next. Pure. */
+/* Next step of a process that is being stopped. Pure functions. */
 
 enum dff_drain_step {
 	DFF_DRAIN_WAIT,
-	/** Nothing is in flight: the process may end. */
+	/** No work is in flight: the process may exit. */
 	DFF_DRAIN_END,
-	/** The time limit is over: what is in flight is cut off. */
+	/** The time limit has passed: work in flight is aborted. */
 	DFF_DRAIN_ABORT,
 };
 
 struct dff_drain_times {
-	/** Time since the stop was asked for, ms. */
+	/** Time since the stop was requested, ms. */
 	int64_t elapsed_ms;
-	/** Time in which the balancer may still send work, ms. */
+	/** Time during which the load balancer may still send work, ms. */
 	int32_t grace_ms;
 	/** Time limit, ms; 0: none. */
 	int32_t timeout_ms;
 };
 
-/** Returns: whether new work is refused; before, the process is unready and takes what still comes.
- */
+/** Returns: whether new work is refused. Before that, the process is unready but accepts work. */
 bool dff_drain_refuses (const struct dff_drain_times *times);
 
 /**
  * dff_drain_next:
- * @idle: whether new work is refused, nothing is in flight and the cell has been given back
+ * @idle: whether new work is refused, no work is in flight and the cell's lease is released
  */
 enum dff_drain_step dff_drain_next (const struct dff_drain_times *times, bool idle);
 
--- a/daemon/events.c
+++ b/daemon/events.c
@@ -3,7 +3,7 @@
 #include "common/log.h"
 #include "daemon/daemon_private.h"
 
-/* What one part tells and another has to hear. */
+/* Forwards events of one part to the other parts. */
 
 void
 dff_daemon_handle_pool_in_force (void *ctx, const struct dff_pool *pool, struct dff_str text)
@@ -57,7 +57,7 @@
 	dff_entry_set_grants (daemon->entry, epoch, grants, n_grants, valid_ms);
 }
 
-/* A new holder elsewhere has not heard what this process's watcher told the one before it. */
+/* A new holder elsewhere has not received the earlier reports of this process's watcher. */
 static void
 report_to_new_holder (struct dff_daemon *daemon)
 {
@@ -89,7 +89,7 @@
 	daemon->next_grants_ms = 0;
 }
 
-/* A watcher's sighting, this process's own or a peer's. */
+/* Handles a report of a watcher, of this process or of a peer. */
 static void
 handle_worker_report (void *ctx, const struct dff_worker_report *report)
 {
--- a/daemon/isolation.h
+++ b/daemon/isolation.h
@@ -4,26 +4,26 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Whether a process is cut off from everybody who could tell it of a new pool file. Pure. */
+/* Whether a process is isolated from all sources of a new pool file. Pure function. */
 
 /** Monotonic times, ms. */
 struct dff_isolation {
 	int64_t started_ms;
-	/** Last answer of the store; 0: none since the start. */
+	/** Time of the store's last answer; 0: none since the start. */
 	int64_t store_ms;
-	/** Whether any other process is known. */
+	/** Whether other processes are known. */
 	bool has_peers;
-	/** When another process was heard last; 0: none since the start. */
+	/** Time of the last heartbeat of another process; 0: none since the start. */
 	int64_t peer_ms;
-	/** Longest silence that is in order, ms. */
+	/** Time without an answer after which a source counts as lost, ms. */
 	int64_t timeout_ms;
 };
 
 /**
  * dff_is_isolated:
  *
- * Returns: whether store and peers have both been silent for longer than is in order. Silence
- * counts from the start at the earliest; without peers the store alone counts.
+ * Returns: whether neither store nor peers have answered for longer than the timeout, which counts
+ * from the start of the process at the earliest. Without peers, only the store counts.
  */
 bool dff_is_isolated (const struct dff_isolation *isolation, int64_t now_ms);
 
--- a/daemon/job_watchers.c
+++ b/daemon/job_watchers.c
@@ -7,9 +7,10 @@
 				      (GDestroyNotify)g_array_unref);
 }
 
-/* Watches are left behind: by a job that ended before the watch came, by one of another region, by
- * a process that was holder for a while. Symptom of refusing new ones once the table is full:
- * callers get every result seconds late from then on. The older half goes instead. */
+/* Stale watches remain in the tables: of a job that ended before the watch arrived, of a job of
+ * another region, or in a process that is no longer the holder. If new watches were refused in a
+ * full table, callers would receive every result seconds late; the older half is evicted
+ * instead. */
 static void
 evict_older_jobs (struct dff_daemon *daemon)
 {
--- a/daemon/parts.c
+++ b/daemon/parts.c
@@ -4,7 +4,7 @@
 #include "common/log.h"
 #include "daemon/daemon_private.h"
 
-/* Makes and frees the parts of a process. */
+/* Creates and frees the parts of a process. */
 
 #define POOL_POLL_MS 1000
 #define INSTANCE_POLL_MS 1000
@@ -62,7 +62,7 @@
 	recorder.table = dff_http_table_interface (daemon->table);
 	recorder.clock = daemon->clock;
 	recorder.metrics = daemon->metrics;
-	/* A write id must never be used twice, also not by the next process under the same name. */
+	/* A write id must never be reused, not even by the next process of the same name. */
 	recorder.writer = dff_name_printf ("%.30s-%016" G_GINT64_MODIFIER "x",
 					   settings->instance.data, random_seed ());
 	recorder.seed = random_seed ();
@@ -219,7 +219,8 @@
 		return true;
 	daemon->spans = strcmp (path, "-") == 0 ? stdout : fopen (path, "ae");
 	if (daemon->spans != NULL) {
-		/* The tick flushes: a larger buffer saves a write for each handful of requests. */
+		/* The tick flushes the buffer. A large one saves one write for every few
+		 * requests. */
 		setvbuf (daemon->spans, NULL, _IOFBF, SPANS_BUFFER_BYTES);
 		return true;
 	}
@@ -253,7 +254,7 @@
 	return true;
 }
 
-/* The clients go first: no answer may come back to a part that is gone. */
+/* The clients are freed first, so that no answer arrives at a part that is already freed. */
 static void
 free_clients (struct dff_daemon *daemon)
 {
--- a/daemon/pool_watch.c
+++ b/daemon/pool_watch.c
@@ -5,8 +5,8 @@
 #include "common/log.h"
 #include "pool/pool_row.h"
 
-/* The table's own answer time-out ends a poll as unavailable; this one covers a table client that
- * never calls back, so that polling cannot stop for good. */
+/* The table client's own timeout ends a poll as unavailable. This longer one covers a table client
+ * that never calls back, so that polling cannot stop for good. */
 #define POLL_TIMEOUT_MS 10000
 
 struct dff_pool_watch {
@@ -14,20 +14,20 @@
 	struct dff_pool *pool;
 	GString *text;
 	int64_t generation;
-	/** Of the row as it was read last, here or by whoever brought the file. */
+	/** Revision of the row last read, here or by the sender of the file. */
 	int64_t revision;
 	int64_t next_poll_ms;
 	int64_t poll_started_ms;
 	int64_t last_answer_ms;
 	bool polling;
-	/* Polls still without a callback, so that a free in between is safe. */
+	/* The poll that awaits its callback; detached when this struct is freed first. */
 	struct poll *poll;
 	int64_t *applied;
 	int64_t *unreadable;
 	int64_t *generation_gauge;
 };
 
-/* One poll in progress; outlives its follower when the table answers late. */
+/* One poll in progress; outlives its watch when the table answers late. */
 struct poll {
 	struct dff_pool_watch *watch;
 };
@@ -76,7 +76,7 @@
 	dff_log (DFF_LOG_POOL, DFF_LOG_INFO, "Pool in force. generation=%" PRId64, generation);
 	struct dff_str copy = {watch->text->str, watch->text->len};
 	watch->options.in_force (watch->options.ctx, pool, copy);
-	/* Freed last: those who were told of the old pool have let it go by now. */
+	/* Freed last: users of the old pool have released it in the callback. */
 	if (old != NULL)
 		dff_pool_free (old);
 }
@@ -87,8 +87,8 @@
 		      int64_t revision,
 		      struct dff_str text)
 {
-	/* Files arrive late and out of order. Symptom of taking an older one: a token that was
-	 * revoked works again. The generation only ever grows. */
+	/* Files arrive late and out of order. If an older one were accepted, a revoked token would
+	 * be valid again, so the generation only increases. */
 	if (generation <= watch->generation)
 		return false;
 	g_autoptr (GError) error = NULL;
@@ -96,11 +96,11 @@
 	if (pool == NULL) {
 		*watch->unreadable += 1;
 		dff_log (DFF_LOG_POOL, DFF_LOG_ERROR,
-			 "Accepted pool cannot be read. generation=%" PRId64 " error=\"%s\"",
+			 "Accepted pool file cannot be parsed. generation=%" PRId64 " error=\"%s\"",
 			 generation, error->message);
 		return false;
 	}
-	/* Only where the file is in force: one that cannot be read here is looked for again. */
+	/* Set only for a file that is in force: the row of an unreadable one is read again. */
 	watch->revision = MAX (watch->revision, revision);
 	pool->revision = revision;
 	apply_pool (watch, pool, generation, text);
@@ -116,7 +116,7 @@
 	GString *text = dff_pool_row_decode (row->value, &generation, &error);
 	if (text == NULL) {
 		*watch->unreadable += 1;
-		dff_log (DFF_LOG_POOL, DFF_LOG_ERROR, "Pool row cannot be read. error=\"%s\"",
+		dff_log (DFF_LOG_POOL, DFF_LOG_ERROR, "Pool row cannot be decoded. error=\"%s\"",
 			 error->message);
 		return;
 	}
@@ -155,8 +155,8 @@
 	watch->polling = true;
 	watch->poll_started_ms = now_ms;
 	watch->next_poll_ms = now_ms + watch->options.poll_ms;
-	/* A scan after the revision that is known, and no get: a pool file of a large region has 40
-	 * KB, and each process would read all of it each second, though it hardly ever changes. */
+	/* A scan after the known revision instead of a get: the pool file of a large region has 40
+	 * KB and hardly ever changes, but each process would read all of it each second. */
 	struct dff_str key = dff_str_from (DFF_POOL_ROW_KEY);
 	const struct dff_table *table = watch->options.table;
 	table->scan (table->ctx, key, watch->revision, 1, handle_poll_answer, poll);
--- a/daemon/serve.c
+++ b/daemon/serve.c
@@ -11,7 +11,7 @@
 #include "daemon/daemon.h"
 #include "daemon/settings.h"
 
-/* What the signal handlers need. */
+/* Context of the signal handlers. */
 struct serve {
 	struct dff_daemon *daemon;
 	struct dff_settings *settings;
@@ -52,7 +52,8 @@
 	DFF_AUTO (dff_settings) fresh = dff_settings_load (serve->settings_path, NULL, &error);
 	if (fresh == NULL) {
 		dff_log (DFF_LOG_SERVE, DFF_LOG_ERROR,
-			 "Settings kept, new ones are wrong. error=\"%s\"", error->message);
+			 "Settings not reloaded: the file is not valid. error=\"%s\"",
+			 error->message);
 		return;
 	}
 	g_autoptr (GPtrArray) fixed = g_ptr_array_new_with_free_func (g_free);
@@ -60,10 +61,10 @@
 	dff_daemon_settings_changed (serve->daemon);
 	for (guint i = 0; i < fixed->len; i++) {
 		dff_log (DFF_LOG_SERVE, DFF_LOG_WARNING,
-			 "Setting changes at the next start only. key=%s",
+			 "Changed setting takes effect at the next start only. key=%s",
 			 (const char *)g_ptr_array_index (fixed, i));
 	}
-	dff_log (DFF_LOG_SERVE, DFF_LOG_INFO, "Settings read again.");
+	dff_log (DFF_LOG_SERVE, DFF_LOG_INFO, "Settings reloaded.");
 }
 
 static struct dff_settings *
--- a/daemon/settings.c
+++ b/daemon/settings.c
@@ -2,7 +2,7 @@
 
 #include "daemon/settings_keys.h"
 
-/* @smaller + @margin has to stay below @larger. */
+/* @smaller + @margin has to be less than @larger. */
 struct relation {
 	const char *smaller;
 	const char *margin;
@@ -14,10 +14,10 @@
 	{"cell_renew_ms", "cell_margin_ms", "cell_lease_ms",
 	 "else the holder stops acting before each renewal"},
 	{"tick_ms", NULL, "cell_renew_ms", "else renewals come late"},
-	{"watch_interval_ms", NULL, "task_lease_ms", "else tasks lapse between renewals"},
+	{"watch_interval_ms", NULL, "task_lease_ms", "else task leases expire between renewals"},
 	{"heartbeat_ms", NULL, "suspect_ms", "else every peer is suspected between heartbeats"},
 	{"suspect_ms", NULL, "dead_ms", "else a suspicion cannot be refuted"},
-	{"heartbeat_ms", NULL, "isolated_after_ms", "else every process takes itself for isolated"},
+	{"heartbeat_ms", NULL, "isolated_after_ms", "else every process considers itself isolated"},
 };
 
 static struct dff_settings *
--- a/daemon/shares.c
+++ b/daemon/shares.c
@@ -5,12 +5,12 @@
 #include "peer/grant.h"
 #include "peer/watch_assignment.h"
 
-/* A grant outlives several rounds of renewal, so that a lost message or a change of holder costs
- * nobody its slots. */
+/* Validity of grants, ms: several renewals, so that a lost message or a change of holder costs no
+ * process its slots. */
 #define GRANT_VALID_MS 10000
 
-/* What this process derives from the live members: the workers that it watches, its rank among the
- * candidates for the cell and, when holder, everybody's slot grants. */
+/* State derived from the live members: the workers that this process watches, its rank among the
+ * candidates for the cell and, on the holder, the slot grants of all processes. */
 
 static bool
 is_worker_of_region (const struct dff_daemon *daemon, const struct dff_instance *instance)
@@ -77,7 +77,7 @@
 	dff_cell_set_rank (daemon->cell, rank);
 }
 
-/* Returns: slots of the worker for short requests; 0 where the pool does not know its rack. */
+/* Returns: the worker's slots for short requests; 0 if the pool does not contain its rack. */
 static int32_t
 request_slots (const struct dff_pool *pool, const struct dff_instance *worker)
 {
@@ -148,16 +148,16 @@
 	}
 }
 
-/* While the store is down nobody can renew the cell's lease, and grants lapse. Symptom: short
- * requests, which need no store, are refused for the length of the outage. The share-out is a pure
- * function of members and workers, so each process works out its own as the holder would have;
- * where views differ for a moment, a worker that has no slot left refuses and the request moves on.
- */
+/* During a store outage the cell's lease cannot be renewed, and grants expire. Without own grants,
+ * short requests, which need no store, would be refused during the outage. The distribution is a
+ * pure function of members and workers, so each process computes its own grants as the holder
+ * would. Where views differ for a moment, a worker without a free slot refuses, and the request is
+ * sent to another one. */
 void
 dff_daemon_assign_own_grants (struct dff_daemon *daemon, int64_t now_ms)
 {
-	/* A holder is granted slots by itself, unless its epoch is lower than one that it had
-	 * grants of: then the table was lost, and it must not wait for ever. */
+	/* A holder receives its own grants, unless its epoch is lower than that of grants received
+	 * earlier. Then the table was lost, and the holder must not wait for ever. */
 	if (now_ms < daemon->grants_until_ms || daemon->pool == NULL)
 		return;
 	g_autoptr (GArray) members = grant_members (daemon);
--- a/daemon/watch_isolation.c
+++ b/daemon/watch_isolation.c
@@ -1,7 +1,7 @@
 #include "daemon/daemon_private.h"
 #include "daemon/isolation.h"
 
-/* Returns: when a live peer other than this process was last heard of, monotonic ms; 0: never. */
+/* Returns: the time of the last heartbeat of another live process, monotonic ms; 0: none. */
 static int64_t
 last_peer_ms (const struct dff_daemon *daemon)
 {
@@ -15,9 +15,9 @@
 	return last_ms;
 }
 
-/* A process that hears neither the store nor its peers may miss a new pool file for as long as it
- * is cut off. Symptom: it goes on accepting a token that was revoked. It says it is not ready, so
- * that the balancer sends callers elsewhere. */
+/* A process that reaches neither the store nor its peers may miss a new pool file and continue to
+ * accept a revoked token. It reports itself as unready, so that the load balancer sends callers
+ * elsewhere. */
 void
 dff_daemon_update_isolation (struct dff_daemon *daemon, int64_t now_ms)
 {
--- a/include/daemon/settings.h
+++ b/include/daemon/settings.h
@@ -10,7 +10,7 @@
 #include "common/setting.h"
 #include "common/str.h"
 
-/* Settings of one process, JSON, checked as a whole before anything starts.
+/* Settings of one process, in JSON, validated completely before any part starts.
  * dragonflyfold-settings(5). */
 
 struct dff_settings {
@@ -31,10 +31,10 @@
 	/** Paths of the callers' TLS certificate and key, PEM; empty: plain HTTP. */
 	GString *tls_certificate;
 	GString *tls_key;
-	/** "sha256:HEX" of the token that may apply the first pool; empty: none may. */
+	/** "sha256:HEX" of the token that may apply the first pool; empty: no token may. */
 	GString *bootstrap_token_digest;
 	enum dff_log_level log_level; /**< Reloadable. */
-	/** Path that spans are appended to, "-" for standard output; empty: none. */
+	/** File that spans are appended to; "-": standard output; empty: none. */
 	GString *trace_path;
 	int32_t max_connections;      /**< Callers' connections at once. Reloadable. */
 	int32_t max_body_bytes;       /**< Reloadable. */
@@ -60,15 +60,15 @@
 
 /**
  * dff_settings_parse:
- * @source: name of the file, for messages
- * @errors: (nullable): every fault found, "FILE:LINE: key: what was expected"; elements: char *
+ * @source: name of the file, for error messages
+ * @errors: (nullable): receives all errors, "FILE:LINE: key: what was expected"; elements: char *
  *
  * Returns: (transfer full) (nullable): the settings.
  */
 struct dff_settings *
 dff_settings_parse (struct dff_str text, const char *source, GPtrArray *errors, GError **error);
 
-/** Reads and parses a file, of 1 MiB at the most. */
+/** Reads and parses a file of at most 1 MiB. */
 struct dff_settings *dff_settings_load (const char *path, GPtrArray *errors, GError **error);
 
 void dff_settings_free (struct dff_settings *settings);
@@ -77,15 +77,15 @@
 
 /**
  * dff_settings_reload:
- * @fixed: elements: char *: keys that differ in @fresh but cannot change while running
+ * @fixed: receives the keys that differ in @fresh but cannot change at run time; elements: char *
  *
- * Copies what may change from @fresh into @settings.
+ * Copies the values of reloadable keys from @fresh into @settings.
  */
 void dff_settings_reload (struct dff_settings *settings,
 			  const struct dff_settings *fresh,
 			  GPtrArray *fixed);
 
-/** Appends the reference of every key in scdoc, as dragonflyfold-settings(5) holds it. */
+/** Appends the reference of all keys in scdoc format, as in dragonflyfold-settings(5). */
 void dff_settings_describe (GString *out);
 
 #endif
--- a/tests/daemon/test-daemon-steps.c
+++ b/tests/daemon/test-daemon-steps.c
@@ -11,8 +11,8 @@
 #include "entry/entry_private.h"
 #include "tests/entry/harness.h"
 
-/* Steps of the daemon on the parts of the entry's harness: two processes, two workers with three
- * request slots each (two of one service, one of the other), nobody is holder. */
+/* Steps of the daemon on the parts of the entry's test harness: two processes and two workers with
+ * three request slots each (two of one service, one of the other); there is no holder. */
 
 #define WORKER_SLOTS 3
 #define ALL_SLOTS (2 * WORKER_SLOTS)
@@ -77,7 +77,7 @@
 	fixture->harness = harness_new ();
 	fixture->metrics = dff_metrics_new ();
 	harness_set_pool (fixture->harness);
-	/* Until the two have heard of each other. */
+	/* Time for the two processes to discover each other. */
 	harness_run (fixture->harness, 2000);
 	for (int i = 0; i < HARNESS_PROCESSES; i++)
 		set_up_daemon (fixture, i);
@@ -125,10 +125,9 @@
 	harness_client_free (client);
 }
 
-/* Symptom: short requests, which need no store, are refused for the length of a store outage, or
- * workers get more of them than they have slots. Sequence: the store is down, the holder's lease
- * lapses, its grants lapse, nobody is there to send new ones. Cause: only a holder could share the
- * slots out; or each process took all of them. */
+/* Guards against refusing short requests, which need no store, during a store outage: the holder's
+ * lease and its grants expire, and no holder sends new ones. It also guards against granting
+ * workers more requests than they have slots, when each process takes all of them. */
 static void
 test_slots_without_a_holder (void **state)
 {
@@ -154,7 +153,7 @@
 	end (&fixture);
 }
 
-/* Makes the daemon holder of its cell, which has no workers to ask. */
+/* Makes the daemon the holder of its cell, which has no workers to query. */
 static void
 acquire_cell (struct fixture *fixture, const struct dff_daemon *daemon)
 {
@@ -167,10 +166,10 @@
 	assert_true (dff_cell_is_holder (daemon->cell));
 }
 
-/* Symptom: every request through the holder is refused, and it says that it is ready. Sequence: the
- * table is lost and starts anew, empty or from an old copy, so that epochs begin again at lower
- * numbers; the process takes the cell, and refuses its own grants as outdated. Cause: a holder
- * never worked out its grants in another way. Found with real processes. */
+/* Guards against a holder that reports itself as ready and refuses every request: the table is lost
+ * and starts again, empty or from an old copy, so that epochs restart at lower numbers; the process
+ * becomes the holder and rejects its own grants as outdated. It has to compute its grants
+ * itself. */
 static void
 test_slots_of_a_holder_whose_grants_are_outdated (void **state)
 {
@@ -187,9 +186,9 @@
 	end (&fixture);
 }
 
-/* Symptom: a worker that is shutting down gets new requests for the length of an outage. Sequence:
- * it says that it is leaving, the list does not yet, a process works out its own grants. Cause: the
- * share-out looked at the list alone. */
+/* Guards against sending new requests to a worker that is shutting down, for the length of an
+ * outage: the worker reports that it is leaving, the instance list does not yet, and a process
+ * computes its own grants. */
 static void
 test_leaving_worker_is_not_granted (void **state)
 {
@@ -207,9 +206,8 @@
 	end (&fixture);
 }
 
-/* Symptom: callers lose requests at a planned stop. Sequence: a request is in flight, the process
- * is told to stop, the balancer goes on sending for a while. Cause: the process refused before the
- * balancer could know, or ended before the request had its answer. */
+/* Guards against losing requests at a planned stop: the process refuses requests before the load
+ * balancer can know of the stop, or exits before a request in flight has its answer. */
 static void
 test_drain_waits_for_requests_in_flight (void **state)
 {
@@ -239,7 +237,7 @@
 
 	harness_release (harness, 200, "{}");
 	expect_status (in_flight, 200);
-	/* An idle connection is closed a while after its last answer. */
+	/* An idle connection is closed some time after its last answer. */
 	harness_run (harness, 1000);
 	dff_daemon_continue_drain (daemon, started_ms + GRACE_MS + 2);
 	event_base_loop (harness->base, EVLOOP_NONBLOCK);
@@ -248,8 +246,8 @@
 	end (&fixture);
 }
 
-/* Symptom: a planned stop never ends, though a time limit is set. Sequence: a worker keeps a
- * request for ever. Cause: the limit was looked at only with nothing in flight. */
+/* Guards against a planned stop that never ends although a time limit is set: a worker keeps a
+ * request for ever, and the limit is checked only while no work is in flight. */
 static void
 test_drain_ends_at_time_limit (void **state)
 {
@@ -290,9 +288,8 @@
 	       g_hash_table_contains (daemon->older_job_watchers, &job);
 }
 
-/* Symptom: after some weeks every result reaches its caller seconds late. Sequence: watches of jobs
- * that had ended, or are of another region, are left behind in a holder until its table is full.
- * Cause: from then on new watches were dropped, and nothing ever made room. */
+/* Guards against delivering every result seconds late after some weeks: watches of ended jobs, or
+ * of jobs of another region, fill the holder's table, and new watches are dropped. */
 static void
 test_stale_watches_are_evicted (void **state)
 {
--- a/tests/daemon/test-drain-step.c
+++ b/tests/daemon/test-drain-step.c
@@ -15,17 +15,16 @@
 	enum dff_drain_step step;
 };
 
-/* Symptom: callers lose requests, or get needless refusals, at a planned stop. Sequence: the
- * process ends, or refuses, before the balancer has seen that it is unready; or it ends with a
- * request in flight; or it waits for ever although a limit is set. Cause: a step taken too early or
- * never. */
+/* Guards against lost or needlessly refused requests at a planned stop: the process exits or
+ * refuses before the load balancer has seen that it is unready, or exits with a request in flight.
+ * It also guards against waiting for ever although a limit is set. */
 static void
 test_steps (void **state)
 {
 	(void)state;
 	static const struct step_case cases[] = {
-		{"asked for just now", {0, 3000, 0}, false, false, DFF_DRAIN_WAIT},
-		{"idle, the balancer still sends", {2999, 3000, 0}, true, false, DFF_DRAIN_WAIT},
+		{"just requested", {0, 3000, 0}, false, false, DFF_DRAIN_WAIT},
+		{"idle, within the grace period", {2999, 3000, 0}, true, false, DFF_DRAIN_WAIT},
 		{"grace over, in flight", {3000, 3000, 0}, false, true, DFF_DRAIN_WAIT},
 		{"grace over, idle", {3000, 3000, 0}, true, true, DFF_DRAIN_END},
 		{"no limit: waits for days", {400000000, 3000, 0}, false, true, DFF_DRAIN_WAIT},
--- a/tests/daemon/test-isolation.c
+++ b/tests/daemon/test-isolation.c
@@ -10,7 +10,7 @@
 #define STARTED_MS 1000
 #define TIMEOUT_MS 10000
 #define NOW_MS 60000
-/** The last moment at which somebody was heard and that is no silence yet. */
+/** Oldest time of an answer that has not timed out at NOW_MS. */
 #define RECENT_MS (NOW_MS - TIMEOUT_MS)
 #define OLD_MS (RECENT_MS - 1)
 
@@ -23,9 +23,9 @@
 	bool isolated;
 };
 
-/* Symptom: a revoked token goes on working at one process, or, the other way round, all processes
- * go unready at once because the store is down. Sequence: a process is cut off from the store, from
- * its peers, or from both. Cause: one of the two counted for both. */
+/* Guards against accepting a revoked token in an isolated process, and against all processes
+ * becoming unready at once because the store is down. Only the loss of both the store and the peers
+ * counts as isolation. */
 static void
 test_isolation (void **state)
 {
@@ -33,14 +33,15 @@
 	static const struct isolation_case cases[] = {
 		{"both answer", RECENT_MS, RECENT_MS, NOW_MS, true, false},
 		{"store down", OLD_MS, RECENT_MS, NOW_MS, true, false},
-		{"cut off from peers", RECENT_MS, OLD_MS, NOW_MS, true, false},
-		{"cut off from both", OLD_MS, OLD_MS, NOW_MS, true, true},
+		{"peers lost", RECENT_MS, OLD_MS, NOW_MS, true, false},
+		{"both lost", OLD_MS, OLD_MS, NOW_MS, true, true},
 		{"alone, store answers", RECENT_MS, 0, NOW_MS, false, false},
 		{"alone, store down", OLD_MS, 0, NOW_MS, false, true},
-		{"never heard anybody", 0, 0, NOW_MS, true, true},
+		{"no answer since the start", 0, 0, NOW_MS, true, true},
 		{"just started in an outage", 0, 0, STARTED_MS + TIMEOUT_MS, true, false},
 		{"started in an outage, alone", 0, 0, STARTED_MS + TIMEOUT_MS, false, false},
-		{"a moment later", 0, 0, STARTED_MS + TIMEOUT_MS + 1, false, true},
+		{"started in an outage, alone, 1 ms later", 0, 0, STARTED_MS + TIMEOUT_MS + 1,
+		 false, true},
 	};
 	for (size_t i = 0; i < sizeof (cases) / sizeof (cases[0]); i++) {
 		const struct isolation_case *at = &cases[i];
--- a/tests/daemon/test-pool-follower.c
+++ b/tests/daemon/test-pool-follower.c
@@ -19,7 +19,7 @@
 struct fixture {
 	struct memory_fixture site;
 	struct dff_pool_watch *watch;
-	/** What the follower sees: the caller's table, with its rows counted. */
+	/** Table of the watch: the caller's table, with the rows read counted. */
 	struct dff_table table;
 	int64_t rows_read;
 	int64_t in_force;
@@ -36,7 +36,7 @@
 	fixture->in_force = pool->generation;
 }
 
-/** A read on its way through the counting table. */
+/** A read in progress through the counting table. */
 struct counted {
 	struct fixture *fixture;
 	dff_table_func done;
@@ -161,8 +161,8 @@
 	int64_t in_force;
 };
 
-/* Symptom: a revoked token works again. Sequence: files arrive late and out of order. Cause: the
- * last one to arrive was taken for the newest. */
+/* Guards against accepting a revoked token again: files arrive late and out of order, and the last
+ * one to arrive must not be taken for the newest. */
 static void
 test_generation_never_decreases (void **state)
 {
@@ -184,7 +184,7 @@
 	assert_false (fixture->regressed);
 }
 
-/** The follower does not poll meanwhile. */
+/** Tick function without a poll. */
 static void
 do_nothing (void *user)
 {
@@ -203,10 +203,9 @@
 	return revision;
 }
 
-/* Symptom: each process reads 58 KB of the table for each change of a large pool. Sequence: a peer
- * brings the file, the next poll finds the row newer than the last that was read. Cause: the peer
- * did not say which row it had brought. Here a row that is newer is still read, and so is the row
- * of a file that could not be put in force. */
+/* Guards against reading 58 KB of the table in each process for each change of a large pool: a peer
+ * pushes the file, and without its row's revision the next poll would read the row again. A newer
+ * row is still read, and so is the row of a file that could not be put in force. */
 static void
 test_pushed_row_is_not_read_again (void **state)
 {
@@ -227,8 +226,7 @@
 	assert_int_equal (fixture->in_force, 6);
 }
 
-/* Symptom: a process keeps an old file for good. Sequence: the push of the new one is lost. Cause:
- * there was no other way for it to arrive. */
+/* Guards against keeping an old file for good when the push of the new one is lost. */
 static void
 test_polls_when_the_push_is_lost (void **state)
 {
@@ -241,7 +239,8 @@
 	assert_int_equal (fixture->in_force, 2);
 }
 
-/* Symptom: the same. Sequence: a poll is never answered. Cause: the next one waited for it. */
+/* Guards against keeping an old file because a poll is never answered and the next one waits for
+ * it. */
 static void
 test_polling_continues_after_lost_poll (void **state)
 {
@@ -257,9 +256,9 @@
 	assert_false (fixture->regressed);
 }
 
-/* Symptom: an idle process receives 1.2 KB a second of pool file; with the pool of a large region
- * it would be 40 KB, where the bar for everything is 6. Sequence: the table is polled each second,
- * and nothing changes. Cause: each poll read the whole row. */
+/* Guards against reading the whole row at each poll, each second, although nothing changes. An idle
+ * process received 1.2 KB a second of pool file; with the pool of a large region it would be 40 KB,
+ * while the limit for all traffic is 6 KB. */
 static void
 test_unchanged_row_is_read_once (void **state)
 {
--- a/tests/daemon/test-settings.c
+++ b/tests/daemon/test-settings.c
@@ -11,7 +11,7 @@
 #define KEY_43 "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8"
 #define DIGEST_64 "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
 
-/* Every required key, one a line; line 1 is the brace. */
+/* All required keys, one on each line; line 1 is the brace. */
 #define REQUIRED                                                                                   \
 	"{\n\"instance\": \"entry-1\",\n\"region\": \"demo\",\n\"data_centre\": \"dc1\",\n"        \
 	"\"listen\": \"127.0.0.1:0\",\n\"peer_listen\": \"127.0.0.1:7001\",\n"                     \
@@ -21,7 +21,7 @@
 
 struct settings_case {
 	const char *text;
-	/* Faults in order, one a line; empty: accepted. */
+	/* Errors in order, one on each line; empty: accepted. */
 	const char *faults;
 };
 
@@ -96,7 +96,7 @@
 	bool valid;
 };
 
-/* Names may hold ':' and digits, so that an address is a name of a certain form. */
+/* Names may contain ':' and digits, so an address is a name of a certain form. */
 static const struct value_case value_cases[] = {
 	{"listen", "10.0.0.1:80", true},
 	{"listen", "10.0.0.1", false},
@@ -169,8 +169,8 @@
 	assert_string_equal (g_ptr_array_index (fixed, 1), "tick_ms");
 }
 
-/* Symptom: the manual page tells a range or default that the program does not have. Sequence: a key
- * changes in the table, the page is forgotten. Cause: two places that say the same. */
+/* Guards against a manual page with a range or default that differs from the program's, because a
+ * key was changed in the table only. */
 static void
 test_manual_page_follows_table (void **state)
 {
