--- a/common/http_client.c
+++ b/common/http_client.c
@@ -14,7 +14,7 @@
 #define MAX_WAITING_DEFAULT 256
 #define MAX_IDLE_MS_DEFAULT 10000
 #define MAX_BODY_BYTES_DEFAULT (4 << 20)
-/** evhttp's own timeout comes this much after the deadline, so that the deadline decides. */
+/** Difference between evhttp's timeout and the deadline, ms, so that the deadline fires first. */
 #define EVHTTP_TIMEOUT_MARGIN_MS 1000
 
 struct counters {
@@ -31,35 +31,35 @@
 struct dff_http_client {
 	struct dff_http_client_options options;
 	struct counters counters;
-	/** struct dff_name to struct endpoint. */
+	/** Key: struct dff_name, address; value: struct endpoint. */
 	GHashTable *endpoints;
-	/** Exchanges that have failed and whose callback is due. */
+	/** Elements: struct exchange that has failed and whose callback is pending. */
 	GQueue failed;
-	/** Connections that cannot be freed inside evhttp's callback. */
-	GPtrArray *broken;
+	/** Elements: struct dff_http_connection to be freed outside evhttp's callback. */
+	GPtrArray *retired;
 	struct event *deferred;
 	struct event *sweep;
 };
 
-/** One address: its connections and the requests that wait for one. */
+/** Connections to one address and the requests that wait for one of them. */
 struct endpoint {
 	struct dff_http_client *client;
 	char host[INET_ADDRSTRLEN];
 	uint16_t port;
-	/** struct dff_http_connection, at most max_connections. */
+	/** Elements: struct dff_http_connection, at most max_connections. */
 	GPtrArray *connections;
-	/** struct exchange, at most max_waiting. */
+	/** Elements: struct exchange, at most max_waiting. */
 	GQueue waiting;
-	/** struct exchange that has a connection. */
+	/** Elements: struct exchange with a connection. */
 	GPtrArray *active;
 };
 
-/** One request from send to callback. */
+/** One request, from sending to its callback. */
 struct exchange {
 	struct dff_http_client *client;
-	/** NULL: the address is not one. */
+	/** NULL: the address is malformed. */
 	struct endpoint *endpoint;
-	/** Owned until it is handed to a connection. */
+	/** Owned until it is passed to a connection. */
 	struct evhttp_request *request;
 	enum evhttp_cmd_type method;
 	char *path;
@@ -129,9 +129,9 @@
 	g_free (endpoint);
 }
 
-/* Takes @exchange out of its lists; its callback is run by the deferred event. */
+/* Removes @exchange from its lists; the deferred event runs its callback. */
 static void
-fail_later (struct exchange *exchange, enum dff_http_outcome outcome)
+defer_failure (struct exchange *exchange, enum dff_http_outcome outcome)
 {
 	struct dff_http_client *client = exchange->client;
 	exchange->failure = outcome;
@@ -148,22 +148,22 @@
 								   : DFF_HTTP_UNSENT;
 }
 
-/* Takes the connection from the pool; it is freed by the deferred event. */
+/* Removes the connection from the pool; the deferred event frees it. */
 static void
 retire_connection (struct exchange *exchange)
 {
 	struct endpoint *endpoint = exchange->endpoint;
 	g_ptr_array_remove_fast (endpoint->active, exchange);
 	g_ptr_array_remove_fast (endpoint->connections, exchange->connection);
-	g_ptr_array_add (exchange->client->broken, exchange->connection);
+	g_ptr_array_add (exchange->client->retired, exchange->connection);
 	(*exchange->client->counters.connections)--;
 	exchange->connection = NULL;
 	event_active (exchange->client->deferred, 0, 0);
 }
 
-/* A body that ends where the connection ends may have been cut, and nobody could tell. */
+/* A body without length or chunked encoding ends with the connection: truncation goes unnoticed. */
 static bool
-is_whole (struct evhttp_request *request)
+is_complete (struct evhttp_request *request)
 {
 	struct evkeyvalq *headers = evhttp_request_get_input_headers (request);
 	int status = evhttp_request_get_response_code (request);
@@ -172,7 +172,7 @@
 	       evhttp_find_header (headers, "Transfer-Encoding") != NULL;
 }
 
-static void pump (struct endpoint *endpoint);
+static void dispatch_waiting (struct endpoint *endpoint);
 
 static void
 finish_answered (struct exchange *exchange, struct evhttp_request *request)
@@ -191,7 +191,7 @@
 	response.body.data = (const char *)evbuffer_pullup (input, -1);
 	if (response.body.data == NULL)
 		response.body.data = "";
-	pump (endpoint);
+	dispatch_waiting (endpoint);
 	exchange->done (exchange->user, &response);
 	exchange_free (exchange);
 }
@@ -200,17 +200,17 @@
 request_done (struct evhttp_request *request, void *ctx)
 {
 	struct exchange *exchange = ctx;
-	/* The connection is NULL when the deadline has passed in this round of the loop. */
+	/* The connection is NULL when the deadline has passed in this iteration of the loop. */
 	if (exchange->connection == NULL)
 		return;
 	bool answered = request != NULL && evhttp_request_get_response_code (request) != 0;
-	if (answered && is_whole (request)) {
+	if (answered && is_complete (request)) {
 		finish_answered (exchange, request);
 		return;
 	}
 	enum dff_http_outcome outcome = answered ? DFF_HTTP_UNCERTAIN : failure_outcome (exchange);
 	retire_connection (exchange);
-	fail_later (exchange, outcome);
+	defer_failure (exchange, outcome);
 }
 
 static void
@@ -222,16 +222,17 @@
 	(*exchange->client->counters.timeouts)++;
 	if (exchange->connection == NULL) {
 		g_queue_remove (&exchange->endpoint->waiting, exchange);
-		fail_later (exchange, DFF_HTTP_UNSENT);
+		defer_failure (exchange, DFF_HTTP_UNSENT);
 		return;
 	}
-	/* A connection that did not answer in time may have gone silent for good, and what forgot
-	 * it may have forgotten the others to the address. Symptom otherwise: after a middlebox
-	 * restarted, as many requests time out as there are connections. */
+	/* A connection that did not answer in time may be dead because a middlebox dropped its
+	 * state, and with it that of all connections to this address. The idle ones are closed as
+	 * well; otherwise, after a middlebox restart, each of them would cost one more request that
+	 * times out. */
 	enum dff_http_outcome outcome = failure_outcome (exchange);
 	retire_connection (exchange);
 	close_idle_connections (exchange->endpoint, 0);
-	fail_later (exchange, outcome);
+	defer_failure (exchange, outcome);
 }
 
 static struct dff_http_connection *
@@ -247,7 +248,7 @@
 	return connection;
 }
 
-/* Returns: (nullable): the idle connection that was used last, else a new one if one is allowed. */
+/* Returns: (nullable): the most recently used idle connection; else a new one, up to the limit. */
 static struct dff_http_connection *
 find_connection (struct endpoint *endpoint)
 {
@@ -266,9 +267,9 @@
 	return best;
 }
 
-/* Hands waiting requests to connections as long as there are any. */
+/* Sends waiting requests while a connection is available. */
 static void
-pump (struct endpoint *endpoint)
+dispatch_waiting (struct endpoint *endpoint)
 {
 	while (!g_queue_is_empty (&endpoint->waiting)) {
 		close_idle_connections (endpoint, endpoint->client->options.max_idle_ms);
@@ -279,22 +280,22 @@
 		exchange->connection = connection;
 		g_ptr_array_add (endpoint->active, exchange);
 		struct evhttp_request *request = g_steal_pointer (&exchange->request);
-		bool taken = dff_http_connection_send (
+		bool accepted = dff_http_connection_send (
 			connection, request, exchange->method, exchange->path,
 			exchange->timeout_ms + EVHTTP_TIMEOUT_MARGIN_MS);
-		/* Failures inside the call have been taken in by request_done(). */
-		if (taken || exchange->connection == NULL)
+		/* Failures during the call have been handled by request_done(). */
+		if (accepted || exchange->connection == NULL)
 			continue;
 		retire_connection (exchange);
-		fail_later (exchange, DFF_HTTP_UNSENT);
+		defer_failure (exchange, DFF_HTTP_UNSENT);
 	}
 }
 
 static void
-call_back_failed (struct dff_http_client *client)
+run_failure_callbacks (struct dff_http_client *client)
 {
-	/* Those that fail anew in a callback wait for the next round, so that a caller who sends
-	 * again at once cannot hold up the loop. */
+	/* Requests that fail during a callback wait for the next iteration: a caller that resends
+	 * at once must not block the loop. */
 	guint n = client->failed.length;
 	for (guint i = 0; i < n; i++) {
 		struct exchange *exchange = g_queue_pop_head (&client->failed);
@@ -304,7 +305,7 @@
 					   : client->counters.uncertain;
 		(*counter)++;
 		if (exchange->endpoint != NULL)
-			pump (exchange->endpoint);
+			dispatch_waiting (exchange->endpoint);
 		exchange->done (exchange->user, &response);
 		exchange_free (exchange);
 	}
@@ -316,11 +317,11 @@
 	(void)fd;
 	(void)what;
 	struct dff_http_client *client = ctx;
-	while (client->broken->len > 0) {
-		dff_http_connection_free (client->broken->pdata[0]);
-		g_ptr_array_remove_index_fast (client->broken, 0);
+	while (client->retired->len > 0) {
+		dff_http_connection_free (client->retired->pdata[0]);
+		g_ptr_array_remove_index_fast (client->retired, 0);
 	}
-	call_back_failed (client);
+	run_failure_callbacks (client);
 }
 
 static gboolean
@@ -331,11 +332,11 @@
 	close_idle_connections (endpoint, endpoint->client->options.max_idle_ms);
 	if (endpoint->connections->len > 0 || !g_queue_is_empty (&endpoint->waiting))
 		return FALSE;
-	/* An exchange whose callback is due still points to its endpoint. */
+	/* An exchange whose callback is pending still refers to its endpoint. */
 	return g_queue_is_empty (&((struct dff_http_client *)client)->failed);
 }
 
-/* Without it, connections to workers that were replaced would stay open for ever. */
+/* Without this, connections to workers that were replaced would stay open. */
 static void
 sweep_idle (evutil_socket_t fd, short what, void *ctx)
 {
@@ -378,7 +379,7 @@
 	init_counters (&client->counters, options->metrics);
 	client->endpoints =
 		g_hash_table_new_full (dff_name_hash, dff_name_equal_func, g_free, endpoint_free);
-	client->broken = g_ptr_array_new ();
+	client->retired = g_ptr_array_new ();
 	client->deferred = event_new (options->base, -1, 0, run_deferred, client);
 	client->sweep = event_new (options->base, -1, EV_PERSIST, sweep_idle, client);
 	struct timeval interval = dff_timeval_from_ms (options->max_idle_ms);
@@ -391,9 +392,9 @@
 {
 	event_free (client->deferred);
 	event_free (client->sweep);
-	for (guint i = 0; i < client->broken->len; i++)
-		dff_http_connection_free (client->broken->pdata[i]);
-	g_ptr_array_unref (client->broken);
+	for (guint i = 0; i < client->retired->len; i++)
+		dff_http_connection_free (client->retired->pdata[i]);
+	g_ptr_array_unref (client->retired);
 	struct exchange *exchange;
 	while ((exchange = g_queue_pop_head (&client->failed)) != NULL)
 		exchange_free (exchange);
@@ -469,17 +470,17 @@
 	struct endpoint *endpoint = exchange->endpoint;
 	(*client->counters.requests)++;
 	if (endpoint == NULL) {
-		fail_later (exchange, DFF_HTTP_UNSENT);
+		defer_failure (exchange, DFF_HTTP_UNSENT);
 		return;
 	}
 	g_queue_push_tail (&endpoint->waiting, exchange);
 	exchange->timer = evtimer_new (client->options.base, deadline_passed, exchange);
 	struct timeval timeout = dff_timeval_from_ms (request->timeout_ms);
 	evtimer_add (exchange->timer, &timeout);
-	pump (endpoint);
+	dispatch_waiting (endpoint);
 	if (endpoint->waiting.length <= (guint)client->options.max_waiting)
 		return;
 	(*client->counters.refused)++;
 	g_queue_pop_tail (&endpoint->waiting);
-	fail_later (exchange, DFF_HTTP_UNSENT);
+	defer_failure (exchange, DFF_HTTP_UNSENT);
 }
--- a/tests/upstream/test-http-worker.c
+++ b/tests/upstream/test-http-worker.c
@@ -15,7 +15,7 @@
 #define LEASE_MS 60000
 #define ANSWER "{\"leaving\":false,\"sequence\":1,\"incarnation\":1,\"now_ms\":1}"
 
-/** The client's side, and what the last call ended with. */
+/** The client and the result of the last call. */
 struct fixture {
 	struct event_base *base;
 	struct dff_metrics *metrics;
@@ -27,7 +27,7 @@
 	enum dff_task_state state;
 	int status;
 	bool leaving;
-	/** The stand-in worker's side, where there is one. */
+	/** The stand-in worker; set by add_standin() only. */
 	struct dff_memory *memory;
 	struct dff_memory_handle *caller;
 	struct dff_standin_worker *standin;
@@ -92,7 +92,7 @@
 }
 
 static void
-called (void *user, const struct dff_worker_result *result)
+handle_result (void *user, const struct dff_worker_result *result)
 {
 	struct fixture *fixture = user;
 	fixture->outcome = result->outcome;
@@ -101,7 +101,7 @@
 }
 
 static void
-requested (void *user, const struct dff_request_result *result)
+handle_request_result (void *user, const struct dff_request_result *result)
 {
 	struct fixture *fixture = user;
 	fixture->outcome = result->outcome;
@@ -113,7 +113,7 @@
 static void
 query (struct fixture *fixture)
 {
-	fixture->client->query (fixture->client->ctx, &fixture->address, called, fixture);
+	fixture->client->query (fixture->client->ctx, &fixture->address, handle_result, fixture);
 	event_base_dispatch (fixture->base);
 }
 
@@ -128,7 +128,8 @@
 		.lease_ms = LEASE_MS,
 		.payload = dff_str_from ("{\"run_ms\":600000}"),
 	};
-	fixture->client->start (fixture->client->ctx, &fixture->address, &start, called, fixture);
+	fixture->client->start (fixture->client->ctx, &fixture->address, &start, handle_result,
+				fixture);
 	event_base_dispatch (fixture->base);
 }
 
@@ -138,8 +139,8 @@
 	struct dff_name service = dff_name_from ("casework");
 	struct dff_name id = dff_name_from ("r1");
 	fixture->client->request (fixture->client->ctx, &fixture->address, &service, &id,
-				  dff_str_from (payload), (struct dff_str){"", 0}, 1000, requested,
-				  fixture);
+				  dff_str_from (payload), (struct dff_str){"", 0}, 1000,
+				  handle_request_result, fixture);
 	event_base_dispatch (fixture->base);
 }
 
@@ -180,8 +181,8 @@
 	evhttp_send_reply (request, answer->status, NULL, NULL);
 }
 
-/* Symptom: a job is reported as not run and runs. Sequence: a worker fails half-way through a start
- * and answers 500, or sends half an answer. Cause: any answer but 200 was taken for a refusal. */
+/* Guards against reporting a running job as not run: a worker that fails half-way through a start
+ * and answers 500, or sends half an answer, must not count as having refused. */
 static void
 test_only_4xx_is_a_refusal (void **state)
 {
@@ -225,29 +226,31 @@
 	assert_int_equal (fixture.outcome, DFF_WORKER_REFUSED);
 	assert_int_equal (fixture.state, DFF_TASK_UNKNOWN);
 	struct dff_task_id task = {dff_name_from ("sk.a"), 1, 0};
-	fixture.client->release (fixture.client->ctx, &fixture.address, &task, 1, called, &fixture);
+	fixture.client->release (fixture.client->ctx, &fixture.address, &task, 1, handle_result,
+				 &fixture);
 	event_base_dispatch (fixture.base);
 	assert_int_equal (fixture.state, DFF_TASK_RUNNING);
-	fixture.client->throttle (fixture.client->ctx, &fixture.address, &task, 1, 50, called,
-				  &fixture);
+	fixture.client->throttle (fixture.client->ctx, &fixture.address, &task, 1, 50,
+				  handle_result, &fixture);
 	event_base_dispatch (fixture.base);
 	assert_int_equal (fixture.outcome, DFF_WORKER_OK);
-	fixture.client->checkpoint (fixture.client->ctx, &fixture.address, &task, 1, called,
+	fixture.client->checkpoint (fixture.client->ctx, &fixture.address, &task, 1, handle_result,
 				    &fixture);
 	event_base_dispatch (fixture.base);
 	assert_int_equal (fixture.outcome, DFF_WORKER_OK);
-	fixture.client->stop (fixture.client->ctx, &fixture.address, &task, 1, called, &fixture);
+	fixture.client->stop (fixture.client->ctx, &fixture.address, &task, 1, handle_result,
+			      &fixture);
 	event_base_dispatch (fixture.base);
 	assert_int_equal (fixture.state, DFF_TASK_STOPPED);
-	fixture.client->renew (fixture.client->ctx, &fixture.address, LEASE_MS, 0, called,
+	fixture.client->renew (fixture.client->ctx, &fixture.address, LEASE_MS, 0, handle_result,
 			       &fixture);
 	event_base_dispatch (fixture.base);
 	assert_int_equal (fixture.state, DFF_TASK_STOPPED);
 	fixture_clear (&fixture);
 }
 
-/* Symptom: a start is sent twice, or given up as unsent. Sequence: the start takes effect and its
- * answer is lost. Cause: no answer was taken for no effect. */
+/* Guards against repeating a start, or giving it up as unsent, when the start took effect and only
+ * its answer was lost. */
 static void
 test_lost_answer_is_uncertain (void **state)
 {
@@ -264,9 +267,9 @@
 	fixture_clear (&fixture);
 }
 
-/* Symptom: a worker is given up although it works. Sequence: something between the two ends forgets
- * the open connections: they stay open and silent, new ones work. Cause: calls went on being sent
- * on the old connection. */
+/* Guards against giving up a working worker: a middlebox drops its connection state, so that open
+ * connections stay open without answers while new ones work. Later calls have to use a new
+ * connection. */
 static void
 test_silent_connection_is_replaced (void **state)
 {
@@ -284,7 +287,7 @@
 }
 
 static void
-test_nobody_there_is_unsent (void **state)
+test_refused_connection_is_unsent (void **state)
 {
 	(void)state;
 	struct fixture fixture;
@@ -296,7 +299,7 @@
 		.worker = fixture.standin,
 		.listen = dff_name_from ("127.0.0.1:0"),
 	};
-	/* Opened before the other is closed, so that it cannot get its port. */
+	/* Opened before the first server is closed, so that it cannot be given the same port. */
 	struct dff_worker_server *other = dff_worker_server_new (&server, NULL);
 	dff_worker_server_free (fixture.server);
 	fixture.server = other;
@@ -337,7 +340,7 @@
 		cmocka_unit_test (test_commands_reach_the_worker),
 		cmocka_unit_test (test_lost_answer_is_uncertain),
 		cmocka_unit_test (test_silent_connection_is_replaced),
-		cmocka_unit_test (test_nobody_there_is_unsent),
+		cmocka_unit_test (test_refused_connection_is_unsent),
 		cmocka_unit_test (test_request_outcomes),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
