--- a/record/breaker.c
+++ b/record/breaker.c
@@ -30,7 +30,7 @@
 }
 
 void
-dff_breaker_succeed (struct dff_breaker *breaker)
+dff_breaker_add_success (struct dff_breaker *breaker)
 {
 	breaker->state = DFF_BREAKER_CLOSED;
 	breaker->failures = 0;
@@ -38,7 +38,7 @@
 }
 
 bool
-dff_breaker_fail (struct dff_breaker *breaker, int64_t now_ms)
+dff_breaker_add_failure (struct dff_breaker *breaker, int64_t now_ms)
 {
 	breaker->failures++;
 	/* Calls sent before it opened go on failing; they must not put the next try off. */
--- a/record/breaker.h
+++ b/record/breaker.h
@@ -32,10 +32,10 @@
 bool dff_breaker_begin_probe (struct dff_breaker *breaker, int64_t now_ms);
 
 /** A call got a definite answer. */
-void dff_breaker_succeed (struct dff_breaker *breaker);
+void dff_breaker_add_success (struct dff_breaker *breaker);
 
 /** A call failed. Returns: whether the breaker opened by it. */
-bool dff_breaker_fail (struct dff_breaker *breaker, int64_t now_ms);
+bool dff_breaker_add_failure (struct dff_breaker *breaker, int64_t now_ms);
 
 /** Returns: a time between half of @ms and @ms, at least 1, so that processes that failed together
  * do not return together. */
--- a/record/budget.c
+++ b/record/budget.c
@@ -25,7 +25,7 @@
 }
 
 bool
-dff_budget_has (struct dff_budget *budget, int64_t now_ms)
+dff_budget_is_available (struct dff_budget *budget, int64_t now_ms)
 {
 	int64_t refill = (now_ms - budget->refilled_ms) * budget->refill_per_s;
 	budget->tokens_milli = MIN (budget->capacity_milli, budget->tokens_milli + refill);
@@ -36,7 +36,7 @@
 bool
 dff_budget_take (struct dff_budget *budget, int64_t now_ms)
 {
-	if (!dff_budget_has (budget, now_ms))
+	if (!dff_budget_is_available (budget, now_ms))
 		return false;
 	budget->tokens_milli -= MILLI;
 	return true;
--- a/record/budget.h
+++ b/record/budget.h
@@ -20,9 +20,9 @@
 void dff_budget_set_max (struct dff_budget *budget, int32_t max_per_s);
 
 /** Returns: whether one transaction may be sent now. */
-bool dff_budget_has (struct dff_budget *budget, int64_t now_ms);
+bool dff_budget_is_available (struct dff_budget *budget, int64_t now_ms);
 
-/** Like dff_budget_has(); the transaction counts as sent. */
+/** Like dff_budget_is_available(); the transaction counts as sent. */
 bool dff_budget_take (struct dff_budget *budget, int64_t now_ms);
 
 #endif
--- a/record/call.c
+++ b/record/call.c
@@ -1,9 +1,9 @@
 #include "record/recorder_state.h"
 
 static struct dff_record_call *
-begin (struct dff_recorder *recorder,
-       enum dff_record_call_kind kind,
-       struct dff_record_group *group)
+call_new (struct dff_recorder *recorder,
+	  enum dff_record_call_kind kind,
+	  struct dff_record_group *group)
 {
 	struct dff_record_call *call = g_new0 (struct dff_record_call, 1);
 	call->recorder = recorder;
@@ -23,7 +23,7 @@
 }
 
 static void
-take_result (void *user, const struct dff_table_result *result)
+queue_answer (void *user, const struct dff_table_result *result)
 {
 	struct dff_record_call *call = user;
 	call->outcome = result->outcome;
@@ -49,8 +49,8 @@
 	dff_record_group_build (group, &built);
 	(*recorder->counters.commits)++;
 	*recorder->counters.rows += (int64_t)built.txn.n_writes;
-	table->commit (table->ctx, &built.txn, take_result,
-		       begin (recorder, DFF_RECORD_CALL_COMMIT, group));
+	table->commit (table->ctx, &built.txn, queue_answer,
+		       call_new (recorder, DFF_RECORD_CALL_COMMIT, group));
 	dff_record_group_txn_clear (&built);
 }
 
@@ -59,8 +59,8 @@
 {
 	const struct dff_table *table = recorder->options.table;
 	(*recorder->counters.lookups)++;
-	table->lookup (table->ctx, &group->write_id, take_result,
-		       begin (recorder, DFF_RECORD_CALL_LOOKUP, group));
+	table->lookup (table->ctx, &group->write_id, queue_answer,
+		       call_new (recorder, DFF_RECORD_CALL_LOOKUP, group));
 }
 
 void
@@ -73,8 +73,8 @@
 	for (size_t i = 0; i < built.txn.n_conditions; i++)
 		g_array_append_val (keys, built.txn.conditions[i].key);
 	(*recorder->counters.conflict_reads)++;
-	table->get (table->ctx, (const struct dff_str *)keys->data, keys->len, take_result,
-		    begin (recorder, DFF_RECORD_CALL_READ, group));
+	table->get (table->ctx, (const struct dff_str *)keys->data, keys->len, queue_answer,
+		    call_new (recorder, DFF_RECORD_CALL_READ, group));
 	dff_record_group_txn_clear (&built);
 }
 
@@ -84,12 +84,12 @@
 	const struct dff_table *table = recorder->options.table;
 	struct dff_name write_id = dff_recorder_next_write_id (recorder);
 	(*recorder->counters.lookups)++;
-	table->lookup (table->ctx, &write_id, take_result,
-		       begin (recorder, DFF_RECORD_CALL_PROBE, NULL));
+	table->lookup (table->ctx, &write_id, queue_answer,
+		       call_new (recorder, DFF_RECORD_CALL_PROBE, NULL));
 }
 
 void
-dff_recorder_forget_calls (struct dff_recorder *recorder, const struct dff_record_group *group)
+dff_recorder_detach_calls (struct dff_recorder *recorder, const struct dff_record_group *group)
 {
 	GHashTableIter iter;
 	gpointer key;
--- a/record/group.c
+++ b/record/group.c
@@ -29,8 +29,8 @@
 	unit->txn = dff_table_txn_copy (&txn);
 	unit->queued_ms = now_ms;
 	unit->n_bytes = count_bytes (unit->txn);
-	unit->has_give_up = write->queue_timeout_ms > 0;
-	unit->give_up_at_ms = unit->has_give_up ? now_ms + write->queue_timeout_ms : INT64_MAX;
+	unit->has_timeout = write->queue_timeout_ms > 0;
+	unit->expires_ms = unit->has_timeout ? now_ms + write->queue_timeout_ms : INT64_MAX;
 	unit->done = done;
 	unit->user = user;
 	return unit;
@@ -78,12 +78,12 @@
 	size_t n_bytes = unit->n_bytes;
 	for (guint i = 0; i < group->units->len; i++) {
 		const struct dff_record_unit *member = group->units->pdata[i];
-		if (member->alone)
+		if (member->ungrouped)
 			return false;
 		n_rows += member->txn->n_writes;
 		n_bytes += member->n_bytes;
 	}
-	return !unit->alone && n_rows <= max_rows && n_bytes <= max_bytes;
+	return !unit->ungrouped && n_rows <= max_rows && n_bytes <= max_bytes;
 }
 
 bool
--- a/record/group.h
+++ b/record/group.h
@@ -20,15 +20,15 @@
 	/** Times that the table refused it although it had taken something else meanwhile, and the
 	 * recorder's count of successes at the last refusal. */
 	int32_t refusals;
-	uint64_t refused_at;
+	uint64_t successes_at_refusal;
 	/** Not to be sent before this, monotonic ms. */
 	int64_t not_before_ms;
 	/** Monotonic ms after which it is not sent any more; INT64_MAX: never. */
-	int64_t give_up_at_ms;
+	int64_t expires_ms;
 	/** A caller waits for it, who is to be refused at once while the table is down. */
-	bool has_give_up;
+	bool has_timeout;
 	/** To be sent in a transaction of its own. */
-	bool alone;
+	bool ungrouped;
 	/** The writer has given it up after it was sent. */
 	bool abandoned;
 	/** By the last read, a condition of it does not hold. */
--- a/record/key_locks.c
+++ b/record/key_locks.c
@@ -51,7 +51,7 @@
 }
 
 static struct key_use *
-require_use (struct dff_key_locks *locks, struct dff_str key)
+find_or_add_use (struct dff_key_locks *locks, struct dff_str key)
 {
 	struct key_use *use = find_use (locks, key);
 	if (use != NULL)
@@ -65,9 +65,9 @@
 dff_key_locks_add (struct dff_key_locks *locks, const struct dff_table_txn *txn)
 {
 	for (size_t i = 0; i < txn->n_writes; i++)
-		require_use (locks, txn->writes[i].key)->writers++;
+		find_or_add_use (locks, txn->writes[i].key)->writers++;
 	for (size_t i = 0; i < txn->n_conditions; i++) {
-		struct key_use *use = require_use (locks, txn->conditions[i].key);
+		struct key_use *use = find_or_add_use (locks, txn->conditions[i].key);
 		use->readers++;
 		use->revision = txn->conditions[i].revision;
 	}
--- a/record/recorder.c
+++ b/record/recorder.c
@@ -131,7 +131,7 @@
 }
 
 static void
-forget_unit (struct dff_recorder *recorder, struct dff_record_unit *unit)
+remove_unit (struct dff_recorder *recorder, struct dff_record_unit *unit)
 {
 	g_hash_table_remove (recorder->units, &unit->ticket);
 	dff_record_unit_free (unit);
@@ -169,7 +169,7 @@
 	};
 	(*counters[outcome])++;
 	if (unit->abandoned) {
-		forget_unit (recorder, unit);
+		remove_unit (recorder, unit);
 		return;
 	}
 	unit->finished = true;
@@ -181,8 +181,8 @@
 void
 dff_recorder_requeue (struct dff_recorder *recorder, struct dff_record_unit *unit)
 {
-	bool refused = unit->has_give_up && dff_recorder_is_breaker_open (recorder);
-	if (unit->abandoned || refused || dff_recorder_now_ms (recorder) >= unit->give_up_at_ms)
+	bool refused = unit->has_timeout && dff_recorder_is_breaker_open (recorder);
+	if (unit->abandoned || refused || dff_recorder_now_ms (recorder) >= unit->expires_ms)
 		dff_recorder_finish (recorder, unit, DFF_RECORD_NOT_COMMITTED, 0);
 	else
 		insert_waiting (recorder, unit);
@@ -195,7 +195,7 @@
 	for (GList *link = recorder->waiting.head; link != NULL; link = next) {
 		struct dff_record_unit *unit = link->data;
 		next = link->next;
-		if (!unit->has_give_up)
+		if (!unit->has_timeout)
 			continue;
 		unlink_waiting (recorder, link);
 		(*recorder->counters.refused)++;
@@ -214,7 +214,7 @@
 	g_hash_table_insert (recorder->units, &unit->ticket, unit);
 	(*recorder->counters.writes)++;
 	bool full = recorder->waiting.length >= (guint)recorder->options.max_waiting;
-	bool refused = unit->has_give_up && dff_recorder_is_breaker_open (recorder);
+	bool refused = unit->has_timeout && dff_recorder_is_breaker_open (recorder);
 	if (full || refused || unit->n_bytes > DFF_RECORD_MAX_UNIT_BYTES) {
 		(*recorder->counters.refused)++;
 		dff_recorder_finish (recorder, unit, DFF_RECORD_NOT_COMMITTED, 0);
@@ -241,7 +241,7 @@
 		g_queue_remove (&recorder->finished, unit);
 	else
 		unlink_waiting (recorder, g_queue_find (&recorder->waiting, unit));
-	forget_unit (recorder, unit);
+	remove_unit (recorder, unit);
 	return written ? DFF_ABANDON_UNKNOWN : DFF_ABANDON_NOT_COMMITTED;
 }
 
@@ -253,7 +253,7 @@
 	for (GList *link = recorder->waiting.head; link != NULL; link = next) {
 		struct dff_record_unit *unit = link->data;
 		next = link->next;
-		if (now_ms < unit->give_up_at_ms)
+		if (now_ms < unit->expires_ms)
 			continue;
 		unlink_waiting (recorder, link);
 		dff_recorder_finish (recorder, unit, DFF_RECORD_NOT_COMMITTED, 0);
@@ -271,13 +271,13 @@
 
 /* Whether @unit must stay behind: a key of it is in use, or it was refused a moment ago. */
 static bool
-must_stay (const struct dff_recorder *recorder,
-	   const struct dff_key_locks *passed_over,
+must_wait (const struct dff_recorder *recorder,
+	   const struct dff_key_locks *skipped,
 	   const struct dff_record_unit *unit)
 {
 	return dff_recorder_now_ms (recorder) < unit->not_before_ms ||
 	       dff_key_locks_conflict (&recorder->locks, unit->txn) ||
-	       dff_key_locks_conflict (passed_over, unit->txn);
+	       dff_key_locks_conflict (skipped, unit->txn);
 }
 
 /* Moves waiting units into @group in order. One that shares a key with a group on its way, or with
@@ -285,16 +285,16 @@
 static void
 fill_group (struct dff_recorder *recorder, struct dff_record_group *group)
 {
-	struct dff_key_locks passed_over;
+	struct dff_key_locks skipped;
 	size_t max_rows = (size_t)recorder->options.max_rows_per_commit;
 	size_t max_bytes = (size_t)recorder->options.max_bytes_per_commit;
-	dff_key_locks_init (&passed_over);
+	dff_key_locks_init (&skipped);
 	GList *next = NULL;
 	for (GList *link = recorder->waiting.head; link != NULL; link = next) {
 		struct dff_record_unit *unit = link->data;
 		next = link->next;
-		if (must_stay (recorder, &passed_over, unit)) {
-			dff_key_locks_add (&passed_over, unit->txn);
+		if (must_wait (recorder, &skipped, unit)) {
+			dff_key_locks_add (&skipped, unit->txn);
 			continue;
 		}
 		if (!dff_record_group_fits (group, unit, max_rows, max_bytes))
@@ -303,7 +303,7 @@
 		dff_key_locks_add (&recorder->locks, unit->txn);
 		dff_record_group_add (group, unit);
 	}
-	dff_key_locks_clear (&passed_over);
+	dff_key_locks_clear (&skipped);
 }
 
 /* Returns: whether a group was sent. */
@@ -313,7 +313,7 @@
 	int64_t now_ms = dff_recorder_now_ms (recorder);
 	if (g_queue_is_empty (&recorder->waiting) || recorder->groups->len >= MAX_GROUPS ||
 	    recorder->breaker.state != DFF_BREAKER_CLOSED || !is_due (recorder) ||
-	    !dff_budget_has (&recorder->budget, now_ms))
+	    !dff_budget_is_available (&recorder->budget, now_ms))
 		return false;
 	struct dff_name write_id = dff_recorder_next_write_id (recorder);
 	struct dff_record_group *group = dff_record_group_new (&write_id);
@@ -331,7 +331,7 @@
 }
 
 static void
-call_back_finished (struct dff_recorder *recorder)
+run_callbacks (struct dff_recorder *recorder)
 {
 	/* What a callback ends at once waits for the next tick: a writer that writes again when
 	 * refused must not hold up the loop. */
@@ -345,7 +345,7 @@
 		void *user = unit->user;
 		enum dff_record_outcome outcome = unit->outcome;
 		int64_t revision = unit->revision;
-		forget_unit (recorder, unit);
+		remove_unit (recorder, unit);
 		done (user, outcome, revision);
 	}
 }
@@ -353,17 +353,17 @@
 void
 dff_recorder_tick (struct dff_recorder *recorder)
 {
-	dff_recorder_take_answers (recorder);
+	dff_recorder_handle_answers (recorder);
 	dff_recorder_check_timeouts (recorder);
 	expire_waiting (recorder);
 	dff_recorder_probe (recorder);
 	dff_recorder_send_lookups (recorder);
 	while (send_group (recorder))
 		;
-	dff_recorder_take_answers (recorder);
+	dff_recorder_handle_answers (recorder);
 	*recorder->counters.waiting = recorder->waiting.length;
 	*recorder->counters.breaker_open = dff_recorder_is_breaker_open (recorder);
-	call_back_finished (recorder);
+	run_callbacks (recorder);
 }
 
 void
--- a/record/recorder_state.h
+++ b/record/recorder_state.h
@@ -97,13 +97,13 @@
 void dff_recorder_call_probe (struct dff_recorder *recorder);
 
 /** Answers of calls for @group are dropped from now on. */
-void dff_recorder_forget_calls (struct dff_recorder *recorder,
+void dff_recorder_detach_calls (struct dff_recorder *recorder,
 				const struct dff_record_group *group);
 
 /* resolve.c */
 
 /** Deals with answers that have come. */
-void dff_recorder_take_answers (struct dff_recorder *recorder);
+void dff_recorder_handle_answers (struct dff_recorder *recorder);
 
 /** Gives up waiting for answers that are overdue. */
 void dff_recorder_check_timeouts (struct dff_recorder *recorder);
--- a/record/resolve.c
+++ b/record/resolve.c
@@ -19,19 +19,20 @@
 }
 
 static void
-note_success (struct dff_recorder *recorder)
+handle_success (struct dff_recorder *recorder)
 {
 	if (recorder->breaker.state != DFF_BREAKER_CLOSED)
 		dff_log (DFF_LOG_RECORD, DFF_LOG_INFO, "Table answers again.");
-	dff_breaker_succeed (&recorder->breaker);
+	dff_breaker_add_success (&recorder->breaker);
 	recorder->n_successes++;
 }
 
 static void
-note_failure (struct dff_recorder *recorder)
+handle_failure (struct dff_recorder *recorder)
 {
 	bool was_closed = recorder->breaker.state == DFF_BREAKER_CLOSED;
-	if (!dff_breaker_fail (&recorder->breaker, dff_recorder_now_ms (recorder)) || !was_closed)
+	if (!dff_breaker_add_failure (&recorder->breaker, dff_recorder_now_ms (recorder)) ||
+	    !was_closed)
 		return;
 	(*recorder->counters.breaker_opened)++;
 	dff_log (DFF_LOG_RECORD, DFF_LOG_WARNING,
@@ -46,7 +47,7 @@
 static void
 end_group (struct dff_recorder *recorder, struct dff_record_group *group)
 {
-	dff_recorder_forget_calls (recorder, group);
+	dff_recorder_detach_calls (recorder, group);
 	g_ptr_array_remove (recorder->groups, group);
 	for (guint i = 0; i < group->units->len; i++) {
 		struct dff_record_unit *unit = group->units->pdata[i];
@@ -82,19 +83,20 @@
  * any more although the table works. A unit refused twice, with something else taken in between,
  * is sent by itself from then on, at growing intervals, and does not count for the breaker. */
 static void
-note_refusal (struct dff_recorder *recorder, struct dff_record_unit *unit)
+count_refusal (struct dff_recorder *recorder, struct dff_record_unit *unit)
 {
 	bool was_suspect = unit->refusals >= DFF_RECORD_SUSPECT_REFUSALS;
-	bool took_others = unit->refusals == 0 || unit->refused_at != recorder->n_successes;
-	if (!took_others && !was_suspect)
+	bool accepted_others =
+		unit->refusals == 0 || unit->successes_at_refusal != recorder->n_successes;
+	if (!accepted_others && !was_suspect)
 		return;
 	unit->refusals++;
-	unit->refused_at = recorder->n_successes;
+	unit->successes_at_refusal = recorder->n_successes;
 	if (unit->refusals < DFF_RECORD_SUSPECT_REFUSALS)
 		return;
 	int32_t backoff_ms = doubled_ms (REFUSED_BACKOFF_FIRST_MS, REFUSED_BACKOFF_MAX_MS,
 					 unit->refusals - DFF_RECORD_SUSPECT_REFUSALS);
-	unit->alone = true;
+	unit->ungrouped = true;
 	unit->not_before_ms =
 		dff_recorder_now_ms (recorder) + dff_jitter_ms (recorder->rand, backoff_ms);
 }
@@ -103,7 +105,7 @@
 refuse_group (struct dff_recorder *recorder, struct dff_record_group *group)
 {
 	for (guint i = 0; i < group->units->len; i++)
-		note_refusal (recorder, group->units->pdata[i]);
+		count_refusal (recorder, group->units->pdata[i]);
 	requeue_group (recorder, group);
 }
 
@@ -117,7 +119,7 @@
 }
 
 static void
-become_uncertain (struct dff_recorder *recorder, struct dff_record_group *group)
+mark_uncertain (struct dff_recorder *recorder, struct dff_record_group *group)
 {
 	int32_t backoff_ms =
 		doubled_ms (LOOKUP_BACKOFF_FIRST_MS, LOOKUP_BACKOFF_MAX_MS, group->lookups);
@@ -131,7 +133,7 @@
  * the group again and again would cost two commits for each unit when all of them fail, as they do
  * for a holder that has lost its epoch. */
 static void
-take_conflict (struct dff_recorder *recorder, struct dff_record_group *group, int64_t revision)
+handle_conflict (struct dff_recorder *recorder, struct dff_record_group *group, int64_t revision)
 {
 	if (group->units->len == 1) {
 		finish_group (recorder, group, DFF_RECORD_CONFLICT, revision);
@@ -142,7 +144,7 @@
 }
 
 static void
-take_commit_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
+handle_commit_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
 {
 	struct dff_record_group *group = call->group;
 	switch (call->outcome) {
@@ -155,20 +157,20 @@
 		if (group->lookups > 0)
 			requeue_group (recorder, group);
 		else
-			take_conflict (recorder, group, call->revision);
+			handle_conflict (recorder, group, call->revision);
 		break;
 	case DFF_TABLE_UNAVAILABLE:
 		refuse_group (recorder, group);
 		break;
 	case DFF_TABLE_UNCERTAIN:
 		if (group->state == DFF_GROUP_SENT)
-			become_uncertain (recorder, group);
+			mark_uncertain (recorder, group);
 		break;
 	}
 }
 
 static void
-take_lookup_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
+handle_lookup_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
 {
 	struct dff_record_group *group = call->group;
 	switch (call->outcome) {
@@ -183,13 +185,13 @@
 	case DFF_TABLE_UNAVAILABLE:
 	case DFF_TABLE_UNCERTAIN:
 		if (group->state == DFF_GROUP_LOOKUP)
-			become_uncertain (recorder, group);
+			mark_uncertain (recorder, group);
 		break;
 	}
 }
 
 static bool
-any_conflicts (const struct dff_record_group *group)
+has_conflict (const struct dff_record_group *group)
 {
 	for (guint i = 0; i < group->units->len; i++) {
 		const struct dff_record_unit *unit = group->units->pdata[i];
@@ -203,18 +205,18 @@
  * the row has changed back in between, none fails: they go one by one, so that the next conflict
  * names its unit. */
 static void
-take_read_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
+handle_read_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
 {
 	struct dff_record_group *group = call->group;
 	if (call->outcome != DFF_TABLE_OK) {
 		requeue_group (recorder, group);
 		return;
 	}
-	bool one_by_one = !any_conflicts (group);
+	bool one_by_one = !has_conflict (group);
 	end_group (recorder, group);
 	for (guint i = 0; i < group->units->len; i++) {
 		struct dff_record_unit *unit = group->units->pdata[i];
-		unit->alone = one_by_one;
+		unit->ungrouped = one_by_one;
 		if (unit->conflicts)
 			dff_recorder_finish (recorder, unit, DFF_RECORD_CONFLICT, call->revision);
 		else
@@ -234,23 +236,23 @@
 }
 
 static void
-take_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
+handle_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
 {
 	if (call->outcome == DFF_TABLE_OK || call->outcome == DFF_TABLE_CONFLICT)
-		note_success (recorder);
+		handle_success (recorder);
 	else if (counts_as_failure (call))
-		note_failure (recorder);
+		handle_failure (recorder);
 	if (call->group == NULL)
 		return;
 	switch (call->kind) {
 	case DFF_RECORD_CALL_COMMIT:
-		take_commit_answer (recorder, call);
+		handle_commit_answer (recorder, call);
 		break;
 	case DFF_RECORD_CALL_LOOKUP:
-		take_lookup_answer (recorder, call);
+		handle_lookup_answer (recorder, call);
 		break;
 	case DFF_RECORD_CALL_READ:
-		take_read_answer (recorder, call);
+		handle_read_answer (recorder, call);
 		break;
 	case DFF_RECORD_CALL_PROBE:
 		break;
@@ -258,11 +260,11 @@
 }
 
 void
-dff_recorder_take_answers (struct dff_recorder *recorder)
+dff_recorder_handle_answers (struct dff_recorder *recorder)
 {
 	struct dff_record_call *call;
 	while ((call = g_queue_pop_head (&recorder->answers)) != NULL) {
-		take_answer (recorder, call);
+		handle_answer (recorder, call);
 		g_hash_table_remove (recorder->calls, call);
 	}
 }
@@ -270,12 +272,12 @@
 static void
 time_out (struct dff_recorder *recorder, struct dff_record_group *group)
 {
-	note_failure (recorder);
+	handle_failure (recorder);
 	/* A conflict was answered, so that nothing is written whatever the read would say. */
 	if (group->state == DFF_GROUP_READING)
 		requeue_group (recorder, group);
 	else
-		become_uncertain (recorder, group);
+		mark_uncertain (recorder, group);
 }
 
 void
@@ -288,7 +290,7 @@
 			time_out (recorder, group);
 	}
 	if (recorder->breaker.state == DFF_BREAKER_HALF_OPEN && now_ms >= recorder->probe_due_ms)
-		note_failure (recorder);
+		handle_failure (recorder);
 }
 
 void
@@ -313,7 +315,7 @@
 dff_recorder_probe (struct dff_recorder *recorder)
 {
 	int64_t now_ms = dff_recorder_now_ms (recorder);
-	if (!dff_budget_has (&recorder->budget, now_ms) ||
+	if (!dff_budget_is_available (&recorder->budget, now_ms) ||
 	    !dff_breaker_begin_probe (&recorder->breaker, now_ms))
 		return;
 	dff_budget_take (&recorder->budget, now_ms);
--- a/tests/record/recorder_fixture.c
+++ b/tests/record/recorder_fixture.c
@@ -61,7 +61,7 @@
 }
 
 static void
-written (void *user, enum dff_record_outcome outcome, int64_t revision)
+handle_outcome (void *user, enum dff_record_outcome outcome, int64_t revision)
 {
 	struct recorder_writer *writer = user;
 	writer->calls++;
@@ -78,7 +78,7 @@
 		const char *value,
 		const char *condition_key,
 		int64_t expected,
-		int32_t give_up_ms)
+		int32_t queue_timeout_ms)
 {
 	memset (writer, 0, sizeof (*writer));
 	writer->fixture = fixture;
@@ -93,9 +93,9 @@
 		.n_conditions = condition_key == NULL ? 0 : 1,
 		.writes = &row,
 		.n_writes = 1,
-		.queue_timeout_ms = give_up_ms,
+		.queue_timeout_ms = queue_timeout_ms,
 	};
-	writer->ticket = dff_recorder_write (fixture->recorder, &write, written, writer);
+	writer->ticket = dff_recorder_write (fixture->recorder, &write, handle_outcome, writer);
 	assert_int_equal (writer->calls, 0);
 }
 
--- a/tests/record/recorder_fixture.h
+++ b/tests/record/recorder_fixture.h
@@ -44,14 +44,14 @@
 void recorder_run (struct recorder_fixture *fixture, int64_t ms);
 
 /** Writes @value under @key; @condition_key (nullable) must have revision @expected. @writer takes
- * what becomes of it; @give_up_ms 0: no time limit. */
+ * what becomes of it; @queue_timeout_ms 0: no time limit. */
 void recorder_write (struct recorder_fixture *fixture,
 		     struct recorder_writer *writer,
 		     const char *key,
 		     const char *value,
 		     const char *condition_key,
 		     int64_t expected,
-		     int32_t give_up_ms);
+		     int32_t queue_timeout_ms);
 
 /** Returns: whether the table holds @value under @key; NULL: no row. */
 bool recorder_row_is (const struct recorder_fixture *fixture, const char *key, const char *value);
--- a/tests/record/test-recorder-faults.c
+++ b/tests/record/test-recorder-faults.c
@@ -83,7 +83,7 @@
 }
 
 static void
-test_outage_and_return (void **state)
+test_outage_and_recovery (void **state)
 {
 	struct recorder_fixture *fixture = *state;
 	struct recorder_writer writers[4];
@@ -118,7 +118,7 @@
  * silent; lookups get no answer either. Cause: no answer is no failure unless somebody counts the
  * time. */
 static void
-test_silence (void **state)
+test_table_that_never_answers (void **state)
 {
 	struct recorder_fixture *fixture = *state;
 	struct recorder_writer writer;
@@ -141,7 +141,7 @@
 /* Symptom: a caller is told "not run", and the job runs. Sequence: the caller's time is over while
  * the commit is on its way; the commit takes effect. Cause: giving up was taken for undoing. */
 static void
-test_abandon_is_truthful (void **state)
+test_abandon_reports_known_effect (void **state)
 {
 	struct recorder_fixture *fixture = *state;
 	static const struct {
@@ -212,10 +212,11 @@
 						 recorder_teardown),
 		cmocka_unit_test_setup_teardown (test_conflict_with_a_barred_write_id,
 						 recorder_setup, recorder_teardown),
-		cmocka_unit_test_setup_teardown (test_outage_and_return, recorder_setup,
+		cmocka_unit_test_setup_teardown (test_outage_and_recovery, recorder_setup,
 						 recorder_teardown),
-		cmocka_unit_test_setup_teardown (test_silence, recorder_setup, recorder_teardown),
-		cmocka_unit_test_setup_teardown (test_abandon_is_truthful, recorder_setup,
+		cmocka_unit_test_setup_teardown (test_table_that_never_answers, recorder_setup,
+						 recorder_teardown),
+		cmocka_unit_test_setup_teardown (test_abandon_reports_known_effect, recorder_setup,
 						 recorder_teardown),
 		cmocka_unit_test_setup_teardown (test_abandon_of_a_confirmed_write, recorder_setup,
 						 recorder_teardown),
--- a/tests/record/test-recorder-http.c
+++ b/tests/record/test-recorder-http.c
@@ -93,7 +93,7 @@
 }
 
 static void
-faults_set (void *user, const struct dff_http_response *response)
+handle_faults_set (void *user, const struct dff_http_response *response)
 {
 	assert_int_equal (response->status, 200);
 	*(bool *)user = true;
@@ -110,13 +110,13 @@
 		.body = dff_str_from (faults),
 		.timeout_ms = 10000,
 	};
-	dff_http_client_send (fixture->client, &request, faults_set, &done);
+	dff_http_client_send (fixture->client, &request, handle_faults_set, &done);
 	while (!done)
 		event_base_loop (fixture->base, EVLOOP_ONCE);
 }
 
 static void
-written (void *user, enum dff_record_outcome outcome, int64_t revision)
+handle_outcome (void *user, enum dff_record_outcome outcome, int64_t revision)
 {
 	struct writer *writer = user;
 	writer->calls++;
@@ -138,7 +138,8 @@
 			.n_writes = 1,
 			.queue_timeout_ms = i % 2 == 0 ? 0 : 100,
 		};
-		dff_recorder_write (fixture->recorder, &write, written, &fixture->writers[i]);
+		dff_recorder_write (fixture->recorder, &write, handle_outcome,
+				    &fixture->writers[i]);
 	}
 }
 
@@ -153,7 +154,7 @@
 
 /* Marks the rows that exist; their revisions must be what the writers were told. */
 static void
-take_rows (void *user, const struct dff_table_result *result)
+check_rows (void *user, const struct dff_table_result *result)
 {
 	struct fixture *fixture = user;
 	int done = 0;
@@ -171,7 +172,7 @@
 }
 
 static void
-test_lost_and_late_over_connections (void **state)
+test_lost_and_late_commits_over_http (void **state)
 {
 	struct fixture *fixture = *state;
 	set_faults (fixture, FAULTS);
@@ -187,7 +188,7 @@
 	fixture->clock.now_ms += LATE_MS;
 	set_faults (fixture, "{}");
 	const struct dff_table *table = dff_http_table_interface (fixture->table);
-	table->scan (table->ctx, dff_str_from ("k:"), 0, N_WRITES + 1, take_rows, fixture);
+	table->scan (table->ctx, dff_str_from ("k:"), 0, N_WRITES + 1, check_rows, fixture);
 	while (fixture->n_called == 0)
 		event_base_loop (fixture->base, EVLOOP_ONCE);
 	assert_true (*dff_metrics_counter (fixture->metrics, "dff_record_resolved_absent_total",
@@ -200,7 +201,7 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown (test_lost_and_late_over_connections, setup,
+		cmocka_unit_test_setup_teardown (test_lost_and_late_commits_over_http, setup,
 						 teardown),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/record/test-recorder-seeds.c
+++ b/tests/record/test-recorder-seeds.c
@@ -14,7 +14,7 @@
 
 #define N_SEEDS 2000
 #define N_WRITES 60
-#define N_CHAINS 3
+#define N_SHARED_KEYS 3
 #define TICK_MS 5
 #define FAULTY_MS 3000
 #define SETTLING_MS 20000
@@ -23,13 +23,13 @@
 
 enum write_kind {
 	/** A row of its own, on condition that it does not exist. */
-	DFF_WRITE_FRESH,
+	DFF_WRITE_CREATE,
 	/** A row of its own, on a condition that never holds. */
-	DFF_WRITE_HOPELESS,
+	DFF_WRITE_CONFLICTING,
 	/** A row of its own, on condition of the epoch. */
 	DFF_WRITE_FENCED,
 	/** A row that many write, in order. */
-	DFF_WRITE_CHAIN,
+	DFF_WRITE_SHARED,
 	DFF_WRITE_N_KINDS,
 };
 
@@ -64,7 +64,7 @@
 };
 
 static void
-take_revision (void *user, const struct dff_table_result *result)
+handle_revision (void *user, const struct dff_table_result *result)
 {
 	assert_int_equal (result->outcome, DFF_TABLE_OK);
 	*(int64_t *)user = result->revision;
@@ -76,7 +76,7 @@
 	struct dff_table_write write = {dff_str_from (EPOCH_KEY), dff_str_from (write_id)};
 	struct dff_table_txn txn = {
 		.write_id = dff_name_from (write_id), .writes = &write, .n_writes = 1};
-	run->rival->table.commit (run->rival->table.ctx, &txn, take_revision, revision);
+	run->rival->table.commit (run->rival->table.ctx, &txn, handle_revision, revision);
 }
 
 static struct run *
@@ -146,7 +146,7 @@
 }
 
 static void
-written (void *user, enum dff_record_outcome outcome, int64_t revision)
+handle_outcome (void *user, enum dff_record_outcome outcome, int64_t revision)
 {
 	struct writer *writer = user;
 	writer->calls++;
@@ -161,25 +161,25 @@
 	struct writer *writer = &run->writers[index];
 	writer->kind = (enum write_kind)g_rand_int_range (run->rand, 0, DFF_WRITE_N_KINDS);
 	g_snprintf (writer->value, sizeof (writer->value), "%d", index);
-	if (writer->kind == DFF_WRITE_CHAIN)
-		g_snprintf (writer->key, sizeof (writer->key), "c/%d", index % N_CHAINS);
+	if (writer->kind == DFF_WRITE_SHARED)
+		g_snprintf (writer->key, sizeof (writer->key), "c/%d", index % N_SHARED_KEYS);
 	else
 		g_snprintf (writer->key, sizeof (writer->key), "k/%d", index);
 	struct dff_table_write row = {dff_str_from (writer->key), dff_str_from (writer->value)};
 	struct dff_table_condition conditions[] = {
-		[DFF_WRITE_FRESH] = {dff_str_from (writer->key), 0},
-		[DFF_WRITE_HOPELESS] = {dff_str_from ("absent"), 77},
+		[DFF_WRITE_CREATE] = {dff_str_from (writer->key), 0},
+		[DFF_WRITE_CONFLICTING] = {dff_str_from ("absent"), 77},
 		[DFF_WRITE_FENCED] = {dff_str_from (EPOCH_KEY), run->epoch_revision},
-		[DFF_WRITE_CHAIN] = {{0}, 0},
+		[DFF_WRITE_SHARED] = {{0}, 0},
 	};
 	struct dff_record_write write = {
 		.conditions = &conditions[writer->kind],
-		.n_conditions = writer->kind == DFF_WRITE_CHAIN ? 0 : 1,
+		.n_conditions = writer->kind == DFF_WRITE_SHARED ? 0 : 1,
 		.writes = &row,
 		.n_writes = 1,
 		.queue_timeout_ms = chance (run, 30) ? g_rand_int_range (run->rand, 1, 1000) : 0,
 	};
-	writer->ticket = dff_recorder_write (run->recorder, &write, written, writer);
+	writer->ticket = dff_recorder_write (run->recorder, &write, handle_outcome, writer);
 }
 
 static void
@@ -205,7 +205,7 @@
 }
 
 static void
-play (struct run *run)
+run_schedule (struct run *run)
 {
 	int rival_tick = g_rand_int_range (run->rand, 0, FAULTY_MS / TICK_MS);
 	for (int i = 0; i < FAULTY_MS / TICK_MS; i++) {
@@ -230,35 +230,36 @@
 	bool exists = dff_memory_peek (run->memory, dff_str_from (writer->key), &row);
 	if (writer->abandoned) {
 		assert_int_equal (writer->calls, 0);
-		if (writer->abandon == DFF_ABANDON_NOT_COMMITTED && writer->kind != DFF_WRITE_CHAIN)
+		if (writer->abandon == DFF_ABANDON_NOT_COMMITTED &&
+		    writer->kind != DFF_WRITE_SHARED)
 			assert_false (exists);
 		return;
 	}
 	assert_int_equal (writer->calls, 1);
-	if (writer->kind == DFF_WRITE_CHAIN)
+	if (writer->kind == DFF_WRITE_SHARED)
 		return;
 	assert_int_equal (exists, writer->outcome == DFF_RECORD_COMMITTED);
 	if (exists)
 		assert_int_equal (writer->revision, row.revision);
-	if (writer->kind == DFF_WRITE_HOPELESS)
+	if (writer->kind == DFF_WRITE_CONFLICTING)
 		assert_false (exists);
 	if (writer->kind == DFF_WRITE_FENCED && exists)
 		assert_true (row.revision < run->rival_revision);
-	if (writer->kind == DFF_WRITE_FRESH)
+	if (writer->kind == DFF_WRITE_CREATE)
 		assert_int_not_equal (writer->outcome, DFF_RECORD_CONFLICT);
 }
 
 /* The row of a chain holds the last confirmed write, or a later one whose writer was told that its
  * effect is unknown. Returns: whether the row may hold what @writer wrote. */
 static bool
-may_be_last (const struct writer *writer)
+may_be_in_row (const struct writer *writer)
 {
 	return writer->abandoned ? writer->abandon == DFF_ABANDON_UNKNOWN
 				 : writer->outcome == DFF_RECORD_COMMITTED;
 }
 
 static void
-check_chain (const struct run *run, int chain)
+check_shared_key (const struct run *run, int chain)
 {
 	char key[16];
 	g_snprintf (key, sizeof (key), "c/%d", chain);
@@ -270,7 +271,7 @@
 			continue;
 		bool is_row = exists && dff_str_equal (row.value, dff_str_from (writer->value));
 		if (is_row)
-			assert_true (may_be_last (writer));
+			assert_true (may_be_in_row (writer));
 		if (is_row)
 			return;
 		/* A confirmed write can be followed only by what came after it. */
@@ -288,20 +289,20 @@
 }
 
 static void
-test_seeds (void **state)
+test_random_schedules (void **state)
 {
 	(void)state;
 	int counts[DFF_RECORD_NOT_COMMITTED + 1] = {0};
 	for (guint32 seed = 0; seed < N_SEEDS; seed++) {
 		struct run *run = run_new (seed);
-		play (run);
+		run_schedule (run);
 		for (int i = 0; i < run->n_writers; i++) {
 			check_writer (run, &run->writers[i]);
 			if (!run->writers[i].abandoned)
 				counts[run->writers[i].outcome]++;
 		}
-		for (int chain = 0; chain < N_CHAINS; chain++)
-			check_chain (run, chain);
+		for (int chain = 0; chain < N_SHARED_KEYS; chain++)
+			check_shared_key (run, chain);
 		check_budget (run);
 		run_free (run);
 	}
@@ -315,6 +316,6 @@
 int
 main (void)
 {
-	const struct CMUnitTest tests[] = {cmocka_unit_test (test_seeds)};
+	const struct CMUnitTest tests[] = {cmocka_unit_test (test_random_schedules)};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/record/test-recorder.c
+++ b/tests/record/test-recorder.c
@@ -30,7 +30,7 @@
  * the first write's answer is lost and it takes effect late, the second is sent meanwhile. Cause:
  * two writes to one key on their way at once. */
 static void
-test_writes_to_one_key_keep_their_order (void **state)
+test_writes_to_one_key_stay_in_order (void **state)
 {
 	struct recorder_fixture *fixture = *state;
 	struct recorder_writer writers[4];
@@ -117,7 +117,7 @@
 }
 
 static void
-test_budget_is_kept (void **state)
+test_commit_rate_limit (void **state)
 {
 	assert_in_range (most_in_a_second (*state), MAX_COMMITS_PER_S * 8 / 10, MAX_COMMITS_PER_S);
 }
@@ -126,7 +126,7 @@
  * settings are read, and the table is as busy as before. Cause: the recorder had copied the number
  * when it was made. */
 static void
-test_budget_can_be_changed (void **state)
+test_commit_rate_limit_can_be_changed (void **state)
 {
 	struct recorder_fixture *fixture = *state;
 	dff_recorder_set_max_commits (fixture->recorder, MAX_COMMITS_PER_S / 2);
@@ -210,16 +210,16 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown (test_group_commit, recorder_setup,
 						 recorder_teardown),
-		cmocka_unit_test_setup_teardown (test_writes_to_one_key_keep_their_order,
+		cmocka_unit_test_setup_teardown (test_writes_to_one_key_stay_in_order,
 						 recorder_setup, recorder_teardown),
 		cmocka_unit_test_setup_teardown (test_conflict_in_a_group, recorder_setup,
 						 recorder_teardown),
 		cmocka_unit_test_setup_teardown (test_conflict_of_a_whole_group, recorder_setup,
 						 recorder_teardown),
-		cmocka_unit_test_setup_teardown (test_budget_is_kept, recorder_setup,
-						 recorder_teardown),
-		cmocka_unit_test_setup_teardown (test_budget_can_be_changed, recorder_setup,
+		cmocka_unit_test_setup_teardown (test_commit_rate_limit, recorder_setup,
 						 recorder_teardown),
+		cmocka_unit_test_setup_teardown (test_commit_rate_limit_can_be_changed,
+						 recorder_setup, recorder_teardown),
 		cmocka_unit_test_setup_teardown (test_full_queue_refuses_at_once, recorder_setup,
 						 recorder_teardown),
 		cmocka_unit_test_setup_teardown (test_refused_unit_does_not_hold_up_others,
