--- a/include/record/recorder.h
+++ b/include/record/recorder.h
@@ -11,13 +11,13 @@
 #include "common/metrics.h"
 
 /*
- * Durable writes to the table: group commit, a budget of transactions a second, a circuit breaker
- * with jittered back-off, and resolution of lost answers by reading back the write id. A writer is
- * never told "not recorded" unless it is proven.
+ * Durable writes to the table: group commit, a limit of transactions per second, a circuit breaker
+ * with jittered backoff, and resolution of lost answers by looking up the write id. A write is
+ * reported as not committed only if that is proven.
  */
 
-/* Writes with a key in common (of a row written by one of them) take effect in the order in which
- * they were given, also when the answer of one is lost; others may pass each other. */
+/* Two writes that share a key, which at least one of them writes, take effect in the order in which
+ * they were given, even if an answer is lost. Other writes may be reordered. */
 
 struct dff_recorder;
 
@@ -25,33 +25,35 @@
 	const struct dff_table *table;
 	const struct dff_clock *clock;
 	struct dff_metrics *metrics;
-	/** Prefix of write ids; unique for each process and start. */
+	/** Prefix of write ids; unique for each start of each process. */
 	struct dff_name writer;
 	uint64_t seed;
-	/** Transactions a second at the most, and rows in one transaction at the most. */
+	/** Most transactions per second. */
 	int32_t max_commits_per_s;
+	/** Most rows in one transaction. */
 	int32_t max_rows_per_commit;
-	/** Bytes in one transaction at the most, unless a single unit is larger. */
+	/** Most bytes in one transaction, unless a single unit is larger. */
 	int32_t max_bytes_per_commit;
-	/** Longest wait of a write for company, ms. */
+	/** Longest time that a write waits to be grouped with others, ms. */
 	int32_t linger_ms;
-	/** Writes waiting at the most; beyond it writes are refused at once as not recorded. */
+	/** Most queued writes; further ones end at once with DFF_RECORD_NOT_COMMITTED. */
 	int32_t max_waiting;
-	/** A commit without answer this long is uncertain, ms. */
+	/** Time without an answer after which a commit is uncertain, ms. */
 	int32_t answer_timeout_ms;
 };
 
-/** Keys and values of one unit at the most; a larger one is refused at once as not recorded. */
+/** Largest size of the keys and values of one unit, bytes; a larger unit ends at once with
+ * DFF_RECORD_NOT_COMMITTED. */
 #define DFF_RECORD_MAX_UNIT_BYTES (512 << 10)
 
-/** Sets the defaults; table, clock, metrics and writer are left to the caller. */
+/** Sets the defaults. The caller sets table, clock, metrics and writer. */
 void dff_recorder_options_init (struct dff_recorder_options *options);
 
-/** Returns: (transfer full): @options is copied, what it points to is borrowed. */
+/** Returns: (transfer full): a recorder. Copies @options; what it points to is borrowed. */
 struct dff_recorder *dff_recorder_new (const struct dff_recorder_options *options);
 
-/** Drops waiting writes without calling back. The table must call back no more: close or free it
- * first. Not to be called from a callback. */
+/** Drops queued writes without running their callbacks. Close or free the table first, as it must
+ * not call back any more. Must not be called from a callback. */
 void dff_recorder_free (struct dff_recorder *recorder);
 
 DFF_DEFINE_CLEANUP (dff_recorder, dff_recorder_free);
@@ -60,33 +62,35 @@
 	DFF_RECORD_COMMITTED,
 	/** A condition did not hold. Proven not written. */
 	DFF_RECORD_CONFLICT,
-	/** Proven not written: refused, never sent, or found absent and barred by its write id. */
+	/** Proven not written: refused, never sent, or found absent by a lookup, which also bars
+	 * the write id. */
 	DFF_RECORD_NOT_COMMITTED,
 };
 
-/** @revision: of the commit, for the next condition. */
+/** @revision: that of the commit, for use in the next condition. */
 typedef void (*dff_record_func) (void *user, enum dff_record_outcome outcome, int64_t revision);
 
 /**
  * struct dff_record_write:
- * One atomic unit, at most 4 writes. Units are grouped into transactions; a unit whose condition
- * fails does not fail the others of its group. Copied.
+ * One atomic unit of at most 4 writes. Units are grouped into transactions; a unit whose condition
+ * fails does not fail the other units of its group. dff_recorder_write() copies it.
  */
 struct dff_record_write {
 	const struct dff_table_condition *conditions;
 	size_t n_conditions;
 	const struct dff_table_write *writes;
 	size_t n_writes;
-	/** Somebody waits for it: not sent when it has waited this long, and refused at once while
-	 * the breaker is open, both NOT_DONE; 0: waits as long as it takes, ms. */
+	/** For a write whose caller waits, ms; 0: no limit. A write that was queued this long is
+	 * not sent, and while the breaker is open it is refused at once. Both end with
+	 * DFF_RECORD_NOT_COMMITTED. */
 	int32_t queue_timeout_ms;
 };
 
 /**
  * dff_recorder_write:
  *
- * @done is called once, never before this call returns. While the store keeps silent about a commit
- * that was sent, it is not called; dff_recorder_abandon() is for callers who cannot wait.
+ * @done is called once, never before this call returns. It is not called as long as the store does
+ * not answer for a commit that was sent; callers that cannot wait use dff_recorder_abandon().
  *
  * Returns: ticket for dff_recorder_abandon().
  */
@@ -96,26 +100,26 @@
 			     void *user);
 
 enum dff_abandon_outcome {
-	/** It was still waiting and is dropped: proven not written. */
+	/** The write was still queued and is dropped: proven not written. */
 	DFF_ABANDON_NOT_COMMITTED,
-	/** It has been sent: its effect stays unknown to this caller. @done is not called any more.
-	 */
+	/** The write was sent; whether it takes effect is not known. */
 	DFF_ABANDON_UNKNOWN,
 };
 
-/** Gives up on a write whose callback has not come yet. */
+/** Abandons a write whose callback has not run yet; the callback will not run. */
 enum dff_abandon_outcome dff_recorder_abandon (struct dff_recorder *recorder, uint64_t ticket);
 
-/** Changes the maximum of transactions a second, from now on. */
+/** Changes the limit of transactions per second. */
 void dff_recorder_set_max_commits (struct dff_recorder *recorder, int32_t max_commits_per_s);
 
-/** Sends what is due and times out what is overdue. To be called every few milliseconds. */
+/** Sends due writes, times out calls and runs callbacks. Call it every few milliseconds. */
 void dff_recorder_tick (struct dff_recorder *recorder);
 
-/** Whether the breaker is open: new work that needs a record should be refused at once. */
+/** Returns: whether the breaker is not closed. New requests that need a write should then be
+ * refused at once. */
 bool dff_recorder_is_breaker_open (const struct dff_recorder *recorder);
 
-/** When a refused caller should come back, seconds, jittered, at least 1. */
+/** Returns: time after which a refused caller should retry, s; jittered, at least 1. */
 int32_t dff_recorder_retry_after_s (struct dff_recorder *recorder);
 
 #endif
--- a/record/breaker.c
+++ b/record/breaker.c
@@ -41,7 +41,8 @@
 dff_breaker_add_failure (struct dff_breaker *breaker, int64_t now_ms)
 {
 	breaker->failures++;
-	/* Calls sent before it opened go on failing; they must not put the next try off. */
+	/* Calls that were sent before the breaker opened still fail. They must not delay the
+	 * next probe. */
 	if (breaker->state == DFF_BREAKER_OPEN)
 		return false;
 	if (breaker->state == DFF_BREAKER_CLOSED && breaker->failures < FAILURES_TO_OPEN)
--- a/record/budget.c
+++ b/record/budget.c
@@ -3,10 +3,10 @@
 #include <glib.h>
 
 #define MILLI 1000
-/** Share of a second's transactions that may go at once. */
+/** The burst is the limit per second divided by this. */
 #define BURST_DIVISOR 10
 
-/* Burst and refill together make up one second's maximum, so that no second holds more. */
+/* Burst and refill of one second add up to the limit, so that no second exceeds it. */
 void
 dff_budget_set_max (struct dff_budget *budget, int32_t max_per_s)
 {
--- a/record/key_locks.c
+++ b/record/key_locks.c
@@ -3,7 +3,7 @@
 struct key_use {
 	int writers;
 	int readers;
-	/** What the readers expect. */
+	/** Revision that the readers' conditions expect. */
 	int64_t revision;
 };
 
--- a/record/key_locks.h
+++ b/record/key_locks.h
@@ -7,13 +7,13 @@
 #include "backing/table.h"
 
 /*
- * Which keys are read (by a condition) and written by transactions. Two writes to one key must not
- * be on their way together: the first one, if its answer is lost, may take effect after the second.
- * Symptom: the table holds the older of two states although both were confirmed.
+ * Keys that transactions in flight read (by a condition) or write. Two writes to one key must not
+ * be in flight together: if the answer to the first is lost, it may take effect after the second.
+ * The table would then hold the older of two values although both writes were confirmed.
  */
 
 struct dff_key_locks {
-	/** GBytes key to struct key_use. */
+	/** GBytes (key) to struct key_use. */
 	GHashTable *uses;
 };
 
@@ -21,16 +21,16 @@
 
 void dff_key_locks_clear (struct dff_key_locks *locks);
 
-/** Forgets every key. */
+/** Removes all keys. */
 void dff_key_locks_reset (struct dff_key_locks *locks);
 
-/** Returns: whether @txn writes a key in use, or has a condition on a key that is written or whose
- * condition is another one. */
+/** Returns: whether @txn writes a key that is in use, or has a condition on a key that is being
+ * written or for which a transaction in flight expects another revision. */
 bool dff_key_locks_conflict (const struct dff_key_locks *locks, const struct dff_table_txn *txn);
 
 void dff_key_locks_add (struct dff_key_locks *locks, const struct dff_table_txn *txn);
 
-/** Undoes one dff_key_locks_add() with the same keys. */
+/** Reverts one dff_key_locks_add() with the same keys. */
 void dff_key_locks_remove (struct dff_key_locks *locks, const struct dff_table_txn *txn);
 
 #endif
--- a/record/recorder.c
+++ b/record/recorder.c
@@ -11,9 +11,9 @@
 #define LINGER_MS_DEFAULT 5
 #define MAX_WAITING_DEFAULT 4096
 #define ANSWER_TIMEOUT_MS_DEFAULT 1500
-/** Groups on their way at once, unresolved ones included. */
+/** Most groups in flight, including those with an uncertain outcome. */
 #define MAX_GROUPS 8
-/** Longest writer that is put into write ids as it is. */
+/** Longest writer name that is used in write ids unchanged; a longer one is hashed. */
 #define MAX_WRITER_LEN 40
 #define MS_PER_S 1000
 #define RETRY_AFTER_JITTER_S 3
@@ -72,7 +72,7 @@
 	counters->waiting = dff_metrics_gauge (metrics, "dff_record_waiting", "Writes waiting");
 }
 
-/* Write ids end in a number of up to 20 digits and must fit a name. */
+/* A write id is this prefix and a number of up to 20 digits; both must fit into a dff_name. */
 static struct dff_name
 write_id_prefix (const struct dff_name *writer)
 {
@@ -145,7 +145,7 @@
 	g_queue_delete_link (&recorder->waiting, link);
 }
 
-/* Units come back with tickets older than most that wait: the place is near the head. */
+/* Searches from the head: a unit that is requeued has an older ticket than most queued units. */
 static void
 insert_waiting (struct dff_recorder *recorder, struct dff_record_unit *unit)
 {
@@ -269,7 +269,8 @@
 	return dff_recorder_now_ms (recorder) - oldest->queued_ms >= recorder->options.linger_ms;
 }
 
-/* Whether @unit must stay behind: a key of it is in use, or it was refused a moment ago. */
+/* Returns: whether @unit must stay in the queue: one of its keys is in use, or it is in backoff
+ * after a refusal. */
 static bool
 must_wait (const struct dff_recorder *recorder,
 	   const struct dff_key_locks *skipped,
@@ -280,8 +281,8 @@
 	       dff_key_locks_conflict (skipped, unit->txn);
 }
 
-/* Moves waiting units into @group in order. One that shares a key with a group on its way, or with
- * a unit before it that stays, stays too. */
+/* Moves queued units into @group in order. A unit stays in the queue if it shares a key with a
+ * group in flight or with an earlier unit that stays. */
 static void
 fill_group (struct dff_recorder *recorder, struct dff_record_group *group)
 {
@@ -333,12 +334,12 @@
 static void
 run_callbacks (struct dff_recorder *recorder)
 {
-	/* What a callback ends at once waits for the next tick: a writer that writes again when
-	 * refused must not hold up the loop. */
+	/* Units that a callback causes to finish wait for the next tick: a writer that writes again
+	 * when refused must not block the event loop. */
 	guint n = recorder->finished.length;
 	for (guint i = 0; i < n; i++) {
 		struct dff_record_unit *unit = g_queue_pop_head (&recorder->finished);
-		/* A callback before may have abandoned this one. */
+		/* An earlier callback may have abandoned this unit. */
 		if (unit == NULL)
 			return;
 		dff_record_func done = unit->done;
--- a/record/resolve.c
+++ b/record/resolve.c
@@ -38,12 +38,12 @@
 	dff_log (DFF_LOG_RECORD, DFF_LOG_WARNING,
 		 "Table fails, breaker opened. waiting=%u unresolved=%u", recorder->waiting.length,
 		 recorder->groups->len);
-	/* The answer "not recorded" is already true: kept back until the give-up time, it would
-	 * only keep callers from coming back later. */
+	/* Units still in the queue are known not to be committed. To report that only at their
+	 * timeout would delay the callers' retries. */
 	dff_recorder_refuse_waiting (recorder);
 }
 
-/* Takes the group off the keys; its units are the caller's. */
+/* Removes the group and unlocks its keys. The caller takes over its units. */
 static void
 end_group (struct dff_recorder *recorder, struct dff_record_group *group)
 {
@@ -68,7 +68,7 @@
 	dff_record_group_free (group);
 }
 
-/* The group is proven not written and never will be. */
+/* Queues the units of a group that is proven not written and cannot take effect later. */
 static void
 requeue_group (struct dff_recorder *recorder, struct dff_record_group *group)
 {
@@ -78,10 +78,10 @@
 	dff_record_group_free (group);
 }
 
-/* A unit that the table refuses for good (too large for it, say) would take the others of its group
- * down with it, again and again, and trip the breaker for everybody. Symptom: nothing is recorded
- * any more although the table works. A unit refused twice, with something else taken in between,
- * is sent by itself from then on, at growing intervals, and does not count for the breaker. */
+/* If the table refuses a unit permanently, for example because it is too large, the unit would fail
+ * its group on each attempt and open the breaker: nothing would be recorded although the table
+ * works. So a unit that was refused twice, with another call accepted in between, is sent in a
+ * transaction of its own, with backoff, and its refusals do not count for the breaker. */
 static void
 count_refusal (struct dff_recorder *recorder, struct dff_record_unit *unit)
 {
@@ -129,9 +129,9 @@
 	group->due_ms = dff_recorder_now_ms (recorder) + dff_jitter_ms (recorder->rand, backoff_ms);
 }
 
-/* One failed condition fails the whole transaction. Which one is found by a single read: halving
- * the group again and again would cost two commits for each unit when all of them fail, as they do
- * for a holder that has lost its epoch. */
+/* One failed condition fails the whole transaction. A single read finds the failed conditions.
+ * Bisecting the group instead would cost two commits per unit if all units fail, as they do for a
+ * holder whose epoch is over. */
 static void
 handle_conflict (struct dff_recorder *recorder, struct dff_record_group *group, int64_t revision)
 {
@@ -152,8 +152,8 @@
 		finish_group (recorder, group, DFF_RECORD_COMMITTED, call->revision);
 		break;
 	case DFF_TABLE_CONFLICT:
-		/* After a lookup, the conflict may be the lookup's refusal of the write id, and no
-		 * condition may have failed. Symptom: a writer is told of a race that never was. */
+		/* After a lookup the conflict may be with the write id that the lookup barred. To
+		 * report it would claim a failed condition although none failed. */
 		if (group->lookups > 0)
 			requeue_group (recorder, group);
 		else
@@ -201,9 +201,9 @@
 	return false;
 }
 
-/* A unit whose condition fails by the read is not written and ends here; the others go again. When
- * the row has changed back in between, none fails: they go one by one, so that the next conflict
- * names its unit. */
+/* Units whose condition fails according to the read end with a conflict; the others are requeued.
+ * If no condition fails, as the row has changed back meanwhile, each unit is sent in a transaction
+ * of its own, so that the next conflict belongs to one unit. */
 static void
 handle_read_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
 {
@@ -273,7 +273,8 @@
 time_out (struct dff_recorder *recorder, struct dff_record_group *group)
 {
 	handle_failure (recorder);
-	/* A conflict was answered, so that nothing is written whatever the read would say. */
+	/* The commit was answered with a conflict, so nothing was written and the read is not
+	 * needed to requeue. */
 	if (group->state == DFF_GROUP_READING)
 		requeue_group (recorder, group);
 	else
--- a/tests/record/recorder_fixture.h
+++ b/tests/record/recorder_fixture.h
@@ -4,7 +4,7 @@
 #include "backing/memory.h"
 #include "record/recorder.h"
 
-/* A recorder on a table in memory, under a virtual clock. */
+/* A recorder with a table in memory and a virtual clock. */
 
 #define TICK_MS 5
 #define ANSWER_TIMEOUT_MS 500
@@ -19,14 +19,14 @@
 	struct dff_memory *memory;
 	struct dff_memory_handle *caller;
 	struct dff_recorder *recorder;
-	/** Keys of confirmed writes, in order of their callbacks. */
+	/** Keys of committed writes, in order of their callbacks. */
 	GString *done_order;
 };
 
-/** No callback has come yet. */
+/** Outcome before the callback has run. */
 #define NO_OUTCOME ((enum dff_record_outcome)99)
 
-/** One write and what became of it. */
+/** One write and its outcome. */
 struct recorder_writer {
 	struct recorder_fixture *fixture;
 	const char *key;
@@ -40,11 +40,11 @@
 
 int recorder_teardown (void **state);
 
-/** Lets time pass, a tick at a time. */
+/** Advances the clock by @ms, one tick at a time. */
 void recorder_run (struct recorder_fixture *fixture, int64_t ms);
 
-/** Writes @value under @key; @condition_key (nullable) must have revision @expected. @writer takes
- * what becomes of it; @queue_timeout_ms 0: no time limit. */
+/** Writes @value under @key on condition that @condition_key (nullable) has revision @expected.
+ * @writer receives the outcome; @queue_timeout_ms: 0: no limit. */
 void recorder_write (struct recorder_fixture *fixture,
 		     struct recorder_writer *writer,
 		     const char *key,
@@ -53,7 +53,7 @@
 		     int64_t expected,
 		     int32_t queue_timeout_ms);
 
-/** Returns: whether the table holds @value under @key; NULL: no row. */
+/** Returns: whether the table holds @value under @key; @value NULL: whether there is no row. */
 bool recorder_row_is (const struct recorder_fixture *fixture, const char *key, const char *value);
 
 #endif
--- a/tests/record/test-recorder-faults.c
+++ b/tests/record/test-recorder-faults.c
@@ -7,12 +7,12 @@
 
 #include "recorder_fixture.h"
 
-/* Lost answers, outages, silence, and writers that give up. */
+/* Lost answers, outages, a table that never answers, and abandoned writes. */
 
-/* Symptom: a job is refused, sent again by its caller, and runs twice; or it is accepted and is
- * nowhere. Sequence: the answer to a commit is lost, before or after it took effect, or it takes
- * effect later. Cause: the answer's loss says nothing about the effect; only the lookup of the
- * write id does, which also bars a late write. */
+/* Guards against a wrong outcome when the answer to a commit is lost before, after or without the
+ * commit taking effect: a job reported as refused would be submitted again and run twice, and an
+ * accepted one could be missing. Only a lookup of the write id, which also bars a late write, tells
+ * whether the commit took effect. */
 static void
 test_lost_answers (void **state)
 {
@@ -59,10 +59,9 @@
 	}
 }
 
-/* Symptom: a writer is told of a race that never was, and gives its work up. Sequence: a slow
- * commit times out, a lookup bars its write id but its answer is lost, the commit arrives and is
- * answered with a conflict. Cause: the conflict with the barred id was taken for a failed
- * condition. */
+/* Guards against reporting a failed condition that did not fail, on which the writer drops its
+ * work. A slow commit times out, a lookup bars its write id but the lookup's answer is lost, and
+ * the commit then conflicts with the barred id. */
 static void
 test_conflict_with_a_barred_write_id (void **state)
 {
@@ -95,7 +94,7 @@
 	recorder_run (fixture, 100);
 	assert_true (dff_recorder_is_breaker_open (fixture->recorder));
 	assert_true (dff_recorder_retry_after_s (fixture->recorder) >= 1);
-	/* A caller waits for the last one: it is told at once, not when its time is over. */
+	/* The last write has a timeout: it is refused at once, not when the timeout ends. */
 	assert_int_equal (writers[3].calls, 1);
 	assert_int_equal (writers[3].outcome, DFF_RECORD_NOT_COMMITTED);
 	recorder_write (fixture, &late, "late", "v", NULL, 0, 5000);
@@ -104,7 +103,7 @@
 	assert_int_equal (late.outcome, DFF_RECORD_NOT_COMMITTED);
 	recorder_run (fixture, 9000);
 	assert_int_equal (writers[0].calls, 0);
-	/* The breaker's tries back off: 200 ms doubling to 5 s, each between half and all of it. */
+	/* The probes back off from 200 ms, doubling to 5 s, each jittered down to half. */
 	int64_t tries = *dff_metrics_counter (fixture->metrics, "dff_record_lookups_total", "");
 	assert_in_range (tries, 4, 9);
 	recorder_run (fixture, 7000);
@@ -114,9 +113,8 @@
 	assert_true (recorder_row_is (fixture, "late", NULL));
 }
 
-/* Symptom: writers wait for ever. Sequence: the table takes the commit and the connection falls
- * silent; lookups get no answer either. Cause: no answer is no failure unless somebody counts the
- * time. */
+/* Guards against writers that wait forever: the table commits, but neither the commit nor the
+ * lookups are answered. Calls without an answer have to time out and count as failures. */
 static void
 test_table_that_never_answers (void **state)
 {
@@ -138,8 +136,8 @@
 	assert_false (dff_recorder_is_breaker_open (fixture->recorder));
 }
 
-/* Symptom: a caller is told "not run", and the job runs. Sequence: the caller's time is over while
- * the commit is on its way; the commit takes effect. Cause: giving up was taken for undoing. */
+/* Guards against reporting a job as not run that runs: the caller abandons a write in flight, which
+ * then takes effect. Abandoning a write does not revert it. */
 static void
 test_abandon_reports_known_effect (void **state)
 {
@@ -189,7 +187,7 @@
 			  DFF_ABANDON_UNKNOWN);
 }
 
-/* Two writes are confirmed together, and the first one's callback gives the second up. */
+/* Two writes are committed together, and the callback of the first abandons the second. */
 static void
 test_abandon_of_a_confirmed_write (void **state)
 {
--- a/tests/record/test-recorder-http.c
+++ b/tests/record/test-recorder-http.c
@@ -10,9 +10,9 @@
 #include "record/recorder.h"
 #include "standin/platform_server.h"
 
-/* Symptom: a job is refused, sent again by its caller, and runs twice. Sequence: over real
- * connections, answers to commits are lost and commits arrive late. Cause: a way in which the
- * connection, the client, the table and the recorder fit together that no part's own test has. */
+/* Guards against a wrong outcome of a write, by which a refused job is submitted again and runs
+ * twice. Answers to commits are lost and commits arrive late over real connections, so that
+ * connection, client, table and recorder are tested together. */
 
 #define N_WRITES 200
 #define TICK_MS 5
@@ -152,7 +152,7 @@
 	return calls;
 }
 
-/* Marks the rows that exist; their revisions must be what the writers were told. */
+/* Checks that the rows and their revisions are those reported to the writers. */
 static void
 check_rows (void *user, const struct dff_table_result *result)
 {
@@ -184,7 +184,7 @@
 	}
 	for (int i = 0; i < N_WRITES; i++)
 		assert_int_equal (fixture->writers[i].calls, 1);
-	/* The first request after it lets every late commit take effect that still can. */
+	/* After this time, the next request makes all late commits take effect that still can. */
 	fixture->clock.now_ms += LATE_MS;
 	set_faults (fixture, "{}");
 	const struct dff_table *table = dff_http_table_interface (fixture->table);
--- a/tests/record/test-recorder-seeds.c
+++ b/tests/record/test-recorder-seeds.c
@@ -9,8 +9,8 @@
 #include "backing/memory.h"
 #include "record/recorder.h"
 
-/* Random schedules of writes and faults, one for each seed. At the end of each the table must agree
- * with what every writer was told. */
+/* Random schedules of writes and faults, one per seed. At the end of each, the table must agree
+ * with the outcomes that were reported to the writers. */
 
 #define N_SEEDS 2000
 #define N_WRITES 60
@@ -22,13 +22,13 @@
 #define EPOCH_KEY "epoch"
 
 enum write_kind {
-	/** A row of its own, on condition that it does not exist. */
+	/** Writes a separate row on condition that it does not exist. */
 	DFF_WRITE_CREATE,
-	/** A row of its own, on a condition that never holds. */
+	/** Writes a separate row on a condition that never holds. */
 	DFF_WRITE_CONFLICTING,
-	/** A row of its own, on condition of the epoch. */
+	/** Writes a separate row on condition that the epoch is unchanged. */
 	DFF_WRITE_FENCED,
-	/** A row that many write, in order. */
+	/** Writes a row that other writers write too, in order. */
 	DFF_WRITE_SHARED,
 	DFF_WRITE_N_KINDS,
 };
@@ -51,14 +51,14 @@
 	struct dff_metrics *metrics;
 	struct dff_memory *memory;
 	struct dff_memory_handle *caller;
-	/** Takes the epoch away; without faults. */
+	/** Changes the epoch; not subject to faults. */
 	struct dff_memory_handle *rival;
 	struct dff_recorder *recorder;
 	struct writer writers[N_WRITES];
 	int n_writers;
 	int64_t epoch_revision;
 	int64_t rival_revision;
-	/** Transactions received by the end of each tick. */
+	/** Transactions that the table received up to the end of each tick. */
 	int64_t sent[(FAULTY_MS + SETTLING_MS) / TICK_MS];
 	int n_ticks;
 };
@@ -249,8 +249,8 @@
 		assert_int_not_equal (writer->outcome, DFF_RECORD_CONFLICT);
 }
 
-/* The row of a chain holds the last confirmed write, or a later one whose writer was told that its
- * effect is unknown. Returns: whether the row may hold what @writer wrote. */
+/* A shared row holds the last committed write, or a later one that was abandoned with unknown
+ * effect. Returns: whether the row may hold the value of @writer. */
 static bool
 may_be_in_row (const struct writer *writer)
 {
@@ -259,10 +259,10 @@
 }
 
 static void
-check_shared_key (const struct run *run, int chain)
+check_shared_key (const struct run *run, int key_index)
 {
 	char key[16];
-	g_snprintf (key, sizeof (key), "c/%d", chain);
+	g_snprintf (key, sizeof (key), "c/%d", key_index);
 	struct dff_table_row row;
 	bool exists = dff_memory_peek (run->memory, dff_str_from (key), &row);
 	for (int i = run->n_writers - 1; i >= 0; i--) {
@@ -274,7 +274,7 @@
 			assert_true (may_be_in_row (writer));
 		if (is_row)
 			return;
-		/* A confirmed write can be followed only by what came after it. */
+		/* After a committed write, the row can hold only that write or a later one. */
 		assert_false (!writer->abandoned && writer->outcome == DFF_RECORD_COMMITTED);
 	}
 	assert_false (exists);
@@ -301,12 +301,12 @@
 			if (!run->writers[i].abandoned)
 				counts[run->writers[i].outcome]++;
 		}
-		for (int chain = 0; chain < N_SHARED_KEYS; chain++)
-			check_shared_key (run, chain);
+		for (int i = 0; i < N_SHARED_KEYS; i++)
+			check_shared_key (run, i);
 		check_budget (run);
 		run_free (run);
 	}
-	/* The schedules must bring about every outcome, else they prove little. */
+	/* All outcomes must occur often, or the schedules would not test them. */
 	for (size_t i = 0; i < G_N_ELEMENTS (counts); i++)
 		assert_true (counts[i] > N_SEEDS);
 	print_message ("done %d, conflict %d, not done %d\n", counts[DFF_RECORD_COMMITTED],
--- a/tests/record/test-recorder.c
+++ b/tests/record/test-recorder.c
@@ -7,7 +7,7 @@
 
 #include "recorder_fixture.h"
 
-/* Groups, order, conflicts and limits, with a table that answers. */
+/* Grouping, order, conflicts and limits, with a table without faults. */
 
 static void
 test_group_commit (void **state)
@@ -26,9 +26,9 @@
 	assert_int_equal (dff_memory_counts (fixture->memory).commits, 1);
 }
 
-/* Symptom: the table holds the older of two states although both writes were confirmed. Sequence:
- * the first write's answer is lost and it takes effect late, the second is sent meanwhile. Cause:
- * two writes to one key on their way at once. */
+/* Guards against two writes to one key in flight together: the answer to the first is lost and it
+ * takes effect after the second, so that the table holds the older value although both were
+ * confirmed. */
 static void
 test_writes_to_one_key_stay_in_order (void **state)
 {
@@ -72,7 +72,7 @@
 	assert_int_equal (dff_memory_counts (fixture->memory).gets, 1);
 }
 
-/* A holder that lost its epoch: all of a group conflict, for one commit and one read. */
+/* All units of a group conflict, as for a holder whose epoch is over: one commit and one read. */
 static void
 test_conflict_of_a_whole_group (void **state)
 {
@@ -89,15 +89,15 @@
 	assert_int_equal (dff_memory_revision (fixture->memory), 0);
 }
 
-/** Returns: the most transactions of any second, while far more are asked for. The recorder is not
- * to be ticked after it. */
+/** Returns: the largest number of transactions in any second while more are requested. The recorder
+ * must not be ticked afterwards: the writers are on this stack frame. */
 static int64_t
 most_in_a_second (struct recorder_fixture *fixture)
 {
 	struct recorder_writer writers[20];
 	g_autoptr (GArray) sent = g_array_new (FALSE, FALSE, sizeof (int64_t));
-	/* Each write waits for the one before it, so that each is a commit of its own; twice as
-	 * many are asked for as the budget allows. */
+	/* All writes have the same key, so that each is a commit of its own. Twice as many writes
+	 * are requested as the limit allows. */
 	for (int tick = 0; tick < 800; tick++) {
 		for (int i = 0; tick % 40 == 0 && i < 20; i++)
 			recorder_write (fixture, &writers[i], "k", "v", NULL, 0, 0);
@@ -122,9 +122,8 @@
 	assert_in_range (most_in_a_second (*state), MAX_COMMITS_PER_S * 8 / 10, MAX_COMMITS_PER_S);
 }
 
-/* Symptom: an operator lowers the writes a second of a process with SIGHUP, is told that the
- * settings are read, and the table is as busy as before. Cause: the recorder had copied the number
- * when it was made. */
+/* Guards against a new limit that has no effect: an operator lowers it and reloads the settings
+ * with SIGHUP, but the recorder keeps the value it was created with. */
 static void
 test_commit_rate_limit_can_be_changed (void **state)
 {
@@ -148,9 +147,9 @@
 		assert_int_equal (writers[i].calls, 0);
 }
 
-/* Symptom: nothing is recorded any more although the table works. Sequence: one row is larger than
- * the table takes, its transaction is refused, and goes again with the same company. Cause: the
- * refusal of one unit was taken for the table's failure. */
+/* Guards against one refused unit that blocks all writes: a row is too large for the table, its
+ * transaction is refused and retried with the same group, and the refusals open the breaker
+ * although the table works. */
 static void
 test_refused_unit_does_not_hold_up_others (void **state)
 {
@@ -200,7 +199,7 @@
 	recorder_run (fixture, 200);
 	for (int i = 0; i < 5; i++)
 		assert_int_equal (writers[i].outcome, DFF_RECORD_COMMITTED);
-	/* 256 KiB a transaction hold two of them. */
+	/* A transaction of 256 KiB holds two of the rows. */
 	assert_int_equal (dff_memory_counts (fixture->memory).commits, 3);
 }
 
