--- a/include/peer/peer.h
+++ b/include/peer/peer.h
@@ -74,8 +74,8 @@
 	void (*job_ended) (void *ctx, const struct dff_name *job, enum dff_outcome outcome);
 	/** A peer wants to know when a job ends. */
 	void (*job_watch) (void *ctx, const struct dff_name *watcher, const struct dff_name *job);
-	/** A watcher's sighting, for the holder. */
-	void (*worker_report) (void *ctx, const struct dff_worker_report *sighting);
+	/** A watcher's report, for the holder. */
+	void (*worker_report) (void *ctx, const struct dff_worker_report *report);
 	/** This process's grants were replaced as a whole. */
 	void (*grants_received) (void *ctx,
 				 int64_t epoch,
@@ -151,9 +151,9 @@
 			      const struct dff_name *job,
 			      enum dff_outcome outcome);
 
-/** Sends a sighting to the holder; one that says leaving also, without reports, to every member of
+/** Sends a report to the holder; one that says leaving also, without reports, to every member of
  * the region. */
-void dff_peer_send_worker_report (struct dff_peer *peer, const struct dff_worker_report *sighting);
+void dff_peer_send_worker_report (struct dff_peer *peer, const struct dff_worker_report *report);
 
 /** Holder: replaces the grants of @member, or renews them where they are as sent before. */
 void dff_peer_send_grants (struct dff_peer *peer,
--- a/peer/grant_digest.c
+++ b/peer/grant_digest.c
@@ -5,16 +5,16 @@
 #include "common/digest.h"
 
 /* A changed set is sent whole this often in a row, so that one lost message costs one round. */
-#define WHOLE_AT_FIRST 2
+#define FULL_AT_FIRST 2
 /* After that every third time. With a round each 2 s a member that lost them all has its set again
  * after 6 s, before the 10 s are over for which grants are valid. */
-#define WHOLE_EVERY 3
+#define FULL_EVERY 3
 
 struct sent_set {
 	int64_t epoch;
-	uint32_t start;
+	uint32_t start_id;
 	struct dff_grant_digest digest;
-	uint64_t times;
+	uint64_t n_sent;
 };
 
 struct dff_grant_digest
@@ -25,10 +25,10 @@
 		g_string_append_len (text, grants[i].worker.data, (gssize)grants[i].worker.len);
 		g_string_append_printf (text, " %d\n", grants[i].slots);
 	}
-	uint8_t whole[DFF_DIGEST_BYTES];
-	dff_digest ((struct dff_str){text->str, text->len}, whole);
+	uint8_t full[DFF_DIGEST_BYTES];
+	dff_digest ((struct dff_str){text->str, text->len}, full);
 	struct dff_grant_digest digest;
-	memcpy (digest.bytes, whole, sizeof (digest.bytes));
+	memcpy (digest.bytes, full, sizeof (digest.bytes));
 	return digest;
 }
 
@@ -51,9 +51,9 @@
 }
 
 void
-dff_grants_sent_keep (struct dff_grants_sent *sent,
-		      bool (*is_member) (const void *ctx, const struct dff_name *id),
-		      const void *ctx)
+dff_grants_sent_retain (struct dff_grants_sent *sent,
+			bool (*is_member) (const void *ctx, const struct dff_name *id),
+			const void *ctx)
 {
 	GHashTableIter iter;
 	gpointer id;
@@ -79,40 +79,43 @@
 dff_grants_sent_count (struct dff_grants_sent *sent,
 		       const struct dff_name *member,
 		       int64_t epoch,
-		       uint32_t start,
+		       uint32_t start_id,
 		       const struct dff_grant_digest *digest)
 {
 	struct sent_set *set = find_or_add (sent, member);
-	bool same = set->epoch == epoch && set->start == start &&
+	bool same = set->epoch == epoch && set->start_id == start_id &&
 		    dff_grant_digest_equal (&set->digest, digest);
 	if (!same) {
 		set->epoch = epoch;
-		set->start = start;
+		set->start_id = start_id;
 		set->digest = *digest;
-		set->times = 0;
+		set->n_sent = 0;
 	}
-	uint64_t times = set->times++;
-	return times < WHOLE_AT_FIRST || times % WHOLE_EVERY == 0;
+	uint64_t n_sent = set->n_sent++;
+	return n_sent < FULL_AT_FIRST || n_sent % FULL_EVERY == 0;
 }
 
 void
-dff_grants_kept_set (struct dff_grants_kept *kept, const struct dff_grant *grants, size_t n_grants)
+dff_grants_current_set (struct dff_grants_current *current,
+			const struct dff_grant *grants,
+			size_t n_grants)
 {
-	dff_grants_kept_clear (kept);
-	kept->grants = g_array_new (FALSE, FALSE, sizeof (struct dff_grant));
+	dff_grants_current_clear (current);
+	current->grants = g_array_new (FALSE, FALSE, sizeof (struct dff_grant));
 	if (n_grants > 0)
-		g_array_append_vals (kept->grants, grants, (guint)n_grants);
-	kept->digest = dff_grant_digest (grants, n_grants);
+		g_array_append_vals (current->grants, grants, (guint)n_grants);
+	current->digest = dff_grant_digest (grants, n_grants);
 }
 
 bool
-dff_grants_kept_match (const struct dff_grants_kept *kept, const struct dff_grant_digest *digest)
+dff_grants_current_match (const struct dff_grants_current *current,
+			  const struct dff_grant_digest *digest)
 {
-	return kept->grants != NULL && dff_grant_digest_equal (&kept->digest, digest);
+	return current->grants != NULL && dff_grant_digest_equal (&current->digest, digest);
 }
 
 void
-dff_grants_kept_clear (struct dff_grants_kept *kept)
+dff_grants_current_clear (struct dff_grants_current *current)
 {
-	g_clear_pointer (&kept->grants, g_array_unref);
+	g_clear_pointer (&current->grants, g_array_unref);
 }
--- a/peer/grant_digest.h
+++ b/peer/grant_digest.h
@@ -36,9 +36,9 @@
 void dff_grants_sent_clear (struct dff_grants_sent *sent);
 
 /** Drops what is remembered of members for which @is_member says no. */
-void dff_grants_sent_keep (struct dff_grants_sent *sent,
-			   bool (*is_member) (const void *ctx, const struct dff_name *id),
-			   const void *ctx);
+void dff_grants_sent_retain (struct dff_grants_sent *sent,
+			     bool (*is_member) (const void *ctx, const struct dff_name *id),
+			     const void *ctx);
 
 /**
  * dff_grants_sent_count:
@@ -56,19 +56,20 @@
 			    const struct dff_grant_digest *digest);
 
 /** The set that was last taken in. */
-struct dff_grants_kept {
+struct dff_grants_current {
 	GArray *grants; /**< (nullable): elements: struct dff_grant; NULL: none yet. */
 	struct dff_grant_digest digest;
 };
 
 /** Replaces what is kept by a copy of @grants. */
-void
-dff_grants_kept_set (struct dff_grants_kept *kept, const struct dff_grant *grants, size_t n_grants);
+void dff_grants_current_set (struct dff_grants_current *current,
+			     const struct dff_grant *grants,
+			     size_t n_grants);
 
 /** Returns: whether a set is kept and has @digest. */
-bool dff_grants_kept_match (const struct dff_grants_kept *kept,
-			    const struct dff_grant_digest *digest);
+bool dff_grants_current_match (const struct dff_grants_current *current,
+			       const struct dff_grant_digest *digest);
 
-void dff_grants_kept_clear (struct dff_grants_kept *kept);
+void dff_grants_current_clear (struct dff_grants_current *current);
 
 #endif
--- a/peer/member_table.c
+++ b/peer/member_table.c
@@ -68,10 +68,10 @@
 	entry->instance = *instance;
 	entry->known.id = instance->id;
 	entry->known.liveness = DFF_LIVENESS_SUSPECT;
-	entry->heard_ms = now_ms;
-	entry->direct_ms = DFF_TIME_NEVER;
-	entry->replied_ms = DFF_TIME_NEVER;
-	entry->life_since_ms = now_ms;
+	entry->heartbeat_received_ms = now_ms;
+	entry->direct_received_ms = DFF_TIME_NEVER;
+	entry->corrected_ms = DFF_TIME_NEVER;
+	entry->liveness_since_ms = now_ms;
 	entry->position = dff_rendezvous_weight (dff_str_from ("ring"), &instance->id);
 	g_ptr_array_add (table->entries, entry);
 	g_ptr_array_sort (table->entries, compare_entries);
@@ -107,7 +107,7 @@
 set_observed (struct dff_member_entry *entry, bool observed, int64_t now_ms)
 {
 	if (observed && !entry->observed)
-		entry->heard_ms = now_ms;
+		entry->heartbeat_received_ms = now_ms;
 	entry->observed = observed;
 }
 
--- a/peer/member_table.h
+++ b/peer/member_table.h
@@ -19,15 +19,15 @@
 	/** Whether this process judges its silence. */
 	bool observed;
 	/** Last sign of life, direct or passed on. */
-	int64_t heard_ms;
+	int64_t heartbeat_received_ms;
 	/** Last heartbeat from itself; INT64_MIN / 2: none. */
-	int64_t direct_ms;
+	int64_t direct_received_ms;
 	/** Its clock in that heartbeat. */
-	int64_t sent_ms;
+	int64_t heartbeat_sent_ms;
 	/** When known.life changed. */
-	int64_t life_since_ms;
+	int64_t liveness_since_ms;
 	/** Last correction sent to it. */
-	int64_t replied_ms;
+	int64_t corrected_ms;
 	/** Heartbeats that are still to carry its state. */
 	int32_t relays_left;
 	/** Place on the hash ring. */
--- a/peer/membership.c
+++ b/peer/membership.c
@@ -8,7 +8,7 @@
 
 /** Members that this process does not observe and that have left the list are dropped when nothing
  * was heard of them for this many times the time that observers take. */
-#define UNOBSERVED_PATIENCE 4
+#define UNOBSERVED_TIMEOUT_FACTOR 4
 
 static int64_t
 now_of (const struct dff_membership *membership)
@@ -55,69 +55,75 @@
 }
 
 void
-dff_membership_note_change (struct dff_membership *membership, const struct dff_member_entry *entry)
+dff_membership_mark_changed (struct dff_membership *membership,
+			     const struct dff_member_entry *entry)
 {
 	if (dff_name_equal (&entry->instance.region, &membership->options.self.region))
 		membership->region_changed = true;
 }
 
 void
-dff_membership_set_life (struct dff_membership *membership,
-			 struct dff_member_entry *entry,
-			 enum dff_liveness life)
+dff_membership_set_liveness (struct dff_membership *membership,
+			     struct dff_member_entry *entry,
+			     enum dff_liveness liveness)
 {
-	if (entry->known.liveness == life)
+	if (entry->known.liveness == liveness)
 		return;
-	if (life == DFF_LIVENESS_SUSPECT)
+	if (liveness == DFF_LIVENESS_SUSPECT)
 		*membership->n_suspected += 1;
-	if (life == DFF_LIVENESS_DEAD) {
+	if (liveness == DFF_LIVENESS_DEAD) {
 		*membership->n_died += 1;
 		/* Few members judge it; the others learn of it step by step, and a step should not
 		 * take a whole interval. */
 		if (dff_membership_is_sampled (membership))
 			membership->announce = true;
 	}
-	entry->known.liveness = life;
-	entry->life_since_ms = now_of (membership);
+	entry->known.liveness = liveness;
+	entry->liveness_since_ms = now_of (membership);
 	membership->ring_changed = true;
 	dff_membership_relay (membership, entry);
-	dff_membership_note_change (membership, entry);
+	dff_membership_mark_changed (membership, entry);
 	static const char *const names[] = {"alive", "suspect", "dead"};
 	dff_log (DFF_LOG_PEER, DFF_LOG_INFO, "Member changed. member=%s state=%s",
-		 entry->instance.id.data, names[life]);
+		 entry->instance.id.data, names[liveness]);
 }
 
 static void
-judge_unobserved (struct dff_membership *membership, struct dff_member_entry *entry, int64_t now_ms)
+evaluate_unobserved (struct dff_membership *membership,
+		     struct dff_member_entry *entry,
+		     int64_t now_ms)
 {
 	const struct dff_membership_options *options = &membership->options;
-	int64_t patience_ms = (int64_t)options->suspect_ms + options->dead_ms;
+	int64_t detection_ms = (int64_t)options->suspect_ms + options->dead_ms;
 	if (entry->known.liveness == DFF_LIVENESS_SUSPECT &&
-	    now_ms - entry->life_since_ms > 2 * patience_ms)
-		dff_membership_set_life (membership, entry, DFF_LIVENESS_DEAD);
-	if (!entry->listed && now_ms - entry->heard_ms > UNOBSERVED_PATIENCE * patience_ms)
-		dff_membership_set_life (membership, entry, DFF_LIVENESS_DEAD);
+	    now_ms - entry->liveness_since_ms > 2 * detection_ms)
+		dff_membership_set_liveness (membership, entry, DFF_LIVENESS_DEAD);
+	if (!entry->listed &&
+	    now_ms - entry->heartbeat_received_ms > UNOBSERVED_TIMEOUT_FACTOR * detection_ms)
+		dff_membership_set_liveness (membership, entry, DFF_LIVENESS_DEAD);
 }
 
 static void
-judge_observed (struct dff_membership *membership, struct dff_member_entry *entry, int64_t now_ms)
+evaluate_observed (struct dff_membership *membership,
+		   struct dff_member_entry *entry,
+		   int64_t now_ms)
 {
 	const struct dff_membership_options *options = &membership->options;
-	bool silent = now_ms - entry->heard_ms > options->suspect_ms;
+	bool silent = now_ms - entry->heartbeat_received_ms > options->suspect_ms;
 	if (!silent)
 		return;
 	if (!entry->listed) {
-		dff_membership_set_life (membership, entry, DFF_LIVENESS_DEAD);
+		dff_membership_set_liveness (membership, entry, DFF_LIVENESS_DEAD);
 		return;
 	}
 	if (entry->known.liveness == DFF_LIVENESS_ALIVE)
-		dff_membership_set_life (membership, entry, DFF_LIVENESS_SUSPECT);
-	else if (now_ms - entry->life_since_ms > options->dead_ms)
-		dff_membership_set_life (membership, entry, DFF_LIVENESS_DEAD);
+		dff_membership_set_liveness (membership, entry, DFF_LIVENESS_SUSPECT);
+	else if (now_ms - entry->liveness_since_ms > options->dead_ms)
+		dff_membership_set_liveness (membership, entry, DFF_LIVENESS_DEAD);
 }
 
 static void
-judge_silence (struct dff_membership *membership, int64_t now_ms)
+evaluate_members (struct dff_membership *membership, int64_t now_ms)
 {
 	const GPtrArray *entries = membership->table->entries;
 	for (guint i = 0; i < entries->len; i++) {
@@ -125,14 +131,14 @@
 		if (entry == membership->table->self || entry->known.liveness == DFF_LIVENESS_DEAD)
 			continue;
 		if (entry->observed)
-			judge_observed (membership, entry, now_ms);
+			evaluate_observed (membership, entry, now_ms);
 		else
-			judge_unobserved (membership, entry, now_ms);
+			evaluate_unobserved (membership, entry, now_ms);
 	}
 }
 
 static void
-remove_gone (struct dff_membership *membership)
+remove_dead (struct dff_membership *membership)
 {
 	GPtrArray *entries = membership->table->entries;
 	for (guint i = entries->len; i > 0; i--) {
@@ -140,7 +146,7 @@
 		bool gone = !entry->listed && entry->known.liveness == DFF_LIVENESS_DEAD;
 		if (!gone || entry == membership->table->self || entry->relays_left > 0)
 			continue;
-		dff_membership_note_change (membership, entry);
+		dff_membership_mark_changed (membership, entry);
 		dff_member_table_remove (membership->table, i - 1);
 		membership->ring_changed = true;
 	}
@@ -150,7 +156,7 @@
  * member for silent, though their heartbeats wait in its sockets. The time in which it did not run
  * is not counted as silence of others. */
 static void
-skip_own_pause (struct dff_membership *membership, int64_t now_ms)
+exclude_own_pause (struct dff_membership *membership, int64_t now_ms)
 {
 	int64_t gap_ms = now_ms - membership->last_tick_ms;
 	membership->last_tick_ms = now_ms;
@@ -159,8 +165,8 @@
 	const GPtrArray *entries = membership->table->entries;
 	for (guint i = 0; i < entries->len; i++) {
 		struct dff_member_entry *entry = entries->pdata[i];
-		entry->heard_ms = MIN (entry->heard_ms + gap_ms, now_ms);
-		entry->life_since_ms = MIN (entry->life_since_ms + gap_ms, now_ms);
+		entry->heartbeat_received_ms = MIN (entry->heartbeat_received_ms + gap_ms, now_ms);
+		entry->liveness_since_ms = MIN (entry->liveness_since_ms + gap_ms, now_ms);
 	}
 }
 
@@ -175,7 +181,7 @@
 }
 
 static void
-tell_region_changed (struct dff_membership *membership)
+notify_region_changed (struct dff_membership *membership)
 {
 	if (!membership->region_changed)
 		return;
@@ -187,13 +193,13 @@
 dff_membership_tick (struct dff_membership *membership)
 {
 	int64_t now_ms = now_of (membership);
-	skip_own_pause (membership, now_ms);
+	exclude_own_pause (membership, now_ms);
 	rearrange (membership, now_ms);
-	judge_silence (membership, now_ms);
-	remove_gone (membership);
+	evaluate_members (membership, now_ms);
+	remove_dead (membership);
 	rearrange (membership, now_ms);
 	dff_membership_send_due (membership);
-	tell_region_changed (membership);
+	notify_region_changed (membership);
 }
 
 static void
@@ -203,13 +209,13 @@
 	if (entry == NULL) {
 		entry = dff_member_table_add (membership->table, instance, now_of (membership));
 		membership->ring_changed = true;
-		dff_membership_note_change (membership, entry);
+		dff_membership_mark_changed (membership, entry);
 	}
 	entry->listed = true;
 	if (entry == membership->table->self)
 		return;
 	if (entry->instance.leaving != instance->leaving)
-		dff_membership_note_change (membership, entry);
+		dff_membership_mark_changed (membership, entry);
 	entry->instance = *instance;
 }
 
--- a/peer/membership.h
+++ b/peer/membership.h
@@ -65,7 +65,7 @@
 void dff_membership_set_generation (struct dff_membership *membership, int64_t generation);
 
 /** Returns: what this process drew when it started. */
-uint32_t dff_membership_start (const struct dff_membership *membership);
+uint32_t dff_membership_start_id (const struct dff_membership *membership);
 
 /** Appends every member, self included, in order of name. @out: elements: struct dff_member. */
 void dff_membership_list (const struct dff_membership *membership, GArray *out);
@@ -80,14 +80,14 @@
 						  int64_t *epoch);
 
 /** What a grant needs to be dated by its receiver's clock. */
-struct dff_heard {
-	int64_t sent_ms; /**< The member's own clock in its last heartbeat; 0: never heard. */
-	int64_t age_ms;  /**< Time since that heartbeat arrived. */
-	uint32_t start;  /**< What the member drew when it started. */
+struct dff_last_heartbeat {
+	int64_t sent_ms;   /**< The member's own clock in its last heartbeat; 0: never heard. */
+	int64_t age_ms;    /**< Time since that heartbeat arrived. */
+	uint32_t start_id; /**< What the member drew when it started. */
 };
 
-struct dff_heard dff_membership_heard (const struct dff_membership *membership,
-				       const struct dff_name *id);
+struct dff_last_heartbeat dff_membership_last_heartbeat (const struct dff_membership *membership,
+							 const struct dff_name *id);
 
 /** Returns: the newest generation that a member not known to be dead says it has. */
 int64_t dff_membership_newest_generation (const struct dff_membership *membership);
--- a/peer/membership_internal.h
+++ b/peer/membership_internal.h
@@ -16,7 +16,7 @@
 	/** Index of the dead entry that was last sent a heartbeat. */
 	guint dead_cursor;
 	/** Epoch of the holder that was last sent a heartbeat as such. */
-	int64_t told_epoch;
+	int64_t notified_epoch;
 	int64_t last_tick_ms;
 	int64_t next_heartbeat_ms;
 	int64_t last_heartbeat_ms;
@@ -39,16 +39,16 @@
 void dff_membership_send_due (struct dff_membership *membership);
 
 /** Changes what is known of whether @entry runs; passes the change on. */
-void dff_membership_set_life (struct dff_membership *membership,
-			      struct dff_member_entry *entry,
-			      enum dff_liveness life);
+void dff_membership_set_liveness (struct dff_membership *membership,
+				  struct dff_member_entry *entry,
+				  enum dff_liveness liveness);
 
 /** Lets the next heartbeats carry the state of @entry. */
 void dff_membership_relay (struct dff_membership *membership, struct dff_member_entry *entry);
 
 /** Notes a change of @entry that the callers of this region may have to act on. */
-void dff_membership_note_change (struct dff_membership *membership,
-				 const struct dff_member_entry *entry);
+void dff_membership_mark_changed (struct dff_membership *membership,
+				  const struct dff_member_entry *entry);
 
 /** Sends a heartbeat with what others should know. */
 void dff_membership_send_heartbeat (struct dff_membership *membership,
@@ -57,6 +57,6 @@
 /** Sends @entry what is said about it, so that it can refute; at a bounded rate. */
 void dff_membership_correct (struct dff_membership *membership,
 			     struct dff_member_entry *entry,
-			     const struct dff_member_report *about_it);
+			     const struct dff_member_report *report);
 
 #endif
--- a/peer/membership_merge.c
+++ b/peer/membership_merge.c
@@ -41,7 +41,7 @@
 	if (relay)
 		dff_membership_relay (membership, entry);
 	if (differs)
-		dff_membership_note_change (membership, entry);
+		dff_membership_mark_changed (membership, entry);
 }
 
 /* A process that was restarted with its old name begins at incarnation 1 again: it has no disk to
@@ -67,82 +67,82 @@
 		  const struct dff_member_report *report)
 {
 	struct dff_member_report *self = &membership->table->self->known;
-	bool earlier_run = report_is_newer (report, self);
-	bool accused = report->liveness != DFF_LIVENESS_ALIVE;
-	if (earlier_run || (accused && report->incarnation == self->incarnation))
+	bool from_earlier_run = report_is_newer (report, self);
+	bool reported_failed = report->liveness != DFF_LIVENESS_ALIVE;
+	if (from_earlier_run || (reported_failed && report->incarnation == self->incarnation))
 		raise_incarnation (membership, report);
 	/* Also one that accuses an incarnation that is over is answered: it has not heard of the
 	 * refutation, and would go on to take this process for dead. */
-	if (earlier_run || accused) {
+	if (from_earlier_run || reported_failed) {
 		self->sequence++;
 		dff_membership_send_heartbeat (membership, sender);
 	}
 }
 
 static void
-merge_sign_of_life (struct dff_membership *membership,
+merge_alive_report (struct dff_membership *membership,
 		    struct dff_member_entry *entry,
 		    const struct dff_member_report *report)
 {
 	if (!report_is_newer (report, &entry->known))
 		return;
-	/* Only the member itself can end its death, by a higher incarnation: a sign of life that
-	 * was long on its way must not bring back one that is gone. */
+	/* Only the member itself can end its death, by a higher incarnation: a sign of liveness
+	 * that was long on its way must not bring back one that is gone. */
 	bool same_incarnation = report->incarnation == entry->known.incarnation;
 	if (entry->known.liveness == DFF_LIVENESS_DEAD && same_incarnation)
 		return;
-	entry->heard_ms = dff_clock_now_ms (membership->options.clock);
+	entry->heartbeat_received_ms = dff_clock_now_ms (membership->options.clock);
 	adopt_values (membership, entry, report);
-	dff_membership_set_life (membership, entry, DFF_LIVENESS_ALIVE);
+	dff_membership_set_liveness (membership, entry, DFF_LIVENESS_ALIVE);
 }
 
 static bool
-heard_lately (const struct dff_membership *membership, const struct dff_member_entry *entry)
+received_recently (const struct dff_membership *membership, const struct dff_member_entry *entry)
 {
 	int64_t now_ms = dff_clock_now_ms (membership->options.clock);
-	return now_ms - entry->direct_ms <= membership->options.suspect_ms;
+	return now_ms - entry->direct_received_ms <= membership->options.suspect_ms;
 }
 
-/* Whether this process has a sign of life from so much later that the accuser's judgement says
+/* Whether this process has a sign of liveness from so much later that the accuser's judgement says
  * nothing about it. A heartbeat or two that the accuser lost are no contradiction: it judged after
- * a longer silence. How late a sign of life was when it came here cannot be told from its arrival,
- * so the member's own count of heartbeats decides. */
+ * a longer silence. How late a sign of liveness was when it came here cannot be told from its
+ * arrival, so the member's own count of heartbeats decides. */
 static bool
 contradicts (const struct dff_membership *membership,
 	     const struct dff_member_report *known,
-	     const struct dff_member_report *accusation)
+	     const struct dff_member_report *failure)
 {
 	const struct dff_membership_options *options = &membership->options;
 	uint64_t tolerated = (uint64_t)(options->suspect_ms / options->heartbeat_ms);
-	return known->incarnation == accusation->incarnation &&
-	       known->sequence > accusation->sequence + tolerated;
+	return known->incarnation == failure->incarnation &&
+	       known->sequence > failure->sequence + tolerated;
 }
 
 static void
-merge_accusation (struct dff_membership *membership,
-		  struct dff_member_entry *entry,
-		  const struct dff_member_report *report)
+merge_failure_report (struct dff_membership *membership,
+		      struct dff_member_entry *entry,
+		      const struct dff_member_report *report)
 {
 	const struct dff_member_report *known = &entry->known;
 	if (report->incarnation < known->incarnation || known->incarnation == 0)
 		return;
 	/* The accuser does not hear a member that this process does hear: a cut between those two,
 	 * or messages lost. The member is told, so that it can refute towards everybody. */
-	if (heard_lately (membership, entry)) {
+	if (received_recently (membership, entry)) {
 		dff_membership_correct (membership, entry, report);
 		return;
 	}
-	enum dff_liveness life = report->liveness;
-	if (report_is_newer (known, report) && life == DFF_LIVENESS_SUSPECT)
+	enum dff_liveness liveness = report->liveness;
+	if (report_is_newer (known, report) && liveness == DFF_LIVENESS_SUSPECT)
 		return;
 	if (contradicts (membership, known, report))
-		life = DFF_LIVENESS_SUSPECT;
+		liveness = DFF_LIVENESS_SUSPECT;
 	/* A later incarnation ran after whatever this process holds it for. */
-	bool outdated = report->incarnation > known->incarnation;
+	bool known_is_outdated = report->incarnation > known->incarnation;
 	if (report_is_newer (report, known))
 		adopt_values (membership, entry, report);
-	if (outdated || life > known->liveness)
-		dff_membership_set_life (membership, entry, life);
+	if (known_is_outdated || liveness > known->liveness)
+		dff_membership_set_liveness (membership, entry, liveness);
 }
 
 static void
@@ -156,15 +156,15 @@
 	if (entry == membership->table->self)
 		merge_about_self (membership, sender, report);
 	else if (report->liveness != DFF_LIVENESS_ALIVE)
-		merge_accusation (membership, entry, report);
+		merge_failure_report (membership, entry, report);
 	else
-		merge_sign_of_life (membership, entry, report);
+		merge_alive_report (membership, entry, report);
 }
 
 static void
-merge_from_itself (struct dff_membership *membership,
-		   struct dff_member_entry *entry,
-		   const struct dff_heartbeat *heartbeat)
+merge_own_report (struct dff_membership *membership,
+		  struct dff_member_entry *entry,
+		  const struct dff_heartbeat *heartbeat)
 {
 	const struct dff_member_report *report = &heartbeat->self;
 	if (!report_is_newer (report, &entry->known)) {
@@ -173,11 +173,11 @@
 		return;
 	}
 	struct dff_member_report before = entry->known;
-	entry->heard_ms = dff_clock_now_ms (membership->options.clock);
-	entry->direct_ms = entry->heard_ms;
-	entry->sent_ms = heartbeat->sent_ms;
+	entry->heartbeat_received_ms = dff_clock_now_ms (membership->options.clock);
+	entry->direct_received_ms = entry->heartbeat_received_ms;
+	entry->heartbeat_sent_ms = heartbeat->sent_ms;
 	adopt_values (membership, entry, report);
-	dff_membership_set_life (membership, entry, DFF_LIVENESS_ALIVE);
+	dff_membership_set_liveness (membership, entry, DFF_LIVENESS_ALIVE);
 	/* It lives, but others still hold it for dead in this incarnation. */
 	if (before.liveness != DFF_LIVENESS_ALIVE && before.incarnation == report->incarnation)
 		dff_membership_correct (membership, entry, &before);
@@ -190,7 +190,7 @@
 		dff_member_table_find (membership->table, &heartbeat->self.id);
 	if (entry == NULL || entry == membership->table->self)
 		return false;
-	merge_from_itself (membership, entry, heartbeat);
+	merge_own_report (membership, entry, heartbeat);
 	for (size_t i = 0; i < heartbeat->n_peers; i++)
 		merge_report (membership, entry, &heartbeat->peers[i]);
 	return true;
--- a/peer/membership_query.c
+++ b/peer/membership_query.c
@@ -24,7 +24,7 @@
 			.holder_epoch = entry->known.holder_epoch,
 			.start_id = entry->known.start_id,
 			.ready = entry->known.ready,
-			.heartbeat_received_ms = entry->heard_ms,
+			.heartbeat_received_ms = entry->heartbeat_received_ms,
 		};
 		if (entry == membership->table->self)
 			member.heartbeat_received_ms = dff_clock_now_ms (membership->options.clock);
@@ -33,7 +33,7 @@
 }
 
 uint32_t
-dff_membership_start (const struct dff_membership *membership)
+dff_membership_start_id (const struct dff_membership *membership)
 {
 	return membership->table->self->known.start_id;
 }
@@ -64,17 +64,17 @@
 	return holder;
 }
 
-struct dff_heard
-dff_membership_heard (const struct dff_membership *membership, const struct dff_name *id)
+struct dff_last_heartbeat
+dff_membership_last_heartbeat (const struct dff_membership *membership, const struct dff_name *id)
 {
-	struct dff_heard heard = {0};
+	struct dff_last_heartbeat last = {0};
 	const struct dff_member_entry *entry = dff_member_table_find (membership->table, id);
-	if (entry == NULL || entry->direct_ms == DFF_TIME_NEVER)
-		return heard;
-	heard.sent_ms = entry->sent_ms;
-	heard.start = entry->known.start_id;
-	heard.age_ms = dff_clock_now_ms (membership->options.clock) - entry->direct_ms;
-	return heard;
+	if (entry == NULL || entry->direct_received_ms == DFF_TIME_NEVER)
+		return last;
+	last.sent_ms = entry->heartbeat_sent_ms;
+	last.start_id = entry->known.start_id;
+	last.age_ms = dff_clock_now_ms (membership->options.clock) - entry->direct_received_ms;
+	return last;
 }
 
 int64_t
--- a/peer/membership_send.c
+++ b/peer/membership_send.c
@@ -1,13 +1,13 @@
 #include "peer/membership_internal.h"
 
-/* Heartbeats: when, to whom, and which states of others they carry. */
+/* Heartbeats: when, to whom, and which states of peers they carry. */
 
 /** Changed states in one heartbeat, at the most; one more is sent though nothing changed. */
 #define CHANGES_PER_HEARTBEAT 7
 
 /** Beyond the fanout, the fanout divided by this is the number of observers of a member; it sends
- * to as many others besides. */
-#define OBSERVERS_SHARE 3
+ * to as many peers besides. */
+#define OBSERVERS_DIVISOR 3
 
 /** Least time between announcements, and between corrections to one member, ms. */
 #define ANNOUNCE_INTERVAL_MS 100
@@ -33,7 +33,7 @@
 {
 	if (!dff_membership_is_sampled (membership))
 		return INT32_MAX;
-	return MAX (membership->options.fanout / OBSERVERS_SHARE, 1);
+	return MAX (membership->options.fanout / OBSERVERS_DIVISOR, 1);
 }
 
 static void
@@ -46,14 +46,14 @@
 void
 dff_membership_correct (struct dff_membership *membership,
 			struct dff_member_entry *entry,
-			const struct dff_member_report *about_it)
+			const struct dff_member_report *report)
 {
 	int64_t now_ms = now_of (membership);
-	if (now_ms - entry->replied_ms < CORRECT_INTERVAL_MS)
+	if (now_ms - entry->corrected_ms < CORRECT_INTERVAL_MS)
 		return;
-	entry->replied_ms = now_ms;
+	entry->corrected_ms = now_ms;
 	*membership->n_corrected += 1;
-	struct dff_heartbeat heartbeat = {.peers = about_it, .n_peers = 1};
+	struct dff_heartbeat heartbeat = {.peers = report, .n_peers = 1};
 	fill_heartbeat (membership, &heartbeat);
 	membership->options.send (membership->options.ctx, &entry->instance, &heartbeat);
 }
@@ -77,13 +77,13 @@
 }
 
 static bool
-worth_telling (const struct dff_membership *membership, const struct dff_member_entry *entry)
+is_reportable (const struct dff_membership *membership, const struct dff_member_entry *entry)
 {
 	return entry != membership->table->self && entry->known.incarnation > 0;
 }
 
 /* States of members in turn, changed or not: what was lost on the way is told again, and a member
- * that this process cannot hear, but others can, is known to live. */
+ * that this process cannot hear, but peers can, is known to live. */
 static void
 choose_refresh (struct dff_membership *membership, GPtrArray *chosen)
 {
@@ -91,7 +91,7 @@
 	for (guint tries = 0; tries < entries->len; tries++) {
 		membership->refresh_cursor = (membership->refresh_cursor + 1) % entries->len;
 		struct dff_member_entry *entry = entries->pdata[membership->refresh_cursor];
-		if (!worth_telling (membership, entry) || g_ptr_array_find (chosen, entry, NULL))
+		if (!is_reportable (membership, entry) || g_ptr_array_find (chosen, entry, NULL))
 			continue;
 		g_ptr_array_add (chosen, entry);
 		return;
@@ -99,7 +99,7 @@
 }
 
 static void
-choose_others (struct dff_membership *membership, GPtrArray *chosen)
+choose_peers (struct dff_membership *membership, GPtrArray *chosen)
 {
 	while (chosen->len < CHANGES_PER_HEARTBEAT) {
 		struct dff_member_entry *entry = next_to_relay (membership, chosen);
@@ -115,13 +115,13 @@
 dff_membership_send_heartbeat (struct dff_membership *membership, struct dff_member_entry *target)
 {
 	g_autoptr (GPtrArray) chosen = g_ptr_array_new ();
-	choose_others (membership, chosen);
-	struct dff_member_report others[DFF_HEARTBEAT_PEERS_MAX];
+	choose_peers (membership, chosen);
+	struct dff_member_report peers[DFF_HEARTBEAT_PEERS_MAX];
 	for (guint i = 0; i < chosen->len; i++) {
 		const struct dff_member_entry *entry = chosen->pdata[i];
-		others[i] = entry->known;
+		peers[i] = entry->known;
 	}
-	struct dff_heartbeat heartbeat = {.peers = others, .n_peers = chosen->len};
+	struct dff_heartbeat heartbeat = {.peers = peers, .n_peers = chosen->len};
 	fill_heartbeat (membership, &heartbeat);
 	membership->options.send (membership->options.ctx, &target->instance, &heartbeat);
 }
@@ -138,7 +138,7 @@
 
 /* The holder dates grants by what it hears from each member of its region. How long ago that was
  * does not matter, so a new holder hears from each at once and then in turns: it must not hear from
- * more members than others do. */
+ * more members than peers do. */
 static void
 add_holder (struct dff_membership *membership, GPtrArray *targets)
 {
@@ -149,8 +149,8 @@
 	uint64_t turns =
 		membership->table->entries->len / (guint)dff_membership_n_observers (membership) +
 		1;
-	bool is_new = epoch != membership->told_epoch;
-	membership->told_epoch = epoch;
+	bool is_new = epoch != membership->notified_epoch;
+	membership->notified_epoch = epoch;
 	if (is_new || membership->table->self->known.sequence % turns == 0)
 		add_target (membership, targets, &holder->id);
 }
@@ -195,25 +195,25 @@
 /* Whether to ask it is this process's part: as an observer, or because those who are did not come
  * to a judgement in their time. */
 static bool
-is_to_be_asked (const struct dff_membership *membership, const struct dff_member_entry *entry)
+should_probe (const struct dff_membership *membership, const struct dff_member_entry *entry)
 {
 	if (entry->known.liveness != DFF_LIVENESS_SUSPECT)
 		return false;
 	const struct dff_membership_options *options = &membership->options;
-	int64_t judgement_ms = (int64_t)options->suspect_ms + options->dead_ms;
-	return entry->observed || now_of (membership) - entry->life_since_ms > judgement_ms;
+	int64_t detection_ms = (int64_t)options->suspect_ms + options->dead_ms;
+	return entry->observed || now_of (membership) - entry->liveness_since_ms > detection_ms;
 }
 
-/* A suspect is asked itself before it counts as dead. It may well run and send to others: members
+/* A suspect is asked itself before it counts as dead. It may well run and send to peers: members
  * that see the ring differently for a moment do not agree on who observes whom. A process that is
- * cut off from most others asks all of them for as long as they are suspect. */
+ * cut off from most peers asks all of them for as long as they are suspect. */
 static void
-ask_suspects (struct dff_membership *membership)
+probe_suspects (struct dff_membership *membership)
 {
 	const GPtrArray *entries = membership->table->entries;
 	for (guint i = 0; i < entries->len; i++) {
 		struct dff_member_entry *entry = entries->pdata[i];
-		if (is_to_be_asked (membership, entry))
+		if (should_probe (membership, entry))
 			dff_membership_correct (membership, entry, &entry->known);
 	}
 }
@@ -233,7 +233,7 @@
 	membership->last_heartbeat_ms = now_ms;
 	membership->announce = false;
 	membership->table->self->known.sequence++;
-	ask_suspects (membership);
+	probe_suspects (membership);
 	if (dff_membership_is_sampled (membership))
 		send_to_sample (membership);
 	else
--- a/peer/message_decode.c
+++ b/peer/message_decode.c
@@ -103,7 +103,7 @@
 }
 
 static bool
-report_from_wire (const Dff__Peer__TaskReport *wire, struct dff_task_report *report)
+task_report_from_wire (const Dff__Peer__TaskReport *wire, struct dff_task_report *report)
 {
 	if (!name_from_wire (&wire->job, &report->task.job))
 		return false;
@@ -127,25 +127,25 @@
 }
 
 static bool
-decode_sighting (const Dff__Peer__Sighting *wire, struct dff_message *message)
+decode_worker_report (const Dff__Peer__Sighting *wire, struct dff_message *message)
 {
-	struct dff_worker_report *sighting = &message->worker_report;
+	struct dff_worker_report *report = &message->worker_report;
 	if (wire->n_reports > DFF_MESSAGE_ELEMENTS_MAX || wire->silent_ms < 0)
 		return false;
-	if (!name_from_wire (&wire->worker, &sighting->worker))
+	if (!name_from_wire (&wire->worker, &report->worker))
 		return false;
 	struct dff_task_report *reports = g_new0 (struct dff_task_report, wire->n_reports);
 	message->elements = reports;
 	for (size_t i = 0; i < wire->n_reports; i++) {
-		if (!report_from_wire (wire->reports[i], &reports[i]))
+		if (!task_report_from_wire (wire->reports[i], &reports[i]))
 			return false;
 	}
-	sighting->reachable = wire->reachable;
-	sighting->leaving = wire->leaving;
-	sighting->silent_ms = wire->silent_ms;
-	sighting->complete = wire->whole;
-	sighting->reports = reports;
-	sighting->n_reports = wire->n_reports;
+	report->reachable = wire->reachable;
+	report->leaving = wire->leaving;
+	report->silent_ms = wire->silent_ms;
+	report->complete = wire->whole;
+	report->reports = reports;
+	report->n_reports = wire->n_reports;
 	return true;
 }
 
@@ -215,7 +215,7 @@
 		return decode_job_ended (envelope->job_ended, message);
 	case DFF__PEER__ENVELOPE__BODY_SIGHTING:
 		message->kind = DFF_MESSAGE_WORKER_REPORT;
-		return decode_sighting (envelope->sighting, message);
+		return decode_worker_report (envelope->sighting, message);
 	case DFF__PEER__ENVELOPE__BODY_GRANTS:
 		message->kind = DFF_MESSAGE_GRANTS;
 		return decode_grants (envelope->grants, message);
--- a/peer/message_encode.c
+++ b/peer/message_encode.c
@@ -105,7 +105,7 @@
 }
 
 static void
-report_to_wire (const struct dff_task_report *report, Dff__Peer__TaskReport *wire)
+task_report_to_wire (const struct dff_task_report *report, Dff__Peer__TaskReport *wire)
 {
 	dff__peer__task_report__init (wire);
 	wire->job = bytes_of (&report->task.job);
@@ -121,21 +121,21 @@
 }
 
 static GByteArray *
-encode_sighting (Dff__Peer__Envelope envelope, const struct dff_worker_report *sighting)
+encode_worker_report (Dff__Peer__Envelope envelope, const struct dff_worker_report *report)
 {
-	size_t n = MIN (sighting->n_reports, (size_t)DFF_MESSAGE_ELEMENTS_MAX);
+	size_t n = MIN (report->n_reports, (size_t)DFF_MESSAGE_ELEMENTS_MAX);
 	g_autofree Dff__Peer__TaskReport *reports = g_new (Dff__Peer__TaskReport, n);
 	g_autofree Dff__Peer__TaskReport **pointers = g_new (Dff__Peer__TaskReport *, n);
 	for (size_t i = 0; i < n; i++) {
-		report_to_wire (&sighting->reports[i], &reports[i]);
+		task_report_to_wire (&report->reports[i], &reports[i]);
 		pointers[i] = &reports[i];
 	}
 	Dff__Peer__Sighting wire = DFF__PEER__SIGHTING__INIT;
-	wire.worker = bytes_of (&sighting->worker);
-	wire.reachable = sighting->reachable;
-	wire.leaving = sighting->leaving;
-	wire.silent_ms = sighting->silent_ms;
-	wire.whole = sighting->complete && n == sighting->n_reports;
+	wire.worker = bytes_of (&report->worker);
+	wire.reachable = report->reachable;
+	wire.leaving = report->leaving;
+	wire.silent_ms = report->silent_ms;
+	wire.whole = report->complete && n == report->n_reports;
 	wire.n_reports = n;
 	wire.reports = pointers;
 	envelope.body_case = DFF__PEER__ENVELOPE__BODY_SIGHTING;
@@ -191,7 +191,7 @@
 	case DFF_MESSAGE_JOB_ENDED:
 		return encode_job_ended (envelope, &message->job_ended);
 	case DFF_MESSAGE_WORKER_REPORT:
-		return encode_sighting (envelope, &message->worker_report);
+		return encode_worker_report (envelope, &message->worker_report);
 	case DFF_MESSAGE_GRANTS:
 		return encode_grants (envelope, &message->grants);
 	}
--- a/peer/notices.c
+++ b/peer/notices.c
@@ -2,18 +2,18 @@
 
 #include "peer/peer_internal.h"
 
-#define HELD_MAX 256
-#define HELD_MS 5000
+#define PENDING_MAX 256
+#define PENDING_TIMEOUT_MS 5000
 
-struct held_notice {
+struct pending_notice {
 	GByteArray *bytes;
 	int64_t expires_ms;
 };
 
 static void
-held_notice_free (gpointer data)
+pending_notice_free (gpointer data)
 {
-	struct held_notice *notice = data;
+	struct pending_notice *notice = data;
 	g_byte_array_unref (notice->bytes);
 	g_free (notice);
 }
@@ -21,26 +21,26 @@
 void
 dff_notices_clear (struct dff_notices *notices)
 {
-	g_queue_clear_full (&notices->held, held_notice_free);
+	g_queue_clear_full (&notices->pending, pending_notice_free);
 }
 
 static void
 drop_oldest (struct dff_peer *peer)
 {
-	held_notice_free (g_queue_pop_head (&peer->notices.held));
+	pending_notice_free (g_queue_pop_head (&peer->notices.pending));
 	*peer->n_notices_dropped += 1;
 }
 
 static void
-hold (struct dff_peer *peer, struct dff_message *message)
+queue_notice (struct dff_peer *peer, struct dff_message *message)
 {
-	if (g_queue_get_length (&peer->notices.held) >= HELD_MAX)
+	if (g_queue_get_length (&peer->notices.pending) >= PENDING_MAX)
 		drop_oldest (peer);
 	message->sender = peer->options.self.id;
-	struct held_notice *notice = g_new0 (struct held_notice, 1);
+	struct pending_notice *notice = g_new0 (struct pending_notice, 1);
 	notice->bytes = dff_message_encode (message);
-	notice->expires_ms = dff_peer_now_ms (peer) + HELD_MS;
-	g_queue_push_tail (&peer->notices.held, notice);
+	notice->expires_ms = dff_peer_now_ms (peer) + PENDING_TIMEOUT_MS;
+	g_queue_push_tail (&peer->notices.pending, notice);
 }
 
 void
@@ -49,7 +49,7 @@
 	int64_t epoch;
 	const struct dff_instance *holder = dff_membership_holder (peer->membership, &epoch);
 	if (holder == NULL) {
-		hold (peer, message);
+		queue_notice (peer, message);
 		return;
 	}
 	message->sender = peer->options.self.id;
@@ -62,10 +62,10 @@
 static void
 send_oldest (struct dff_peer *peer)
 {
-	struct held_notice *notice = g_queue_pop_head (&peer->notices.held);
+	struct pending_notice *notice = g_queue_pop_head (&peer->notices.pending);
 	DFF_AUTO (dff_message)
 	message = dff_message_decode (notice->bytes->data, notice->bytes->len);
-	held_notice_free (notice);
+	pending_notice_free (notice);
 	if (message != NULL)
 		dff_notices_send (peer, message);
 }
@@ -73,12 +73,12 @@
 void
 dff_notices_tick (struct dff_peer *peer)
 {
-	GQueue *held = &peer->notices.held;
+	GQueue *pending = &peer->notices.pending;
 	int64_t epoch;
 	bool has_holder = dff_membership_holder (peer->membership, &epoch) != NULL;
 	int64_t now_ms = dff_peer_now_ms (peer);
-	for (guint n = g_queue_get_length (held); n > 0 && !g_queue_is_empty (held); n--) {
-		const struct held_notice *oldest = g_queue_peek_head (held);
+	for (guint n = g_queue_get_length (pending); n > 0 && !g_queue_is_empty (pending); n--) {
+		const struct pending_notice *oldest = g_queue_peek_head (pending);
 		if (has_holder)
 			send_oldest (peer);
 		else if (oldest->expires_ms <= now_ms)
--- a/peer/notices.h
+++ b/peer/notices.h
@@ -14,8 +14,8 @@
 struct dff_peer;
 
 struct dff_notices {
-	/** Elements: struct held_notice *, oldest first. */
-	GQueue held;
+	/** Elements: struct pending_notice *, oldest first. */
+	GQueue pending;
 };
 
 void dff_notices_clear (struct dff_notices *notices);
--- a/peer/peer.c
+++ b/peer/peer.c
@@ -93,7 +93,7 @@
 	struct dff_peer *peer = g_new0 (struct dff_peer, 1);
 	peer->options = *options;
 	peer->members = g_array_new (FALSE, FALSE, sizeof (struct dff_member));
-	g_queue_init (&peer->notices.held);
+	g_queue_init (&peer->notices.pending);
 	dff_grants_sent_init (&peer->grants_sent);
 	set_up_counters (peer);
 	struct dff_membership_options membership = {
@@ -119,7 +119,7 @@
 	dff_notices_clear (&peer->notices);
 	dff_pool_push_clear (&peer->pool_push);
 	dff_grants_sent_clear (&peer->grants_sent);
-	dff_grants_kept_clear (&peer->grants_kept);
+	dff_grants_current_clear (&peer->grants_current);
 	dff_membership_free (peer->membership);
 	g_array_free (peer->members, TRUE);
 	g_free (peer);
@@ -129,7 +129,7 @@
 dff_peer_tick (struct dff_peer *peer)
 {
 	dff_membership_tick (peer->membership);
-	dff_pool_push_pursue (peer);
+	dff_pool_push_request (peer);
 	dff_notices_tick (peer);
 }
 
@@ -162,30 +162,30 @@
  * slots: a renewal of another set than the one kept renews nothing, and leaves the sequence as it
  * is for the whole set that is to come. */
 static bool
-renews_another (const struct dff_peer *peer, const struct dff_grant_set *set)
+renews_other_set (const struct dff_peer *peer, const struct dff_grant_set *set)
 {
-	return set->is_renewal && !dff_grants_kept_match (&peer->grants_kept, &set->digest);
+	return set->is_renewal && !dff_grants_current_match (&peer->grants_current, &set->digest);
 }
 
 static void
-take_grants (struct dff_peer *peer, const struct dff_grant_set *set, int64_t valid_ms)
+apply_grants (struct dff_peer *peer, const struct dff_grant_set *set, int64_t valid_ms)
 {
 	if (valid_ms <= 0 || !grants_are_newer (peer, set)) {
 		*peer->n_stale_grants += 1;
 		return;
 	}
-	if (renews_another (peer, set)) {
+	if (renews_other_set (peer, set)) {
 		*peer->n_unmatched_grants += 1;
 		return;
 	}
 	peer->grants_epoch = set->epoch;
 	peer->grants_sequence = set->sequence;
 	if (!set->is_renewal)
-		dff_grants_kept_set (&peer->grants_kept, set->grants, set->n_grants);
-	const GArray *kept = peer->grants_kept.grants;
+		dff_grants_current_set (&peer->grants_current, set->grants, set->n_grants);
+	const GArray *current = peer->grants_current.grants;
 	const struct dff_peer_callbacks *callbacks = &peer->options.callbacks;
 	callbacks->grants_received (callbacks->ctx, set->epoch,
-				    (const struct dff_grant *)(void *)kept->data, kept->len,
+				    (const struct dff_grant *)(void *)current->data, current->len,
 				    (int32_t)valid_ms);
 }
 
@@ -196,7 +196,7 @@
 	switch (message->kind) {
 	case DFF_MESSAGE_HEARTBEAT:
 		dff_membership_receive (peer->membership, &message->heartbeat);
-		dff_pool_push_pursue (peer);
+		dff_pool_push_request (peer);
 		break;
 	case DFF_MESSAGE_POOL_REQUEST:
 		dff_pool_push_answer (peer, &message->sender, message->pool_request);
@@ -218,7 +218,7 @@
 		callbacks->worker_report (callbacks->ctx, &message->worker_report);
 		break;
 	case DFF_MESSAGE_GRANTS:
-		take_grants (peer, &message->grants, remaining_ms (peer, &message->grants));
+		apply_grants (peer, &message->grants, remaining_ms (peer, &message->grants));
 		break;
 	}
 }
@@ -253,7 +253,7 @@
 			size_t n_instances)
 {
 	dff_membership_set_instances (peer->membership, instances, n_instances);
-	dff_grants_sent_keep (&peer->grants_sent, is_member, peer->membership);
+	dff_grants_sent_retain (&peer->grants_sent, is_member, peer->membership);
 }
 
 void
@@ -286,7 +286,7 @@
 uint32_t
 dff_peer_start_id (const struct dff_peer *peer)
 {
-	return dff_membership_start (peer->membership);
+	return dff_membership_start_id (peer->membership);
 }
 
 const struct dff_member *
@@ -325,10 +325,9 @@
  * the worker out of the grants. So all members are told, without the reports, which are the
  * holder's. */
 static void
-tell_leaving (struct dff_peer *peer, const struct dff_worker_report *sighting)
+announce_leaving (struct dff_peer *peer, const struct dff_worker_report *report)
 {
-	struct dff_message message = {.kind = DFF_MESSAGE_WORKER_REPORT,
-				      .worker_report = *sighting};
+	struct dff_message message = {.kind = DFF_MESSAGE_WORKER_REPORT, .worker_report = *report};
 	message.sender = peer->options.self.id;
 	message.worker_report.reports = NULL;
 	message.worker_report.n_reports = 0;
@@ -346,13 +345,12 @@
 }
 
 void
-dff_peer_send_worker_report (struct dff_peer *peer, const struct dff_worker_report *sighting)
+dff_peer_send_worker_report (struct dff_peer *peer, const struct dff_worker_report *report)
 {
-	struct dff_message message = {.kind = DFF_MESSAGE_WORKER_REPORT,
-				      .worker_report = *sighting};
+	struct dff_message message = {.kind = DFF_MESSAGE_WORKER_REPORT, .worker_report = *report};
 	dff_notices_send (peer, &message);
-	if (sighting->leaving)
-		tell_leaving (peer, sighting);
+	if (report->leaving)
+		announce_leaving (peer, report);
 }
 
 void
@@ -389,18 +387,18 @@
 	set->grants = grants;
 	set->n_grants = MIN (n_grants, (size_t)DFF_MESSAGE_ELEMENTS_MAX);
 	if (dff_peer_is_self (peer, member)) {
-		take_grants (peer, set, valid_ms);
+		apply_grants (peer, set, valid_ms);
 		return;
 	}
 	const struct dff_instance *instance = dff_membership_find (peer->membership, member);
-	struct dff_heard heard = dff_membership_heard (peer->membership, member);
+	struct dff_last_heartbeat last = dff_membership_last_heartbeat (peer->membership, member);
 	/* Never heard: the receiver could not tell how old the grants are. */
-	if (instance == NULL || heard.sent_ms == 0)
+	if (instance == NULL || last.sent_ms == 0)
 		return;
-	set->heartbeat_sent_ms = heard.sent_ms;
-	set->heartbeat_age_ms = heard.age_ms;
+	set->heartbeat_sent_ms = last.sent_ms;
+	set->heartbeat_age_ms = last.age_ms;
 	set->digest = dff_grant_digest (set->grants, set->n_grants);
-	set->is_renewal = !dff_grants_sent_count (&peer->grants_sent, member, epoch, heard.start,
+	set->is_renewal = !dff_grants_sent_count (&peer->grants_sent, member, epoch, last.start_id,
 						  &set->digest);
 	if (set->is_renewal)
 		set->n_grants = 0;
--- a/peer/peer_internal.h
+++ b/peer/peer_internal.h
@@ -23,7 +23,7 @@
 	/** Newest grant set taken in. */
 	int64_t grants_epoch;
 	uint64_t grants_sequence;
-	struct dff_grants_kept grants_kept;
+	struct dff_grants_current grants_current;
 	int64_t *n_malformed;
 	int64_t *n_unknown_sender;
 	int64_t *n_stale_grants;
--- a/peer/pool_push.c
+++ b/peer/pool_push.c
@@ -4,11 +4,11 @@
 #include "peer/peer_internal.h"
 
 /** Time after which another process is asked, ms. */
-#define ASK_INTERVAL_MS 200
+#define REQUEST_INTERVAL_MS 200
 
 /** Asks for one generation at that interval; after them it is asked for slowly. */
-#define ASKS_QUICKLY 15
-#define ASK_INTERVAL_SLOW_MS 2000
+#define FAST_REQUESTS 15
+#define REQUEST_INTERVAL_SLOW_MS 2000
 
 /** Time after which a file that this process did not put in force is asked for again, ms. */
 #define REFUSED_INTERVAL_MS 5000
@@ -37,41 +37,41 @@
 }
 
 static int64_t
-ask_interval_ms (const struct dff_pool_push *push)
+request_interval_ms (const struct dff_pool_push *push)
 {
-	return push->n_asked < ASKS_QUICKLY ? ASK_INTERVAL_MS : ASK_INTERVAL_SLOW_MS;
+	return push->n_requests < FAST_REQUESTS ? REQUEST_INTERVAL_MS : REQUEST_INTERVAL_SLOW_MS;
 }
 
 void
-dff_pool_push_pursue (struct dff_peer *peer)
+dff_pool_push_request (struct dff_peer *peer)
 {
 	struct dff_pool_push *push = &peer->pool_push;
 	int64_t newest = dff_membership_newest_generation (peer->membership);
 	if (newest <= push->generation)
 		return;
 	int64_t now_ms = dff_peer_now_ms (peer);
-	if (newest > push->asked_generation) {
-		push->asked_generation = newest;
-		push->n_asked = 0;
-		push->next_ask_ms = now_ms;
+	if (newest > push->requested_generation) {
+		push->requested_generation = newest;
+		push->n_requests = 0;
+		push->next_request_ms = now_ms;
 	}
-	if (now_ms < push->next_ask_ms)
+	if (now_ms < push->next_request_ms)
 		return;
 	const struct dff_instance *member =
 		dff_membership_pick_with_generation (peer->membership, newest);
 	if (member == NULL)
 		return;
-	push->n_asked++;
-	push->next_ask_ms = now_ms + ask_interval_ms (push);
+	push->n_requests++;
+	push->next_request_ms = now_ms + request_interval_ms (push);
 	struct dff_message message = {.kind = DFF_MESSAGE_POOL_REQUEST, .pool_request = newest};
 	dff_peer_send (peer, member, &message);
 }
 
 void
-dff_pool_push_answer (struct dff_peer *peer, const struct dff_name *asker, int64_t generation)
+dff_pool_push_answer (struct dff_peer *peer, const struct dff_name *requester, int64_t generation)
 {
 	const struct dff_pool_push *push = &peer->pool_push;
-	const struct dff_instance *member = dff_membership_find (peer->membership, asker);
+	const struct dff_instance *member = dff_membership_find (peer->membership, requester);
 	if (member == NULL || push->text == NULL || push->generation < generation)
 		return;
 	struct dff_message message = {.kind = DFF_MESSAGE_POOL_FILE};
@@ -93,7 +93,7 @@
 		return;
 	/* This process cannot use the file (a newer program wrote it, say). It goes on saying that
 	 * it is behind, and asks again slowly. */
-	push->next_ask_ms = dff_peer_now_ms (peer) + REFUSED_INTERVAL_MS;
+	push->next_request_ms = dff_peer_now_ms (peer) + REFUSED_INTERVAL_MS;
 	dff_log (DFF_LOG_PEER, DFF_LOG_WARNING,
 		 "Pool file from a peer not put in force. generation=%" G_GINT64_FORMAT,
 		 file->generation);
--- a/peer/pool_push.h
+++ b/peer/pool_push.h
@@ -23,9 +23,9 @@
 	int64_t revision;
 	GBytes *text;
 	/** Newest generation asked for, how often, and when to ask again. */
-	int64_t asked_generation;
-	int32_t n_asked;
-	int64_t next_ask_ms;
+	int64_t requested_generation;
+	int32_t n_requests;
+	int64_t next_request_ms;
 };
 
 void dff_pool_push_clear (struct dff_pool_push *push);
@@ -38,10 +38,11 @@
 			struct dff_str text);
 
 /** Asks for the newest generation that is known of when this process is behind. */
-void dff_pool_push_pursue (struct dff_peer *peer);
+void dff_pool_push_request (struct dff_peer *peer);
 
 /** Answers a process that asked for @generation or newer. */
-void dff_pool_push_answer (struct dff_peer *peer, const struct dff_name *asker, int64_t generation);
+void
+dff_pool_push_answer (struct dff_peer *peer, const struct dff_name *requester, int64_t generation);
 
 /** Takes a file in and hands a newer one on. */
 void dff_pool_push_receive (struct dff_peer *peer, const struct dff_pool_file *file);
--- a/peer/zmq_transport.c
+++ b/peer/zmq_transport.c
@@ -28,7 +28,7 @@
 #define IDLE_S 20
 
 /** A peer that is not listed any more is dropped after this many such times without a message. */
-#define QUIET_CHECKS 2
+#define SILENT_CHECKS_MAX 2
 
 struct zmq_peer {
 	struct dff_instance instance;
@@ -37,8 +37,8 @@
 	void *dealer;
 	/** Whether something was sent to it since the last idle check. */
 	bool used;
-	/** Idle checks since something came from it; QUIET_CHECKS: nothing did lately. */
-	int32_t quiet_checks;
+	/** Idle checks since something came from it; SILENT_CHECKS_MAX: nothing did lately. */
+	int32_t silent_checks;
 	bool listed;
 };
 
@@ -187,7 +187,7 @@
 }
 
 static struct zmq_peer *
-find_key (const struct dff_zmq_transport *transport, const char *key)
+find_peer_by_key (const struct dff_zmq_transport *transport, const char *key)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -205,12 +205,12 @@
 take (struct dff_zmq_transport *transport, zmq_msg_t *payload)
 {
 	const char *key = zmq_msg_gets (payload, "User-Id");
-	struct zmq_peer *peer = key != NULL ? find_key (transport, key) : NULL;
+	struct zmq_peer *peer = key != NULL ? find_peer_by_key (transport, key) : NULL;
 	if (peer == NULL) {
 		*transport->n_dropped += 1;
 		return;
 	}
-	peer->quiet_checks = 0;
+	peer->silent_checks = 0;
 	transport->options.receive (transport->options.receive_ctx, zmq_msg_data (payload),
 				    zmq_msg_size (payload));
 }
@@ -244,7 +244,7 @@
  * takes less than all there is: the rest lies in the queue until the next message comes. Each turn
  * takes messages until there is none, or makes itself run again. */
 static void
-on_readable (evutil_socket_t fd, short what, void *ctx)
+handle_readable (evutil_socket_t fd, short what, void *ctx)
 {
 	(void)fd;
 	(void)what;
@@ -257,7 +257,7 @@
 }
 
 static void
-on_idle_check (evutil_socket_t fd, short what, void *ctx)
+handle_idle_check (evutil_socket_t fd, short what, void *ctx)
 {
 	(void)fd;
 	(void)what;
@@ -270,8 +270,8 @@
 		if (!peer->used)
 			disconnect_peer (peer);
 		peer->used = false;
-		peer->quiet_checks = MIN (peer->quiet_checks + 1, QUIET_CHECKS);
-		if (!peer->listed && peer->quiet_checks == QUIET_CHECKS)
+		peer->silent_checks = MIN (peer->silent_checks + 1, SILENT_CHECKS_MAX);
+		if (!peer->listed && peer->silent_checks == SILENT_CHECKS_MAX)
 			g_hash_table_iter_remove (&iter);
 	}
 }
@@ -281,7 +281,7 @@
 {
 	struct dff_zmq_transport *transport = ctx;
 	struct dff_name text = dff_zmq_key_format (key);
-	if (find_key (transport, text.data) != NULL)
+	if (find_peer_by_key (transport, text.data) != NULL)
 		return true;
 	*transport->n_refused += 1;
 	return false;
@@ -320,8 +320,9 @@
 	if (zmq_getsockopt (transport->router, ZMQ_FD, &fd, &size) != 0)
 		return false;
 	struct event_base *base = transport->options.base;
-	transport->readable = event_new (base, fd, EV_READ | EV_PERSIST, on_readable, transport);
-	transport->idle_check = event_new (base, -1, EV_PERSIST, on_idle_check, transport);
+	transport->readable =
+		event_new (base, fd, EV_READ | EV_PERSIST, handle_readable, transport);
+	transport->idle_check = event_new (base, -1, EV_PERSIST, handle_idle_check, transport);
 	struct timeval interval = {.tv_sec = IDLE_S};
 	event_add (transport->idle_check, &interval);
 	event_add (transport->readable, NULL);
@@ -412,7 +413,7 @@
 	} else {
 		peer = g_new0 (struct zmq_peer, 1);
 		peer->instance = *instance;
-		peer->quiet_checks = QUIET_CHECKS;
+		peer->silent_checks = SILENT_CHECKS_MAX;
 		if (!dff_zmq_key_parse (&instance->peer_key, peer->key)) {
 			g_free (peer);
 			return;
@@ -424,10 +425,10 @@
 
 /* The list lags: one that is heard though the list does not name it goes on being a peer. */
 static gboolean
-keep_heard_peer (gpointer key, gpointer value, gpointer fresh)
+keep_active_peer (gpointer key, gpointer value, gpointer fresh)
 {
 	struct zmq_peer *peer = value;
-	if (peer->quiet_checks == QUIET_CHECKS || g_hash_table_contains (fresh, key))
+	if (peer->silent_checks == SILENT_CHECKS_MAX || g_hash_table_contains (fresh, key))
 		return FALSE;
 	peer->listed = false;
 	g_hash_table_replace (fresh, &peer->instance.id, peer);
@@ -446,7 +447,7 @@
 		if (instances[i].role == DFF_INSTANCE_ENTRY)
 			keep_or_add_peer (old, fresh, &instances[i]);
 	}
-	g_hash_table_foreach_steal (old, keep_heard_peer, fresh);
+	g_hash_table_foreach_steal (old, keep_active_peer, fresh);
 	transport->peers = fresh;
 	g_hash_table_destroy (old);
 }
--- a/peer/zmq_zap.c
+++ b/peer/zmq_zap.c
@@ -60,7 +60,7 @@
 }
 
 static bool
-may_come_in (const struct dff_zmq_zap *zap, const struct zap_request *request)
+is_authorized (const struct dff_zmq_zap *zap, const struct zap_request *request)
 {
 	const struct frame *frames = request->frames;
 	if (request->n_frames != REQUEST_FRAMES || !frame_is (&frames[0], VERSION))
@@ -79,7 +79,7 @@
 static void
 answer (const struct dff_zmq_zap *zap, const struct zap_request *request)
 {
-	bool known = may_come_in (zap, request);
+	bool known = is_authorized (zap, request);
 	const struct frame *address = &request->frames[3];
 	if (!known) {
 		dff_log (DFF_LOG_PEER, DFF_LOG_INFO,
@@ -104,7 +104,7 @@
 
 /* The descriptor is raised once for a change, so each turn goes on until nothing is left. */
 static void
-on_readable (evutil_socket_t fd, short what, void *ctx)
+handle_readable (evutil_socket_t fd, short what, void *ctx)
 {
 	(void)fd;
 	(void)what;
@@ -127,7 +127,7 @@
 	    zmq_bind (zap->socket, ENDPOINT) != 0 ||
 	    zmq_getsockopt (zap->socket, ZMQ_FD, &fd, &size) != 0)
 		return false;
-	zap->readable = event_new (base, fd, EV_READ | EV_PERSIST, on_readable, zap);
+	zap->readable = event_new (base, fd, EV_READ | EV_PERSIST, handle_readable, zap);
 	event_add (zap->readable, NULL);
 	event_active (zap->readable, EV_READ, 0);
 	return true;
--- a/tests/peer/fake_transport.c
+++ b/tests/peer/fake_transport.c
@@ -100,12 +100,12 @@
 }
 
 static void
-sighting (void *ctx, const struct dff_worker_report *sighting)
+worker_report (void *ctx, const struct dff_worker_report *worker_report)
 {
-	((struct fake_node *)ctx)->sightings++;
-	((struct fake_node *)ctx)->whole_sightings += sighting->complete;
-	((struct fake_node *)ctx)->leaving_sightings += sighting->leaving;
-	((struct fake_node *)ctx)->task_reports += (int64_t)sighting->n_reports;
+	((struct fake_node *)ctx)->worker_reports++;
+	((struct fake_node *)ctx)->complete_reports += worker_report->complete;
+	((struct fake_node *)ctx)->leaving_reports += worker_report->leaving;
+	((struct fake_node *)ctx)->task_reports += (int64_t)worker_report->n_reports;
 }
 
 static void
@@ -195,7 +195,7 @@
 	options.callbacks.job_hint = job_hint;
 	options.callbacks.job_ended = job_ended;
 	options.callbacks.job_watch = job_watch;
-	options.callbacks.worker_report = sighting;
+	options.callbacks.worker_report = worker_report;
 	options.callbacks.grants_received = grants_received;
 	options.callbacks.members_changed = members_changed;
 	options.callbacks.ctx = node;
--- a/tests/peer/fake_transport.h
+++ b/tests/peer/fake_transport.h
@@ -28,9 +28,9 @@
 	bool generation_went_back;
 	int64_t members_changed;
 	int64_t hints;
-	int64_t sightings;
-	int64_t whole_sightings;
-	int64_t leaving_sightings;
+	int64_t worker_reports;
+	int64_t complete_reports;
+	int64_t leaving_reports;
 	int64_t task_reports;
 	int64_t watches;
 	int64_t ended;
--- a/tests/peer/test-grant-renewal.c
+++ b/tests/peer/test-grant-renewal.c
@@ -76,8 +76,8 @@
 	const struct fake_node *entry = &network->nodes[ENTRY];
 	for (int round = 0; round < 30; round++) {
 		int64_t bytes = send_round (network, HOLDER, 4, N_WORKERS);
-		bool whole = round < 2 || round % 3 == 0;
-		assert_int_equal (bytes > RENEWAL_BYTES_MAX, whole);
+		bool is_full = round < 2 || round % 3 == 0;
+		assert_int_equal (bytes > RENEWAL_BYTES_MAX, is_full);
 		assert_int_equal (entry->grant_sets, round + 1);
 		assert_int_equal (entry->granted_slots, N_WORKERS);
 		int64_t left_ms = entry->grants_expire_ms - network->clock.now_ms;
@@ -91,7 +91,7 @@
  * changes, both whole sets are lost, the renewals of the new set arrive. Cause: a renewal was taken
  * for one of whatever set the process had. */
 static void
-test_lost_whole_sets_are_made_good (void **state)
+test_lost_full_sets_are_resent (void **state)
 {
 	(void)state;
 	DFF_AUTO (fake_network) network = started ();
@@ -127,7 +127,7 @@
 }
 
 static void
-test_another_digest_renews_nothing (void **state)
+test_renewal_of_another_set_is_dropped (void **state)
 {
 	(void)state;
 	DFF_AUTO (fake_network) network = started ();
@@ -196,8 +196,8 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test (test_an_unchanged_set_is_renewed_by_digest),
-		cmocka_unit_test (test_lost_whole_sets_are_made_good),
-		cmocka_unit_test (test_another_digest_renews_nothing),
+		cmocka_unit_test (test_lost_full_sets_are_resent),
+		cmocka_unit_test (test_renewal_of_another_set_is_dropped),
 		cmocka_unit_test (test_renewals_of_an_old_epoch_are_refused),
 		cmocka_unit_test (test_a_restarted_process_gets_its_set_at_once),
 	};
--- a/tests/peer/test-membership.c
+++ b/tests/peer/test-membership.c
@@ -91,7 +91,7 @@
 /* Symptom: a running process is treated as gone, its work is handed to others. Sequence: a fifth of
  * all messages is lost. Cause: silence taken for death without asking others and the member. */
 static void
-test_loss_kills_nobody (void **state)
+test_message_loss_causes_no_false_death (void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS (sizes); i++) {
@@ -110,7 +110,7 @@
 /* Symptom: work stays with a process that is gone. Sequence: kill -9, and the instance list goes on
  * naming it. Cause: nothing but the list tells. */
 static void
-test_dead_member_is_found (void **state)
+test_dead_member_is_detected (void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS (sizes); i++) {
@@ -128,7 +128,7 @@
 }
 
 static void
-test_dead_and_unlisted_member_is_found_sooner (void **state)
+test_dead_unlisted_member_is_detected_sooner (void **state)
 {
 	(void)state;
 	for (int32_t seed = 0; seed < 20; seed++) {
@@ -144,7 +144,7 @@
 /* Symptom: a running process vanishes for the others. Sequence: the platform's list leaves it out,
  * or has not named it yet. Cause: the list lags; a heartbeat is the better witness. */
 static void
-test_heartbeat_outranks_the_list (void **state)
+test_heartbeat_takes_precedence_over_list (void **state)
 {
 	(void)state;
 	DFF_AUTO (fake_network) network = started (1, 9);
@@ -160,7 +160,7 @@
 /* Symptom: a process that was paused stays out for good. Sequence: SIGSTOP, taken for dead,
  * SIGCONT. Cause: the others hold to its death. It learns what is said of it and refutes that. */
 static void
-test_paused_member_comes_back (void **state)
+test_paused_member_rejoins (void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS (sizes); i++) {
@@ -183,7 +183,7 @@
 /* Symptom: after a pause a process declares all others dead. Sequence: SIGSTOP for a minute,
  * SIGCONT. Cause: the time in which it did not listen counted as their silence. */
 static void
-test_own_pause_is_no_silence_of_others (void **state)
+test_own_pause_does_not_time_out_peers (void **state)
 {
 	(void)state;
 	DFF_AUTO (fake_network) network = started (1, 9);
@@ -244,7 +244,7 @@
 /* Symptom: two running processes hold each other for dead. Sequence: what one sends does not reach
  * the other, while everything else works. Cause: silence on one path taken for death. */
 static void
-test_one_way_cut_kills_nobody (void **state)
+test_one_way_cut_causes_no_false_death (void **state)
 {
 	(void)state;
 	for (int32_t seed = 0; seed < 50; seed++) {
@@ -308,7 +308,7 @@
  * the other for dead, an operator applies a pool on one side, the cut heals. Cause: nobody sends to
  * the dead. */
 static void
-test_halves_find_each_other (void **state)
+test_partitions_merge (void **state)
 {
 	(void)state;
 	static const struct cut_case cases[] = {{9, 4, 1}, {40, 4, 18}, {40, 13, 2}, {40, 20, 2}};
@@ -436,15 +436,15 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_loss_kills_nobody),
-		cmocka_unit_test (test_dead_member_is_found),
-		cmocka_unit_test (test_dead_and_unlisted_member_is_found_sooner),
-		cmocka_unit_test (test_heartbeat_outranks_the_list),
-		cmocka_unit_test (test_paused_member_comes_back),
-		cmocka_unit_test (test_own_pause_is_no_silence_of_others),
+		cmocka_unit_test (test_message_loss_causes_no_false_death),
+		cmocka_unit_test (test_dead_member_is_detected),
+		cmocka_unit_test (test_dead_unlisted_member_is_detected_sooner),
+		cmocka_unit_test (test_heartbeat_takes_precedence_over_list),
+		cmocka_unit_test (test_paused_member_rejoins),
+		cmocka_unit_test (test_own_pause_does_not_time_out_peers),
 		cmocka_unit_test (test_restart_under_the_same_name),
-		cmocka_unit_test (test_one_way_cut_kills_nobody),
-		cmocka_unit_test (test_halves_find_each_other),
+		cmocka_unit_test (test_one_way_cut_causes_no_false_death),
+		cmocka_unit_test (test_partitions_merge),
 		cmocka_unit_test (test_pool_is_in_force_in_time),
 		cmocka_unit_test (test_random_schedules),
 	};
--- a/tests/peer/test-message.c
+++ b/tests/peer/test-message.c
@@ -68,7 +68,7 @@
 }
 
 static void
-test_every_kind_comes_back_the_same (void **state)
+test_round_trip_of_every_kind (void **state)
 {
 	(void)state;
 	for (int kind = 0; kind <= DFF_MESSAGE_GRANTS; kind++) {
@@ -266,7 +266,7 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_every_kind_comes_back_the_same),
+		cmocka_unit_test (test_round_trip_of_every_kind),
 		cmocka_unit_test (test_bad_values_are_refused),
 		cmocka_unit_test (test_random_bytes),
 		cmocka_unit_test (test_truncated_and_changed_bytes),
--- a/tests/peer/test-peer.c
+++ b/tests/peer/test-peer.c
@@ -25,7 +25,7 @@
 }
 
 static void
-test_members_hear_each_other (void **state)
+test_members_find_each_other (void **state)
 {
 	(void)state;
 	DFF_AUTO (fake_network) network = started (9);
@@ -55,7 +55,7 @@
 }
 
 static void
-test_leaving_is_told (void **state)
+test_leaving_is_reported (void **state)
 {
 	(void)state;
 	DFF_AUTO (fake_network) network = started (3);
@@ -68,7 +68,7 @@
 }
 
 static void
-test_pool_reaches_everybody (void **state)
+test_pool_reaches_all_members (void **state)
 {
 	(void)state;
 	DFF_AUTO (fake_network) network = started (9);
@@ -91,19 +91,19 @@
 	struct dff_task_report reports[2] = {{.state = DFF_TASK_RUNNING, .ran = true}};
 	reports[0].task.job = job;
 	reports[1].task.job = job;
-	struct dff_worker_report sighting = {.reachable = true, .reports = reports};
-	sighting.worker = dff_name_from ("worker-1");
-	sighting.n_reports = 2;
+	struct dff_worker_report report = {.reachable = true, .reports = reports};
+	report.worker = dff_name_from ("worker-1");
+	report.n_reports = 2;
 	make_holder (holder, 1);
 	fake_network_run (network, 200);
 	dff_peer_send_job_hint (entry->peer, &job);
 	dff_peer_send_job_watch (entry->peer, &job);
-	dff_peer_send_worker_report (entry->peer, &sighting);
+	dff_peer_send_worker_report (entry->peer, &report);
 	dff_peer_send_job_hint (holder->peer, &job);
 	fake_network_run (network, 200);
 	assert_int_equal (holder->hints, 2);
 	assert_int_equal (holder->watches, 1);
-	assert_int_equal (holder->sightings, 1);
+	assert_int_equal (holder->worker_reports, 1);
 	assert_int_equal (holder->task_reports, 2);
 	assert_int_equal (entry->ended, 1);
 	assert_int_equal (entry->ended_outcome, DFF_OUTCOME_COMPLETED);
@@ -112,32 +112,32 @@
 /* Symptom: a worker that starts anew stays in the holder's tables with its old tasks. Sequence: its
  * watcher is not the holder. Cause: the peers' message left out that the reports were whole. */
 static void
-test_a_whole_sighting_stays_whole (void **state)
+test_complete_report_stays_complete (void **state)
 {
 	(void)state;
 	DFF_AUTO (fake_network) network = started (2);
 	make_holder (&network->nodes[0], 1);
 	fake_network_run (network, 200);
-	struct dff_worker_report sighting = {
+	struct dff_worker_report report = {
 		.worker = dff_name_from ("worker-1"), .reachable = true, .complete = true};
-	dff_peer_send_worker_report (network->nodes[1].peer, &sighting);
+	dff_peer_send_worker_report (network->nodes[1].peer, &report);
 	fake_network_run (network, 200);
-	assert_int_equal (network->nodes[0].whole_sightings, 1);
+	assert_int_equal (network->nodes[0].complete_reports, 1);
 }
 
 /* Symptom: a leaving worker still gets new requests while the cell has no holder. Sequence: the
  * store is down, a worker says that it is leaving. Cause: only the holder was told. */
 static void
-test_everybody_hears_of_a_leaving_worker (void **state)
+test_all_members_receive_a_leaving_worker (void **state)
 {
 	(void)state;
 	DFF_AUTO (fake_network) network = started (9);
-	struct dff_worker_report sighting = {
+	struct dff_worker_report report = {
 		.worker = dff_name_from ("worker-1"), .reachable = true, .leaving = true};
-	dff_peer_send_worker_report (network->nodes[4].peer, &sighting);
+	dff_peer_send_worker_report (network->nodes[4].peer, &report);
 	fake_network_run (network, 200);
 	for (int i = 0; i < 9; i++)
-		assert_int_equal (network->nodes[i].leaving_sightings, i == 4 ? 0 : 1);
+		assert_int_equal (network->nodes[i].leaving_reports, i == 4 ? 0 : 1);
 }
 
 /* Symptom: a hint sent during a take-over is lost, and the job waits for the next reading of the
@@ -249,12 +249,12 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_members_hear_each_other),
+		cmocka_unit_test (test_members_find_each_other),
 		cmocka_unit_test (test_holder_is_the_highest_epoch),
-		cmocka_unit_test (test_leaving_is_told),
-		cmocka_unit_test (test_pool_reaches_everybody),
-		cmocka_unit_test (test_a_whole_sighting_stays_whole),
-		cmocka_unit_test (test_everybody_hears_of_a_leaving_worker),
+		cmocka_unit_test (test_leaving_is_reported),
+		cmocka_unit_test (test_pool_reaches_all_members),
+		cmocka_unit_test (test_complete_report_stays_complete),
+		cmocka_unit_test (test_all_members_receive_a_leaving_worker),
 		cmocka_unit_test (test_notices_reach_the_holder),
 		cmocka_unit_test (test_notices_wait_for_a_holder),
 		cmocka_unit_test (test_grants_arrive_and_expire),
--- a/tests/peer/test-reports.c
+++ b/tests/peer/test-reports.c
@@ -20,7 +20,7 @@
 	int32_t incarnation;
 	/** Added to the number of heartbeats that entry-0 knows of. */
 	int32_t later;
-	enum dff_liveness life;
+	enum dff_liveness liveness;
 	enum dff_member_state state;
 };
 
@@ -48,13 +48,13 @@
 }
 
 static void
-tell (struct fake_network *network, const struct report_case *report, uint64_t sequence)
+send_report (struct fake_network *network, const struct report_case *report, uint64_t sequence)
 {
 	struct dff_member_report about = {
 		.id = network->nodes[2].instance.id,
 		.incarnation = (uint64_t)report->incarnation,
 		.sequence = sequence + (uint64_t)report->later,
-		.liveness = report->life,
+		.liveness = report->liveness,
 	};
 	struct dff_message message = {.kind = DFF_MESSAGE_HEARTBEAT};
 	message.sender = network->nodes[1].instance.id;
@@ -81,7 +81,7 @@
 		network->nodes[1].paused = true;
 		network->nodes[2].paused = cases[i].silent_ms > 0;
 		fake_network_run (network, cases[i].silent_ms);
-		tell (network, &cases[i], sequence);
+		send_report (network, &cases[i], sequence);
 		if (fake_node_state_of (&network->nodes[0], &network->nodes[2]) != cases[i].state)
 			fail_msg ("%s", cases[i].what);
 	}
--- a/tests/peer/test-shares.c
+++ b/tests/peer/test-shares.c
@@ -141,7 +141,7 @@
 };
 
 static void
-test_who_shares_the_watching (void **state)
+test_which_members_watch (void **state)
 {
 	(void)state;
 	static const struct watcher_case cases[] = {
@@ -171,7 +171,7 @@
 		cmocka_unit_test (test_order_of_members_does_not_matter),
 		cmocka_unit_test (test_same_data_centre_is_preferred),
 		cmocka_unit_test (test_each_worker_is_watched_once),
-		cmocka_unit_test (test_who_shares_the_watching),
+		cmocka_unit_test (test_which_members_watch),
 	};
 	return cmocka_run_group_tests (tests, set_up, NULL);
 }
--- a/tests/peer/test-zmq-transport.c
+++ b/tests/peer/test-zmq-transport.c
@@ -87,7 +87,7 @@
 }
 
 static void
-test_both_ways (void **state)
+test_messages_both_ways (void **state)
 {
 	(void)state;
 	struct event_base *base = event_base_new ();
@@ -110,7 +110,7 @@
 /* Symptom: messages lie in ZeroMQ's queue until another one comes. Sequence: many arrive between
  * two turns of the loop. Cause: its descriptor is raised once, not once for each message. */
 static void
-test_many_at_once (void **state)
+test_many_messages_in_one_loop_turn (void **state)
 {
 	(void)state;
 	struct event_base *base = event_base_new ();
@@ -166,7 +166,7 @@
 /* Symptom: two running processes lose each other. Sequence: the instance list leaves one out for a
  * while. Cause: the list lags, and its word was taken over what is heard. */
 static void
-test_heard_peer_stays_without_the_list (void **state)
+test_active_peer_stays_when_unlisted (void **state)
 {
 	(void)state;
 	struct event_base *base = event_base_new ();
@@ -191,7 +191,7 @@
 /* Symptom: a process whose key was withdrawn goes on being heard. Sequence: it connects, its key is
  * replaced on the list, it sends. Cause: keys are checked when a connection is made, not after. */
 static void
-test_replaced_key_is_not_heard (void **state)
+test_messages_of_replaced_key_are_dropped (void **state)
 {
 	(void)state;
 	struct event_base *base = event_base_new ();
@@ -362,11 +362,11 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_both_ways),
-		cmocka_unit_test (test_many_at_once),
+		cmocka_unit_test (test_messages_both_ways),
+		cmocka_unit_test (test_many_messages_in_one_loop_turn),
 		cmocka_unit_test (test_unknown_key_is_refused_until_listed),
-		cmocka_unit_test (test_heard_peer_stays_without_the_list),
-		cmocka_unit_test (test_replaced_key_is_not_heard),
+		cmocka_unit_test (test_active_peer_stays_when_unlisted),
+		cmocka_unit_test (test_messages_of_replaced_key_are_dropped),
 		cmocka_unit_test (test_bad_settings_are_errors),
 		cmocka_unit_test (test_silent_connection_is_replaced),
 	};
