--- a/include/peer/grant.h
+++ b/include/peer/grant.h
@@ -9,12 +9,12 @@
 #include "peer/peer.h"
 
 /*
- * The holder's share-out of request slots: which member may use which slots of which worker without
- * asking. Pure: the same members and workers give the same shares in every process, so a new holder
- * hands out what the old one did. docs/decisions/grants.md.
+ * Assignment of request slots by the holder: which member may use which slots of which worker
+ * without asking the holder. The result depends on members and workers alone, so that a new holder
+ * assigns the same slots as the old one. docs/decisions/grants.md.
  */
 
-/** How many times likelier a slot goes to a member of the worker's data centre than to another. */
+/** Weight of a member in the worker's data centre; a member elsewhere has weight 1. */
 #define DFF_GRANT_SAME_DATA_CENTRE_WEIGHT 4
 
 struct dff_grant_member {
@@ -25,19 +25,19 @@
 struct dff_grant_worker {
 	struct dff_name id;
 	struct dff_name data_centre;
-	/** Slots set aside for short requests. */
+	/** Slots dedicated to short requests. */
 	int32_t slots;
 };
 
 /**
  * dff_grants_assign:
- * @workers: in any order, as are @members; may be none
+ * @workers: may be empty; the order of @workers and @members does not affect the assignment
  *
- * Gives each slot to one member by weighted rendezvous hashing. A member that joins or leaves moves
- * only the slots that become or were its own.
+ * Assigns each slot to one member by weighted rendezvous hashing. When a member joins or leaves,
+ * only slots that it gains or loses move.
  *
  * Returns: (transfer full): for each member, in the order of @members, a GArray of struct
- * dff_grant in the order of @workers; without members, an empty array.
+ * dff_grant in the order of @workers; an empty array if there are no members.
  */
 GPtrArray *dff_grants_assign (const struct dff_grant_worker *workers,
 			      size_t n_workers,
--- a/include/peer/peer.h
+++ b/include/peer/peer.h
@@ -12,16 +12,16 @@
 #include "common/metrics.h"
 
 /*
- * The system's processes among themselves: heartbeats and membership with suspicion before removal,
- * the pool file pushed on, hints and notices about jobs, sightings of workers on their way to the
- * holder, slot grants on their way from it. Messages are protobuf (peer/peer.proto); the transport
- * is behind a callback, ZeroMQ with CURVE in the daemon, memory in tests. Nothing here decides
- * anything: what has to be agreed goes through the platform's table.
+ * Messages between the processes of the system: heartbeats and membership with suspicion before
+ * removal, distribution of the pool file, hints and notices about jobs, worker reports to the
+ * holder and slot grants from the holder. Messages are protobuf (peer/peer.proto). The transport is
+ * a callback: ZeroMQ with CURVE in the daemon, memory in tests. This module makes no decisions:
+ * agreement between processes goes through the platform's table.
  */
 
-/** Sends one message to a member; lost messages are normal. */
+/** Sends one message to a member. Messages may be lost. */
 struct dff_peer_transport {
-	/** @member: its instance entry. Borrowed data. */
+	/** @member: instance list entry of the receiver. All arguments are borrowed. */
 	void (*send) (void *ctx,
 		      const struct dff_instance *member,
 		      const uint8_t *data,
@@ -31,29 +31,30 @@
 
 enum dff_member_state {
 	DFF_MEMBER_ALIVE,
-	DFF_MEMBER_SUSPECT, /**< Silent; still counted until confirmed or refuted. */
+	DFF_MEMBER_SUSPECT, /**< No heartbeat; counts as a member until confirmed or refuted. */
 	DFF_MEMBER_LEAVING,
 	DFF_MEMBER_DEAD,
 };
 
-/** Two bytes in a heartbeat. Of 16,383 restarts one draws its predecessor's number and is taken for
- * it. */
+/** Largest start id: it takes two bytes in a heartbeat. One in 16,383 restarts draws the id of its
+ * predecessor and is not recognized as a restart. */
 #define DFF_MEMBER_START_ID_MAX 16383
 
 struct dff_member {
 	struct dff_instance instance;
 	enum dff_member_state state;
 	int64_t pool_generation;
-	/** Epoch it says it holds its region's cell with; 0: none. */
+	/** Epoch with which the member holds the cell of its region, as it reports; 0: not the
+	 * holder. */
 	int64_t holder_epoch;
-	/** Drawn when it started, 1 to DFF_MEMBER_START_ID_MAX: another process of the same name
-	 * has another one; 0: not known. */
+	/** Random id drawn at the start of the process, 1 to DFF_MEMBER_START_ID_MAX; differs
+	 * after a restart under the same name; 0: not known. */
 	uint32_t start_id;
 	bool ready;
 	int64_t heartbeat_received_ms;
 };
 
-/** A share of one worker's request slots, usable until it expires. */
+/** Request slots of one worker that a member may use until the grant expires. */
 struct dff_grant {
 	struct dff_name worker;
 	int32_t slots;
@@ -62,27 +63,27 @@
 struct dff_peer;
 
 struct dff_peer_callbacks {
-	/** A pool file newer than this process's; @text is the whole file, @revision that of its
-	 * row in the table, 0: not known. */
+	/** A pool file newer than this process's was received. @text: the whole file; @revision:
+	 * that of its row in the table, 0: not known. */
 	void (*pool_received) (void *ctx,
 			       int64_t generation,
 			       int64_t revision,
 			       struct dff_str text);
-	/** Rows changed by an entry, for the holder. */
+	/** At the holder: an entry changed rows of @job. */
 	void (*job_hint) (void *ctx, const struct dff_name *job);
-	/** A job somebody asked to watch has ended. */
+	/** A job that this process watches has ended. */
 	void (*job_ended) (void *ctx, const struct dff_name *job, enum dff_outcome outcome);
-	/** A peer wants to know when a job ends. */
+	/** At the holder: @watcher asks to be notified when @job ends. */
 	void (*job_watch) (void *ctx, const struct dff_name *watcher, const struct dff_name *job);
-	/** A watcher's report, for the holder. */
+	/** A watcher's report on a worker was received. */
 	void (*worker_report) (void *ctx, const struct dff_worker_report *report);
-	/** This process's grants were replaced as a whole. */
+	/** All grants of this process were replaced or renewed. */
 	void (*grants_received) (void *ctx,
 				 int64_t epoch,
 				 const struct dff_grant *grants,
 				 size_t n_grants,
 				 int32_t valid_ms);
-	/** Membership of this process's region changed. */
+	/** The members of this process's region, or their states, changed. */
 	void (*members_changed) (void *ctx);
 	void *ctx;
 };
@@ -95,10 +96,10 @@
 	struct dff_peer_transport transport;
 	struct dff_peer_callbacks callbacks;
 	uint64_t seed;
-	int32_t heartbeat_ms; /**< Interval of heartbeats to each direct peer. */
-	int32_t suspect_ms;   /**< Silent this long: suspect. */
-	int32_t dead_ms;      /**< Suspect this long: dead. */
-	int32_t fanout; /**< Everybody hears everybody up to this many others; beyond, a sample. */
+	int32_t heartbeat_ms; /**< Interval of heartbeats to each target. */
+	int32_t suspect_ms;   /**< Time without a heartbeat until suspect. */
+	int32_t dead_ms;      /**< Time as a suspect until dead. */
+	int32_t fanout;       /**< With up to this many peers, all get heartbeats; else a sample. */
 };
 
 void dff_peer_options_init (struct dff_peer_options *options);
@@ -111,51 +112,51 @@
 
 void dff_peer_tick (struct dff_peer *peer);
 
-/** Takes one message in from the transport. Malformed ones are counted and dropped. */
+/** Handles one message from the transport. Malformed messages are counted and dropped. */
 void dff_peer_receive (struct dff_peer *peer, const uint8_t *data, size_t len);
 
-/** Takes the instance list in: entries with role DFF_INSTANCE_ENTRY are the possible members. */
+/** Sets the instance list. Entries with role DFF_INSTANCE_ENTRY are the possible members. */
 void dff_peer_set_instances (struct dff_peer *peer,
 			     const struct dff_instance *instances,
 			     size_t n_instances);
 
-/** Tells the state that heartbeats carry. */
+/** Sets the state of this process that heartbeats carry. */
 void dff_peer_set_state (struct dff_peer *peer, bool ready, bool leaving, int64_t holder_epoch);
 
-/** Sets the pool in force here; it is offered to peers that are behind, with the @revision of its
- * row in the table, 0: not known. @text is copied. */
+/** Sets the pool file in force in this process, which peers with an older one can request.
+ * @revision: that of its row in the table, 0: not known. @text is copied. */
 void dff_peer_set_pool (struct dff_peer *peer,
 			int64_t generation,
 			int64_t revision,
 			struct dff_str text);
 
-/** Returns: elements: struct dff_member, self included, ordered by name; valid until the next call.
- */
+/** Returns: all members, this process included, ordered by name; elements: struct dff_member. Valid
+ * until the next call. */
 const GArray *dff_peer_members (const struct dff_peer *peer);
 
-/** Returns: what this process drew when it started, as its members entry has it. */
+/** Returns: start_id of this process. */
 uint32_t dff_peer_start_id (const struct dff_peer *peer);
 
-/** Returns: (nullable): the member of this region that says it is holder with the highest epoch. */
+/** Returns: (nullable): the member of this region that reports the highest holder epoch. */
 const struct dff_member *dff_peer_holder (const struct dff_peer *peer);
 
-/** Sends a hint to the holder; delivered locally when this process is it. */
+/** Sends a hint to the holder, or delivers it locally if this process is the holder. */
 void dff_peer_send_job_hint (struct dff_peer *peer, const struct dff_name *job);
 
-/** Asks the holder to tell this process when @job ends. */
+/** Asks the holder to notify this process when @job ends. */
 void dff_peer_send_job_watch (struct dff_peer *peer, const struct dff_name *job);
 
-/** Tells @watcher that @job has ended. */
+/** Notifies @watcher that @job has ended. */
 void dff_peer_send_job_ended (struct dff_peer *peer,
 			      const struct dff_name *watcher,
 			      const struct dff_name *job,
 			      enum dff_outcome outcome);
 
-/** Sends a report to the holder; one that says leaving also, without reports, to every member of
- * the region. */
+/** Sends a worker report to the holder. If the worker is leaving, also sends it, without the task
+ * reports, to all members of the region. */
 void dff_peer_send_worker_report (struct dff_peer *peer, const struct dff_worker_report *report);
 
-/** Holder: replaces the grants of @member, or renews them where they are as sent before. */
+/** At the holder: replaces the grants of @member, or renews them if they are unchanged. */
 void dff_peer_send_grants (struct dff_peer *peer,
 			   const struct dff_name *member,
 			   int64_t epoch,
--- a/include/peer/watch_assignment.h
+++ b/include/peer/watch_assignment.h
@@ -7,10 +7,10 @@
 #include "common/str.h"
 
 /*
- * Which workers of its region a process watches: renews their tasks' leases, learns what changed
- * and passes it to the holder. Pure, with no message: every process computes the same shares from
- * the same members. While members are seen differently a worker may be watched twice or, for as
- * long as its watcher's death goes unnoticed, not at all. docs/decisions/watch-sharing.md.
+ * Which workers of its region a process watches. A watcher renews the leases of the workers' tasks
+ * and reports changes to the holder. Every process computes the assignment from the members alone,
+ * without messages. While processes disagree about the members, a worker may be watched twice or,
+ * until the death of its watcher is detected, not at all. docs/decisions/watch-sharing.md.
  */
 
 /**
@@ -19,19 +19,20 @@
  * @region: this process's region
  * @out: elements: struct dff_name
  *
- * Appends those who share the watching: members of @region that are alive or silent but not yet
- * taken for dead. One that is leaving hands its workers over at once.
+ * Appends the members that watch workers: those of @region that are alive or suspect. The workers
+ * of a member that is leaving are reassigned at once.
  */
 void dff_watch_collect_members (const GArray *members, const struct dff_name *region, GArray *out);
 
 /**
  * dff_watch_assign:
  * @self: this process
- * @members: as dff_watch_collect_members() gives them
+ * @members: as collected by dff_watch_collect_members()
  * @workers: workers of the region, in any order
  * @out: elements: guint, indexes into @workers
  *
- * Appends the workers that @self watches. A member that joins or leaves moves only its own share.
+ * Appends the workers that @self watches. When a member joins or leaves, only workers that it gains
+ * or loses move.
  */
 void dff_watch_assign (const struct dff_name *self,
 		       const struct dff_name *members,
@@ -42,13 +43,14 @@
 
 /**
  * dff_watch_interval_ms:
- * @n_workers: size of this process's share
- * @least_ms: the interval that is set
- * @lease_ms: of tasks
+ * @n_workers: number of workers that this process watches
+ * @least_ms: configured interval
+ * @lease_ms: duration of the tasks' leases
  *
- * Interval of renewals that keeps a large share's traffic bounded: five renewals a second, as far
- * as a quarter of the lease allows. As a renewal waits for something to report, changes travel as
- * fast; what takes longer is to notice that a worker has gone silent.
+ * Returns: renewal interval that limits the traffic of a process with many workers to five renewals
+ * per second, but at most a quarter of the lease. Changes are reported as fast as with a short
+ * interval, because a renewal waits for something to report; only the detection of a silent worker
+ * takes longer.
  */
 int32_t dff_watch_interval_ms (size_t n_workers, int32_t least_ms, int32_t lease_ms);
 
--- a/include/peer/zmq_transport.h
+++ b/include/peer/zmq_transport.h
@@ -9,10 +9,10 @@
 #include "peer/peer.h"
 
 /*
- * The peer transport over ZeroMQ with CURVE: one ROUTER socket bound, one DEALER for each member
- * that something is sent to. A peer whose public key is not in the instance list is refused at the
- * handshake. Queues are bounded and what does not fit is dropped. ZeroMQ moves bytes on a thread of
- * its own; all of this module runs on the loop's thread.
+ * The peer transport over ZeroMQ with CURVE: one bound ROUTER socket, and one DEALER socket for
+ * each member that messages are sent to. A peer whose public key is not in the instance list is
+ * refused at the handshake. Queues are bounded; messages that do not fit are dropped. ZeroMQ does
+ * its I/O on a thread of its own; this module runs on the thread of the event loop.
  */
 
 struct dff_zmq_transport;
@@ -33,13 +33,13 @@
 struct dff_zmq_transport_options {
 	struct event_base *base;
 	struct dff_metrics *metrics;
-	/** "IP:PORT" to bind; port 0: any free one. */
+	/** "IP:PORT" to bind; port 0: any free port. */
 	struct dff_name listen;
 	/** base64url without padding, 43 characters each. */
 	struct dff_name public_key;
 	struct dff_name secret_key;
-	/** Interval of probes on each connection, and how long an answer may take, before the
-	 * connection counts as silent and is replaced, ms; 0: the defaults, 3000 and 2000. */
+	/** Interval of probes on each connection, ms; 0: the default, 3000. A connection is
+	 * replaced when a probe is not answered within probe_timeout_ms; 0: the default, 2000. */
 	int32_t probe_interval_ms;
 	int32_t probe_timeout_ms;
 	dff_peer_receive_func receive;
@@ -53,20 +53,20 @@
 
 DFF_DEFINE_CLEANUP (dff_zmq_transport, dff_zmq_transport_free);
 
-/** Returns: the interface that dff_peer_options takes. */
+/** Returns: the interface for dff_peer_options. */
 struct dff_peer_transport dff_zmq_transport_interface (struct dff_zmq_transport *transport);
 
-/** Returns: "IP:PORT" that the transport is bound to, with the port that was chosen. */
+/** Returns: the bound "IP:PORT" with the actual port. */
 struct dff_name dff_zmq_transport_endpoint (const struct dff_zmq_transport *transport);
 
-/** Replaces the set of known peers: connections to others are closed, their keys refused and their
- * messages dropped. The list lags, so one that is still heard stays a peer until it is silent for
- * 20 to 40 s. */
+/** Replaces the set of known peers. For other processes connections are closed, keys refused and
+ * messages dropped. As the list lags, an unlisted peer stays known until no message has come from
+ * it for 20 to 40 s. */
 void dff_zmq_transport_set_instances (struct dff_zmq_transport *transport,
 				      const struct dff_instance *instances,
 				      size_t n_instances);
 
-/** Writes a new CURVE key pair, base64url without padding. */
+/** Generates a CURVE key pair, base64url without padding. */
 void dff_zmq_keypair (struct dff_name *public_key, struct dff_name *secret_key);
 
 #endif
--- a/peer/grant.c
+++ b/peer/grant.c
@@ -4,8 +4,8 @@
 
 #include "common/rendezvous.h"
 
-/* Weighted rendezvous hashing: with u uniform in (0, 1), the member with the highest
- * -weight / ln(u) is chosen with a chance in proportion to its weight. */
+/* Weighted rendezvous hashing: with u uniform in (0, 1), the probability that a member has the
+ * highest -weight / ln(u) is proportional to its weight. */
 static double
 score (const struct dff_grant_worker *worker, int32_t slot, const struct dff_grant_member *member)
 {
@@ -30,7 +30,7 @@
 	for (size_t i = 0; i < n_members; i++) {
 		double own = score (worker, slot, &members[i]);
 		bool wins = own > best;
-		/* The order of members must not matter, not even for a tie. */
+		/* A tie is broken by name, so that the order of members does not matter. */
 		if (own == best)
 			wins = dff_name_compare (&members[i].id, &members[owner].id) < 0;
 		if (!wins)
--- a/peer/grant_digest.c
+++ b/peer/grant_digest.c
@@ -4,10 +4,10 @@
 
 #include "common/digest.h"
 
-/* A changed set is sent whole this often in a row, so that one lost message costs one round. */
+/* The first messages of a changed set are full, so that one lost message costs one round. */
 #define FULL_AT_FIRST 2
-/* After that every third time. With a round each 2 s a member that lost them all has its set again
- * after 6 s, before the 10 s are over for which grants are valid. */
+/* After that, every third message has the full set. With a round every 2 s, a member that lost the
+ * first full sets gets the set within 6 s, before the grants expire after 10 s. */
 #define FULL_EVERY 3
 
 struct sent_set {
--- a/peer/member_table.c
+++ b/peer/member_table.c
@@ -94,9 +94,9 @@
 	return place;
 }
 
-/* Suspects are passed over: when many members are lost at once, their neighbours on the ring would
- * be lost with them, and each group of dead ones would have to be removed before the next could be
- * judged. One never heard of counts, or nobody would send to anybody at the start. */
+/* Suspects are skipped when neighbours on the ring are counted: when many members fail at once, so
+ * do their neighbours, and each group of dead members would have to be removed before the next
+ * could be evaluated. A member without any heartbeat counts, or none would send at the start. */
 static bool
 counts_on_ring (const struct dff_member_entry *entry)
 {
--- a/peer/member_table.h
+++ b/peer/member_table.h
@@ -8,39 +8,39 @@
 #include "common/cleanup.h"
 #include "peer/message.h"
 
-/* The table of members, self included, and the hash ring over those not known to be dead. */
+/* The table of members, this process included, and the hash ring of those that are not dead. */
 
 struct dff_member_entry {
 	struct dff_instance instance;
-	/** The newest that is known of it. */
+	/** Newest report on the member. */
 	struct dff_member_report known;
-	/** Whether the instance list has it. */
+	/** The instance list contains the member. */
 	bool listed;
-	/** Whether this process judges its silence. */
+	/** This process evaluates the member's heartbeats. */
 	bool observed;
-	/** Last sign of life, direct or passed on. */
+	/** Arrival of the last heartbeat, direct or relayed by a peer. */
 	int64_t heartbeat_received_ms;
-	/** Last heartbeat from itself; INT64_MIN / 2: none. */
+	/** Arrival of the last direct heartbeat; DFF_TIME_NEVER: none. */
 	int64_t direct_received_ms;
-	/** Its clock in that heartbeat. */
+	/** The member's clock in that heartbeat. */
 	int64_t heartbeat_sent_ms;
-	/** When known.life changed. */
+	/** When known.liveness changed. */
 	int64_t liveness_since_ms;
-	/** Last correction sent to it. */
+	/** When the last correction was sent to the member. */
 	int64_t corrected_ms;
-	/** Heartbeats that are still to carry its state. */
+	/** Number of further heartbeats that carry the member's changed state. */
 	int32_t relays_left;
 	/** Place on the hash ring. */
 	uint64_t position;
 };
 
-/** A time before every time, far enough from the limits to be subtracted from. */
+/** Earlier than any time; differences with it do not overflow. */
 #define DFF_TIME_NEVER (INT64_MIN / 2)
 
 struct dff_member_table {
 	/** Ordered by name; elements: struct dff_member_entry *. */
 	GPtrArray *entries;
-	/** Entries not known to be dead, ordered by position. Borrowed. */
+	/** Entries that are not dead, ordered by position. Borrowed. */
 	GPtrArray *ring;
 	struct dff_member_entry *self;
 };
@@ -55,7 +55,7 @@
 struct dff_member_entry *dff_member_table_find (const struct dff_member_table *table,
 						const struct dff_name *id);
 
-/** Adds an entry that is not there yet. It has never been heard of: suspect since @now_ms. */
+/** Adds an entry that is not in the table yet, without a heartbeat: suspect since @now_ms. */
 struct dff_member_entry *dff_member_table_add (struct dff_member_table *table,
 					       const struct dff_instance *instance,
 					       int64_t now_ms);
@@ -65,11 +65,11 @@
 
 /**
  * dff_member_table_arrange:
- * @n_observers: how many successors judge a member; at least the number of others: everybody does
+ * @n_observers: number of successors that observe a member; with at least the number of peers, all
+ * members observe each other
  *
- * Orders the ring anew and sets which entries self observes: the nearest predecessors, and the
- * suspects between them. One that it begins to observe counts
- * as heard @now_ms, so that it has its full time to be heard.
+ * Rebuilds the ring and sets which entries this process observes: the nearest predecessors and the
+ * suspects between them. Heartbeats of an entry that it starts to observe time out from @now_ms on.
  */
 void dff_member_table_arrange (struct dff_member_table *table, int32_t n_observers, int64_t now_ms);
 
@@ -77,9 +77,10 @@
  * dff_member_table_targets:
  * @out: elements: struct dff_member_entry *
  *
- * Appends whom self sends to where not everybody sends to everybody: the successors on the ring
- * that observe it, and as many at half, a quarter, an eighth ... of the ring's length. From one to
- * any other it takes few steps, and as many send to a member as it sends to. Suspects are left out.
+ * Appends the targets of this process's heartbeats if members do not all send to each other: the
+ * successors on the ring that observe it, and as many at half, a quarter, an eighth ... of the
+ * ring's length. So a state reaches any member in few steps, and a member receives as many
+ * heartbeats as it sends. Suspects are left out.
  */
 void dff_member_table_targets (const struct dff_member_table *table,
 			       int32_t n_observers,
--- a/peer/membership.c
+++ b/peer/membership.c
@@ -3,11 +3,11 @@
 #include "common/log.h"
 #include "peer/membership_internal.h"
 
-/** A change is carried by this many heartbeats for each doubling of the members. */
+/** A change is relayed in this many heartbeats per doubling of the number of members. */
 #define RELAYS_PER_DOUBLING 3
 
-/** Members that this process does not observe and that have left the list are dropped when nothing
- * was heard of them for this many times the time that observers take. */
+/** A member that is not observed here and not listed is dead after this many times the detection
+ * time of its observers without a heartbeat. */
 #define UNOBSERVED_TIMEOUT_FACTOR 4
 
 static int64_t
@@ -73,8 +73,8 @@
 		*membership->n_suspected += 1;
 	if (liveness == DFF_LIVENESS_DEAD) {
 		*membership->n_died += 1;
-		/* Few members judge it; the others learn of it step by step, and a step should not
-		 * take a whole interval. */
+		/* Few members observe each member and the state is relayed in several steps, none
+		 * of which should wait for the next regular heartbeat. */
 		if (dff_membership_is_sampled (membership))
 			membership->announce = true;
 	}
@@ -84,7 +84,7 @@
 	dff_membership_relay (membership, entry);
 	dff_membership_mark_changed (membership, entry);
 	static const char *const names[] = {"alive", "suspect", "dead"};
-	dff_log (DFF_LOG_PEER, DFF_LOG_INFO, "Member changed. member=%s state=%s",
+	dff_log (DFF_LOG_PEER, DFF_LOG_INFO, "Member liveness changed. member=%s state=%s",
 		 entry->instance.id.data, names[liveness]);
 }
 
@@ -152,9 +152,8 @@
 	}
 }
 
-/* While this process did not run, it could hear nobody. Symptom: after a pause it takes every other
- * member for silent, though their heartbeats wait in its sockets. The time in which it did not run
- * is not counted as silence of others. */
+/* Excludes pauses of this process from the time without heartbeats: after a pause, the heartbeats
+ * of all peers are still unread in its sockets, and it would suspect every peer. */
 static void
 exclude_own_pause (struct dff_membership *membership, int64_t now_ms)
 {
--- a/peer/membership_merge.c
+++ b/peer/membership_merge.c
@@ -2,7 +2,7 @@
 
 #include "common/log.h"
 
-/* What others say about members, in order of (incarnation, sequence). */
+/* Merging of reports on members; (incarnation, sequence) orders them. */
 
 static bool
 report_is_newer (const struct dff_member_report *a, const struct dff_member_report *b)
@@ -27,7 +27,7 @@
 	bool relay = known->incarnation != report->incarnation ||
 		     known->leaving != report->leaving ||
 		     known->holder_epoch != report->holder_epoch;
-	/* Until a new holder is known everywhere in its region, notices to it wait. */
+	/* Processes queue their notices until they know the new holder. */
 	if (known->holder_epoch < report->holder_epoch && dff_membership_is_sampled (membership))
 		membership->announce = true;
 	bool differs = relay || known->ready != report->ready;
@@ -44,11 +44,11 @@
 		dff_membership_mark_changed (membership, entry);
 }
 
-/* A process that was restarted with its old name begins at incarnation 1 again: it has no disk to
- * remember the last one, and clocks of two machines cannot be compared. Symptom: its heartbeats are
- * older than what the others know and are dropped, so that it stays dead for them. The others tell
- * it what they know of it, and it goes on from there. The same way a paused process that was taken
- * for dead learns of it. */
+/* A process that restarts under the same name begins at incarnation 1 again: it has no disk to
+ * store the last one, and clocks of two machines cannot be compared. Its peers would drop its
+ * heartbeats as outdated and it would stay dead. So they send it their last report on it, and it
+ * continues with a higher incarnation. A process that was declared dead during a pause does the
+ * same. */
 static void
 raise_incarnation (struct dff_membership *membership, const struct dff_member_report *report)
 {
@@ -57,8 +57,8 @@
 	self->sequence = MAX (self->sequence, report->sequence);
 	membership->announce = true;
 	*membership->n_refuted += 1;
-	dff_log (DFF_LOG_PEER, DFF_LOG_INFO, "Incarnation raised. incarnation=%" G_GUINT64_FORMAT,
-		 self->incarnation);
+	dff_log (DFF_LOG_PEER, DFF_LOG_INFO,
+		 "Own incarnation raised. incarnation=%" G_GUINT64_FORMAT, self->incarnation);
 }
 
 static void
@@ -71,8 +71,8 @@
 	bool reported_failed = report->liveness != DFF_LIVENESS_ALIVE;
 	if (from_earlier_run || (reported_failed && report->incarnation == self->incarnation))
 		raise_incarnation (membership, report);
-	/* Also one that accuses an incarnation that is over is answered: it has not heard of the
-	 * refutation, and would go on to take this process for dead. */
+	/* A peer that reports an earlier incarnation as failed is answered too: it missed the
+	 * refutation and would go on to treat this process as dead. */
 	if (from_earlier_run || reported_failed) {
 		self->sequence++;
 		dff_membership_send_heartbeat (membership, sender);
@@ -86,8 +86,8 @@
 {
 	if (!report_is_newer (report, &entry->known))
 		return;
-	/* Only the member itself can end its death, by a higher incarnation: a sign of liveness
-	 * that was long on its way must not bring back one that is gone. */
+	/* A dead member becomes alive only by a higher incarnation, which it raises itself: a
+	 * delayed report must not revive a dead member. */
 	bool same_incarnation = report->incarnation == entry->known.incarnation;
 	if (entry->known.liveness == DFF_LIVENESS_DEAD && same_incarnation)
 		return;
@@ -103,10 +103,10 @@
 	return now_ms - entry->direct_received_ms <= membership->options.suspect_ms;
 }
 
-/* Whether this process has a sign of liveness from so much later that the accuser's judgement says
- * nothing about it. A heartbeat or two that the accuser lost are no contradiction: it judged after
- * a longer silence. How late a sign of liveness was when it came here cannot be told from its
- * arrival, so the member's own count of heartbeats decides. */
+/* Returns: whether the known heartbeat is so much newer than the failure report that the report is
+ * outdated. A few heartbeats that the reporting peer lost do not contradict it, as it waited longer
+ * than that. The member's sequence is compared, not the time of arrival, which does not show how
+ * long a heartbeat was delayed. */
 static bool
 contradicts (const struct dff_membership *membership,
 	     const struct dff_member_report *known,
@@ -126,8 +126,8 @@
 	const struct dff_member_report *known = &entry->known;
 	if (report->incarnation < known->incarnation || known->incarnation == 0)
 		return;
-	/* The accuser does not hear a member that this process does hear: a cut between those two,
-	 * or messages lost. The member is told, so that it can refute towards everybody. */
+	/* This process receives heartbeats of the member, but the reporting peer does not: lost
+	 * messages or a network cut. The member gets the report, to refute it to all members. */
 	if (received_recently (membership, entry)) {
 		dff_membership_correct (membership, entry, report);
 		return;
@@ -137,7 +137,7 @@
 		return;
 	if (contradicts (membership, known, report))
 		liveness = DFF_LIVENESS_SUSPECT;
-	/* A later incarnation ran after whatever this process holds it for. */
+	/* A later incarnation supersedes the known liveness. */
 	bool known_is_outdated = report->incarnation > known->incarnation;
 	if (report_is_newer (report, known))
 		adopt_values (membership, entry, report);
@@ -178,7 +178,7 @@
 	entry->heartbeat_sent_ms = heartbeat->sent_ms;
 	adopt_values (membership, entry, report);
 	dff_membership_set_liveness (membership, entry, DFF_LIVENESS_ALIVE);
-	/* It lives, but others still hold it for dead in this incarnation. */
+	/* The member is alive, but peers may still report this incarnation as failed. */
 	if (before.liveness != DFF_LIVENESS_ALIVE && before.incarnation == report->incarnation)
 		dff_membership_correct (membership, entry, &before);
 }
--- a/peer/membership_send.c
+++ b/peer/membership_send.c
@@ -1,19 +1,19 @@
 #include "peer/membership_internal.h"
 
-/* Heartbeats: when, to whom, and which states of peers they carry. */
+/* Heartbeats: their times, their targets, and the states of peers that they carry. */
 
-/** Changed states in one heartbeat, at the most; one more is sent though nothing changed. */
+/** Most changed states in one heartbeat. It carries one more state, changed or not. */
 #define CHANGES_PER_HEARTBEAT 7
 
-/** Beyond the fanout, the fanout divided by this is the number of observers of a member; it sends
- * to as many peers besides. */
+/** With more peers than the fanout, a member has fanout divided by this observers, and sends to as
+ * many further members. */
 #define OBSERVERS_DIVISOR 3
 
-/** Least time between announcements, and between corrections to one member, ms. */
+/** Minimum time between announcements, and between corrections to one member, ms. */
 #define ANNOUNCE_INTERVAL_MS 100
 #define CORRECT_INTERVAL_MS 100
 
-/** Heartbeat intervals vary by this share, in percent, so that processes do not send in step. */
+/** Jitter of the heartbeat interval, percent, so that processes do not send in lockstep. */
 #define JITTER_PERCENT 10
 
 static int64_t
@@ -58,7 +58,7 @@
 	membership->options.send (membership->options.ctx, &entry->instance, &heartbeat);
 }
 
-/* The entry whose change has been carried least often so far, among those not chosen yet. */
+/* Returns: (nullable): the entry not chosen yet whose change was relayed least often. */
 static struct dff_member_entry *
 next_to_relay (const struct dff_membership *membership, const GPtrArray *chosen)
 {
@@ -82,8 +82,8 @@
 	return entry != membership->table->self && entry->known.incarnation > 0;
 }
 
-/* States of members in turn, changed or not: what was lost on the way is told again, and a member
- * that this process cannot hear, but peers can, is known to live. */
+/* Adds the state of the next member in turn, changed or not: it makes up for lost messages, and
+ * keeps a member alive at peers that do not receive its heartbeats directly. */
 static void
 choose_refresh (struct dff_membership *membership, GPtrArray *chosen)
 {
@@ -136,9 +136,9 @@
 		g_ptr_array_add (targets, entry);
 }
 
-/* The holder dates grants by what it hears from each member of its region. How long ago that was
- * does not matter, so a new holder hears from each at once and then in turns: it must not hear from
- * more members than peers do. */
+/* The holder dates grants by the last heartbeat of each member of its region, whose age does not
+ * matter. So each member sends to a new holder at once and then only in turns, as the holder must
+ * not receive more heartbeats than other members. */
 static void
 add_holder (struct dff_membership *membership, GPtrArray *targets)
 {
@@ -155,7 +155,7 @@
 		add_target (membership, targets, &holder->id);
 }
 
-/* One dead member in turn: the two sides of a cut that has healed find each other by it. */
+/* Adds the next dead member in turn, so that two partitions merge when a network cut heals. */
 static void
 add_dead (struct dff_membership *membership, GPtrArray *targets)
 {
@@ -192,8 +192,8 @@
 	}
 }
 
-/* Whether to ask it is this process's part: as an observer, or because those who are did not come
- * to a judgement in their time. */
+/* Returns: whether this process probes the suspect: as its observer, or because its observers did
+ * not decide within the detection time. */
 static bool
 should_probe (const struct dff_membership *membership, const struct dff_member_entry *entry)
 {
@@ -204,9 +204,9 @@
 	return entry->observed || now_of (membership) - entry->liveness_since_ms > detection_ms;
 }
 
-/* A suspect is asked itself before it counts as dead. It may well run and send to peers: members
- * that see the ring differently for a moment do not agree on who observes whom. A process that is
- * cut off from most peers asks all of them for as long as they are suspect. */
+/* Probes suspects before they count as dead. A suspect may be running and sending to other members:
+ * as long as members' views of the ring differ, they disagree on who observes whom. A process that
+ * is cut off from most peers probes all of them while they are suspect. */
 static void
 probe_suspects (struct dff_membership *membership)
 {
--- a/peer/message.h
+++ b/peer/message.h
@@ -12,41 +12,41 @@
 
 /* Messages between processes as typed structs; the wire format is peer/peer.proto. */
 
-/** Longest message that is taken in, in bytes: a pool file of 1 MiB and its frame. */
+/** Longest accepted message, bytes: a pool file of 1 MiB and its envelope. */
 #define DFF_MESSAGE_MAX_BYTES ((1 << 20) + 1024)
 
-/** States of other members in one heartbeat, at the most. */
+/** Most states of other members in one heartbeat. */
 #define DFF_HEARTBEAT_PEERS_MAX 16
 
-/** Grants or task reports in one message, at the most. */
+/** Most grants or task reports in one message. */
 #define DFF_MESSAGE_ELEMENTS_MAX 8192
 
-/** Whether a member is taken to run. Values are those of the wire. */
+/** Whether a member is assumed to run. The values are those on the wire. */
 enum dff_liveness {
 	DFF_LIVENESS_ALIVE,
 	DFF_LIVENESS_SUSPECT,
 	DFF_LIVENESS_DEAD,
 };
 
-/** What a process says about one member, itself included. (incarnation, sequence) orders them. */
+/** A process's report on a member or on itself. (incarnation, sequence) orders the reports. */
 struct dff_member_report {
 	struct dff_name id;
-	/** Raised by the member alone, to refute that it is dead; 0: never heard of. */
+	/** Raised by the member alone, to refute that it is dead; 0: no heartbeat yet. */
 	uint64_t incarnation;
-	/** Heartbeats that the member has sent in this incarnation or an earlier one. */
+	/** Number of heartbeats that the member has sent in this and earlier incarnations. */
 	uint64_t sequence;
 	enum dff_liveness liveness;
 	bool leaving;
 	bool ready;
 	int64_t pool_generation;
 	int64_t holder_epoch;
-	/** Drawn by the member when it started; 0: not known. */
+	/** As dff_member.start_id; 0: not known. */
 	uint32_t start_id;
 };
 
 struct dff_heartbeat {
 	struct dff_member_report self;
-	/** The sender's monotonic clock. */
+	/** Time on the sender's monotonic clock. */
 	int64_t sent_ms;
 	const struct dff_member_report *peers;
 	size_t n_peers;
@@ -54,7 +54,7 @@
 
 struct dff_pool_file {
 	int64_t generation;
-	/** Of the table's row; 0: not known. */
+	/** Revision of the row in the table; 0: not known. */
 	int64_t revision;
 	struct dff_str text;
 };
@@ -69,13 +69,13 @@
 	/** Orders the sets of one holder. */
 	uint64_t sequence;
 	int32_t valid_ms;
-	/** The receiver's own clock, as in the last heartbeat that the holder has from it. */
+	/** Time on the receiver's clock in the last heartbeat that the holder received from it. */
 	int64_t heartbeat_sent_ms;
-	/** Time from that heartbeat's arrival to this set's sending. */
+	/** Age of that heartbeat at the holder when this set was sent. */
 	int64_t heartbeat_age_ms;
 	const struct dff_grant *grants;
 	size_t n_grants;
-	/** No grants: the set that the receiver has goes on if it has @digest. */
+	/** The message has no grants: the receiver's current set is renewed if it has @digest. */
 	bool is_renewal;
 	struct dff_grant_digest digest;
 };
@@ -96,7 +96,7 @@
 	enum dff_message_kind kind;
 	union {
 		struct dff_heartbeat heartbeat;
-		/** Generation that is asked for, at least. */
+		/** Oldest acceptable generation. */
 		int64_t pool_request;
 		struct dff_pool_file pool_file;
 		/** Job of a hint or watch. */
@@ -105,18 +105,18 @@
 		struct dff_worker_report worker_report;
 		struct dff_grant_set grants;
 	};
-	/** Decoded messages: owns what the members above point to. */
+	/** In decoded messages: memory that the members above point to. */
 	gpointer elements;
 	gpointer envelope;
 };
 
-/** Returns: (transfer full): the message on the wire. */
+/** Returns: (transfer full): the encoded message. */
 GByteArray *dff_message_encode (const struct dff_message *message);
 
 /**
  * dff_message_decode:
  *
- * Reads a message from outside: every name, number and count is checked.
+ * Decodes a message from another process. All names, numbers and counts are checked.
  *
  * Returns: (transfer full) (nullable): NULL when it is malformed.
  */
--- a/peer/message_decode.c
+++ b/peer/message_decode.c
@@ -28,8 +28,8 @@
 		return false;
 	if (wire->life < DFF__PEER__LIFE__ALIVE || wire->life > DFF__PEER__LIFE__DEAD)
 		return false;
-	/* The largest value could not be exceeded any more: the member it names could never refute
-	 * that it is dead. */
+	/* With the largest incarnation a member could never refute that it is dead, as there is no
+	 * higher one. */
 	if (wire->incarnation == UINT64_MAX || wire->pool_generation < 0 || wire->holder_epoch < 0)
 		return false;
 	report->incarnation = wire->incarnation;
@@ -65,7 +65,7 @@
 	return true;
 }
 
-/* The length is bounded before anything is allocated: a few bytes can claim to become gigabytes. */
+/* Checks the length before the allocation: a message of a few bytes can claim gigabytes. */
 static bool
 decode_deflated_pool_file (const Dff__Peer__PoolFile *wire, struct dff_message *message)
 {
--- a/peer/notices.h
+++ b/peer/notices.h
@@ -6,9 +6,9 @@
 #include "peer/message.h"
 
 /*
- * Notices for the holder of the region's cell: hints, watches and sightings. While no holder is
- * known they are held, a bounded number for a bounded time, and then dropped: each has a fallback
- * (the holder reads the table, the entry reads the job's row, the next sighting follows).
+ * Notices for the holder of the region's cell: hints, watches and worker reports. While no holder
+ * is known they are queued, up to a limited number and time, and then dropped. Each has a fallback:
+ * the holder scans the table, the entry reads the job's row, the next worker report follows.
  */
 
 struct dff_peer;
@@ -23,7 +23,7 @@
 /** Sends a notice to the holder, which may be this process. */
 void dff_notices_send (struct dff_peer *peer, struct dff_message *message);
 
-/** Sends what was held once a holder is known; drops what was held too long. */
+/** Sends the queued notices once a holder is known; drops expired ones. */
 void dff_notices_tick (struct dff_peer *peer);
 
 #endif
--- a/peer/peer.c
+++ b/peer/peer.c
@@ -40,7 +40,8 @@
 	message->sender = peer->options.self.id;
 	g_autoptr (GByteArray) bytes = dff_message_encode (message);
 	if (bytes->len > DFF_MESSAGE_MAX_BYTES) {
-		dff_log (DFF_LOG_PEER, DFF_LOG_ERROR, "Message too long. bytes=%u", bytes->len);
+		dff_log (DFF_LOG_PEER, DFF_LOG_ERROR, "Message not sent: too long. bytes=%u",
+			 bytes->len);
 		return;
 	}
 	*peer->n_sent += 1;
@@ -133,10 +134,10 @@
 	dff_notices_tick (peer);
 }
 
-/* How long a grant set is still good for, by this process's own clock. The holder counts from its
- * sending, this process sees its arrival; a set that was long on its way would outlive the holder's
- * count, and two processes would use the same slots. So the time runs from this process's last
- * heartbeat that the holder had heard when it sent the set: no clock is compared with another. */
+/* Returns: remaining validity of a grant set on this process's clock. The holder counts from
+ * sending. If this process counted from arrival, a delayed set would outlive the holder's count and
+ * two processes would use the same slots. So the time runs from this process's last heartbeat that
+ * the holder had received, plus the age of that heartbeat at sending; no clocks are compared. */
 static int64_t
 remaining_ms (const struct dff_peer *peer, const struct dff_grant_set *set)
 {
@@ -158,9 +159,9 @@
 	return set->epoch > peer->grants_epoch || set->sequence > peer->grants_sequence;
 }
 
-/* A set that was lost must not be taken for the one before it, or two processes would use the same
- * slots: a renewal of another set than the one kept renews nothing, and leaves the sequence as it
- * is for the whole set that is to come. */
+/* Returns: whether the renewal is for a set other than the current one, because the new set was
+ * lost. To renew the current set would let two processes use the same slots. The sequence stays as
+ * it is, for the full set that follows. */
 static bool
 renews_other_set (const struct dff_peer *peer, const struct dff_grant_set *set)
 {
@@ -320,10 +321,10 @@
 	dff_notices_send (peer, &message);
 }
 
-/* Every process sends requests to the workers of its grants. Symptom: a leaving worker still gets
- * new requests while the cell has no holder. Cause: only the holder was told, and it alone takes
- * the worker out of the grants. So all members are told, without the reports, which are the
- * holder's. */
+/* Sends the report to all members of the region, because each sends requests to the workers of its
+ * grants. If only the holder, which removes the worker from the grants, received it, a leaving
+ * worker would get new requests while the cell has no holder. Task reports are for the holder
+ * alone. */
 static void
 announce_leaving (struct dff_peer *peer, const struct dff_worker_report *report)
 {
@@ -392,7 +393,7 @@
 	}
 	const struct dff_instance *instance = dff_membership_find (peer->membership, member);
 	struct dff_last_heartbeat last = dff_membership_last_heartbeat (peer->membership, member);
-	/* Never heard: the receiver could not tell how old the grants are. */
+	/* Without a heartbeat the receiver could not determine the age of the grants. */
 	if (instance == NULL || last.sent_ms == 0)
 		return;
 	set->heartbeat_sent_ms = last.sent_ms;
--- a/peer/peer_internal.h
+++ b/peer/peer_internal.h
@@ -8,19 +8,19 @@
 #include "peer/peer.h"
 #include "peer/pool_push.h"
 
-/* Shared by the files of this directory that send and take in messages. */
+/* Shared by the files of this directory that send and handle messages. */
 
 struct dff_peer {
 	struct dff_peer_options options;
 	struct dff_membership *membership;
 	struct dff_pool_push pool_push;
 	struct dff_notices notices;
-	/** What dff_peer_members() last returned. */
+	/** Result of the last dff_peer_members(). */
 	GArray *members;
-	/** Orders the grant sets that this process sends. */
+	/** Sequence of the last grant set that this process sent. */
 	uint64_t grants_sequence_sent;
 	struct dff_grants_sent grants_sent;
-	/** Newest grant set taken in. */
+	/** Epoch and sequence of the newest applied grant set. */
 	int64_t grants_epoch;
 	uint64_t grants_sequence;
 	struct dff_grants_current grants_current;
@@ -35,15 +35,15 @@
 	int64_t *n_received_bytes;
 };
 
-/** Returns: this process's monotonic milliseconds. */
+/** Returns: monotonic time of this process, ms. */
 int64_t dff_peer_now_ms (const struct dff_peer *peer);
 
-/** Sends @message, whose sender is filled in, to @member. */
+/** Sets the sender of @message and sends it to @member. */
 void dff_peer_send (struct dff_peer *peer,
 		    const struct dff_instance *member,
 		    struct dff_message *message);
 
-/** Hands a message to the callbacks of this process. */
+/** Handles a message in this process. */
 void dff_peer_deliver (struct dff_peer *peer, const struct dff_message *message);
 
 /** Returns: whether @id is this process. */
--- a/peer/pool_push.c
+++ b/peer/pool_push.c
@@ -3,14 +3,14 @@
 #include "common/log.h"
 #include "peer/peer_internal.h"
 
-/** Time after which another process is asked, ms. */
+/** Time without a file until the next request, ms. */
 #define REQUEST_INTERVAL_MS 200
 
-/** Asks for one generation at that interval; after them it is asked for slowly. */
+/** Number of requests for one generation at that interval; later ones use the slow interval. */
 #define FAST_REQUESTS 15
 #define REQUEST_INTERVAL_SLOW_MS 2000
 
-/** Time after which a file that this process did not put in force is asked for again, ms. */
+/** Time until a file that this process rejected is requested again, ms. */
 #define REFUSED_INTERVAL_MS 5000
 
 void
@@ -25,8 +25,8 @@
 		   int64_t revision,
 		   struct dff_str text)
 {
-	/* An older file may arrive late, or be read from a store that answers from the past.
-	 * Symptom: an accepted configuration reverts. */
+	/* An older file, delayed or read from a store that returns stale data, must not revert an
+	 * accepted configuration. */
 	if (generation <= push->generation)
 		return false;
 	dff_pool_push_clear (push);
@@ -91,10 +91,9 @@
 	callbacks->pool_received (callbacks->ctx, file->generation, file->revision, file->text);
 	if (push->generation >= file->generation)
 		return;
-	/* This process cannot use the file (a newer program wrote it, say). It goes on saying that
-	 * it is behind, and asks again slowly. */
+	/* This process rejected the file, for example one for a newer version. It still reports its
+	 * old generation and requests the file again at a slow rate. */
 	push->next_request_ms = dff_peer_now_ms (peer) + REFUSED_INTERVAL_MS;
 	dff_log (DFF_LOG_PEER, DFF_LOG_WARNING,
-		 "Pool file from a peer not put in force. generation=%" G_GINT64_FORMAT,
-		 file->generation);
+		 "Pool file from a peer rejected. generation=%" G_GINT64_FORMAT, file->generation);
 }
--- a/peer/pool_push.h
+++ b/peer/pool_push.h
@@ -9,20 +9,20 @@
 #include "peer/message.h"
 
 /*
- * The pool file on its way to every process. A process that puts a generation in force announces it
- * with a heartbeat at once; one that is behind asks one of those that have it, and asks another
- * when no file comes. No process sends the file unasked: with nine processes each would get it
- * eight times.
+ * Distribution of the pool file. A process that applies a new generation announces it with a
+ * heartbeat at once. A process with an older generation requests the file from one that has it, and
+ * from another one if no file comes. No process sends the file without a request: with nine
+ * processes, each would receive it eight times.
  */
 
 struct dff_peer;
 
 struct dff_pool_push {
-	/** In force here; 0: none. */
+	/** Generation in force in this process; 0: none. */
 	int64_t generation;
 	int64_t revision;
 	GBytes *text;
-	/** Newest generation asked for, how often, and when to ask again. */
+	/** Newest requested generation, number of requests for it, and time of the next one. */
 	int64_t requested_generation;
 	int32_t n_requests;
 	int64_t next_request_ms;
@@ -30,21 +30,20 @@
 
 void dff_pool_push_clear (struct dff_pool_push *push);
 
-/** Takes over a generation put in force. Returns: false, and nothing changes, when it is not newer.
- */
+/** Sets the generation in force. Returns: false, without a change, if it is not newer. */
 bool dff_pool_push_set (struct dff_pool_push *push,
 			int64_t generation,
 			int64_t revision,
 			struct dff_str text);
 
-/** Asks for the newest generation that is known of when this process is behind. */
+/** Requests the newest generation that a member reports, if it is newer than this process's. */
 void dff_pool_push_request (struct dff_peer *peer);
 
-/** Answers a process that asked for @generation or newer. */
+/** Answers a request for @generation or a newer one. */
 void
 dff_pool_push_answer (struct dff_peer *peer, const struct dff_name *requester, int64_t generation);
 
-/** Takes a file in and hands a newer one on. */
+/** Handles a received file; a newer one goes to the pool_received callback. */
 void dff_pool_push_receive (struct dff_peer *peer, const struct dff_pool_file *file);
 
 #endif
--- a/peer/watch_assignment.c
+++ b/peer/watch_assignment.c
@@ -4,7 +4,7 @@
 #include "peer/peer.h"
 
 #define RENEWALS_A_SECOND 5
-/** Renewals that may be lost in a row without a lease lapsing: one less than this. */
+/** One less than this many renewals in a row may be lost before a lease expires. */
 #define INTERVALS_A_LEASE 4
 
 void
--- a/peer/zmq_keys.c
+++ b/peer/zmq_keys.c
@@ -28,7 +28,7 @@
 {
 	uint8_t public_bytes[DFF_ZMQ_KEY_SIZE];
 	uint8_t secret_bytes[DFF_ZMQ_KEY_SIZE];
-	/* Curve25519, the same pair that CURVE uses. */
+	/* A Curve25519 key pair, as CURVE uses. */
 	crypto_box_keypair (public_bytes, secret_bytes);
 	*public_key = dff_zmq_key_format (public_bytes);
 	*secret_key = dff_zmq_key_format (secret_bytes);
--- a/peer/zmq_keys.h
+++ b/peer/zmq_keys.h
@@ -6,7 +6,7 @@
 
 #include "common/str.h"
 
-/* CURVE keys: 32 bytes for ZeroMQ, base64url without padding in settings and the instance list. */
+/* CURVE keys: 32 bytes in ZeroMQ, base64url without padding in settings and the instance list. */
 
 #define DFF_ZMQ_KEY_SIZE 32
 
--- a/peer/zmq_transport.c
+++ b/peer/zmq_transport.c
@@ -10,24 +10,25 @@
 #include "peer/zmq_keys.h"
 #include "peer/zmq_zap.h"
 
-/** Messages that wait in one queue at the most. */
+/** Most messages in one queue. */
 #define QUEUE_MAX 64
 
-/** Messages taken in one turn of the loop. */
+/** Most messages received in one iteration of the event loop. */
 #define RECEIVE_BATCH 256
 
 #define RECONNECT_MS 100
 #define RECONNECT_MAX_MS 2000
 #define CONNECT_TIMEOUT_MS 2000
-/** A refused peer hears nothing and tries again after this time. */
+/** A refused peer gets no answer and retries after this time. */
 #define HANDSHAKE_TIMEOUT_MS 1000
 #define PROBE_INTERVAL_MS 3000
 #define PROBE_TIMEOUT_MS 2000
 
-/** A connection that nothing was sent on for this long is closed, s. */
+/** Interval of idle checks, s. A check closes connections on which nothing was sent since the last
+ * one. */
 #define IDLE_S 20
 
-/** A peer that is not listed any more is dropped after this many such times without a message. */
+/** An unlisted peer is dropped after this many idle checks without a message from it. */
 #define SILENT_CHECKS_MAX 2
 
 struct zmq_peer {
@@ -35,9 +36,9 @@
 	uint8_t key[DFF_ZMQ_KEY_SIZE];
 	/** NULL: not connected. */
 	void *dealer;
-	/** Whether something was sent to it since the last idle check. */
+	/** A message was sent to the peer since the last idle check. */
 	bool used;
-	/** Idle checks since something came from it; SILENT_CHECKS_MAX: nothing did lately. */
+	/** Idle checks since the last message from the peer, at most SILENT_CHECKS_MAX. */
 	int32_t silent_checks;
 	bool listed;
 };
@@ -52,7 +53,7 @@
 	struct dff_zmq_zap *zap;
 	struct event *readable;
 	struct event *idle_check;
-	/** Key: the peer's id, within its value: struct zmq_peer *. */
+	/** Peer id to struct zmq_peer; the key points into the value. */
 	GHashTable *peers;
 	int64_t *n_dropped;
 	int64_t *n_reset;
@@ -93,10 +94,10 @@
 			       strlen (DFF_ZMQ_ZAP_DOMAIN)) == 0;
 }
 
-/* Something between the two ends may lose track of an open connection: nothing comes back any more,
- * and no error either. ZeroMQ's probes notice it and connect anew. The end that connects probes and
- * tells the other how long to wait for the next probe; probes from both ends would cost twice as
- * much and tell nothing more. */
+/* A middlebox may drop the state of an open connection: nothing arrives any more, and no error is
+ * reported. ZeroMQ's probes detect that and reconnect. Only the connecting end probes, and sends
+ * the other end the time to wait for the next probe. Probes from both ends would cost twice as much
+ * without detecting more. */
 static bool
 set_probe_options (const struct dff_zmq_transport *transport, void *dealer)
 {
@@ -145,7 +146,7 @@
 	g_autofree char *endpoint = g_strdup_printf ("tcp://%s", peer->instance.peer_address.data);
 	if (set_dealer_options (transport, peer) && zmq_connect (peer->dealer, endpoint) == 0)
 		return;
-	dff_log (DFF_LOG_PEER, DFF_LOG_WARNING, "Peer cannot be connected. member=%s error=\"%s\"",
+	dff_log (DFF_LOG_PEER, DFF_LOG_WARNING, "Connection to peer failed. member=%s error=\"%s\"",
 		 peer->instance.id.data, zmq_strerror (zmq_errno ()));
 	disconnect_peer (peer);
 }
@@ -170,8 +171,8 @@
 		connect_peer (transport, peer);
 	if (peer->dealer == NULL || try_send (peer->dealer, data, len))
 		return;
-	/* The queue is full of messages that nobody took. By the time that the peer takes any, they
-	 * are outdated, and they would come before the fresh ones. */
+	/* The queue is full because the peer does not receive. Its messages would be outdated when
+	 * the peer receives them, and would arrive before the new ones. */
 	*transport->n_reset += 1;
 	disconnect_peer (peer);
 	connect_peer (transport, peer);
@@ -200,7 +201,7 @@
 	return NULL;
 }
 
-/* A connection outlives its key's place on the list; its messages do not. */
+/* A connection stays open when its key is removed from the list; its messages are dropped. */
 static void
 take (struct dff_zmq_transport *transport, zmq_msg_t *payload)
 {
@@ -215,8 +216,8 @@
 				    zmq_msg_size (payload));
 }
 
-/* One message is two frames: the identity that ROUTER puts before it, and the payload. Returns:
- * false when there is none. */
+/* Receives one message of two frames: the identity that ROUTER prepends, and the payload. Returns:
+ * false when there is no message. */
 static bool
 receive_one (struct dff_zmq_transport *transport)
 {
@@ -240,9 +241,8 @@
 	return true;
 }
 
-/* ZeroMQ's descriptor tells only that something changed, once. Symptom when a turn of the loop
- * takes less than all there is: the rest lies in the queue until the next message comes. Each turn
- * takes messages until there is none, or makes itself run again. */
+/* ZeroMQ's descriptor is edge-triggered: messages that are left in the queue would stay there until
+ * the next one arrives. So this receives until the queue is empty, or schedules itself again. */
 static void
 handle_readable (evutil_socket_t fd, short what, void *ctx)
 {
@@ -310,7 +310,7 @@
 	transport->context = zmq_ctx_new ();
 	if (transport->context == NULL)
 		return false;
-	/* Before the ROUTER is bound: without a handler ZeroMQ lets every key in. */
+	/* Must precede binding of the ROUTER: without a ZAP handler ZeroMQ accepts every key. */
 	transport->zap = dff_zmq_zap_new (transport->context, transport->options.base, key_is_known,
 					  transport);
 	if (transport->zap == NULL || !bind_router (transport))
@@ -326,7 +326,7 @@
 	struct timeval interval = {.tv_sec = IDLE_S};
 	event_add (transport->idle_check, &interval);
 	event_add (transport->readable, NULL);
-	/* What came before the descriptor was watched has raised it already. */
+	/* The edge of messages that arrived before event_add() is already over. */
 	event_active (transport->readable, EV_READ, 0);
 	return true;
 }
@@ -364,7 +364,7 @@
 	}
 	if (!start (transport)) {
 		g_set_error (error, DFF_ZMQ_TRANSPORT_ERROR, DFF_ZMQ_TRANSPORT_ERROR_SOCKET,
-			     "peer socket on %s: %s", options->listen.data,
+			     "cannot open peer socket on %s: %s", options->listen.data,
 			     zmq_strerror (zmq_errno ()));
 		return NULL;
 	}
@@ -403,7 +403,7 @@
 	       dff_name_equal (&peer->instance.peer_key, &instance->peer_key);
 }
 
-/* Moves the peer of @instance from @old to @fresh, or makes a new one there. */
+/* Moves the peer of @instance from @old to @fresh, or adds a new one to @fresh. */
 static void
 keep_or_add_peer (GHashTable *old, GHashTable *fresh, const struct dff_instance *instance)
 {
@@ -423,7 +423,7 @@
 	g_hash_table_replace (fresh, &peer->instance.id, peer);
 }
 
-/* The list lags: one that is heard though the list does not name it goes on being a peer. */
+/* Keeps an unlisted peer that still sends messages, because the list lags. */
 static gboolean
 keep_active_peer (gpointer key, gpointer value, gpointer fresh)
 {
--- a/peer/zmq_zap.c
+++ b/peer/zmq_zap.c
@@ -83,18 +83,18 @@
 	const struct frame *address = &request->frames[3];
 	if (!known) {
 		dff_log (DFF_LOG_PEER, DFF_LOG_INFO,
-			 "Connection refused: unknown key. address=%.*s", (int)address->len,
+			 "Peer connection refused: unknown key. address=%.*s", (int)address->len,
 			 (const char *)address->data);
 	}
 	send_text (zap->socket, VERSION, ZMQ_SNDMORE);
 	const struct frame *id = &request->frames[1];
 	zmq_send (zap->socket, id->data, id->len, ZMQ_DONTWAIT | ZMQ_SNDMORE);
-	/* 300, come back, and not 400: the instance list lags, and the key of a process that has
-	 * just started may be known a moment later. After 400 ZeroMQ never connects again, and the
-	 * two processes would stay cut off from each other. */
+	/* 300 (temporary failure), not 400: the instance list lags, and the key of a process that
+	 * has just started may be listed a moment later. After 400 ZeroMQ never reconnects, and the
+	 * two processes would stay disconnected. */
 	send_text (zap->socket, known ? "200" : "300", ZMQ_SNDMORE);
 	send_text (zap->socket, known ? "OK" : "Unknown key", ZMQ_SNDMORE);
-	/* The user id of the connection's messages: whose they are is asked for each. */
+	/* The user id of the connection, by which the sender of each message is checked. */
 	struct dff_name key = {0};
 	if (known)
 		key = dff_zmq_key_format (request->frames[6].data);
@@ -102,7 +102,7 @@
 	send_text (zap->socket, "", 0);
 }
 
-/* The descriptor is raised once for a change, so each turn goes on until nothing is left. */
+/* The descriptor is edge-triggered, so this handles requests until none is left. */
 static void
 handle_readable (evutil_socket_t fd, short what, void *ctx)
 {
--- a/peer/zmq_zap.h
+++ b/peer/zmq_zap.h
@@ -7,18 +7,18 @@
 
 #include "common/cleanup.h"
 
-/* Answers ZeroMQ's question, for each new connection, whether its key may come in (ZAP, RFC 27). It
- * runs on the loop, in the thread of the sockets it answers for. */
+/* ZAP handler (RFC 27): authorizes the key of each new ZeroMQ connection. It runs on the event
+ * loop, in the thread of the sockets that it serves. */
 
 #define DFF_ZMQ_ZAP_DOMAIN "dragonflyfold"
 
 struct dff_zmq_zap;
 
-/** @key: 32 bytes. Returns: whether the key may come in. */
+/** @key: 32 bytes. Returns: whether the key is authorized. */
 typedef bool (*dff_zmq_zap_func) (void *ctx, const uint8_t *key);
 
-/** Returns: (nullable): NULL with zmq_errno() set. To be called before a socket of @context is
- * bound. */
+/** Must be called before a socket of @context is bound. Returns: (nullable): NULL on failure, with
+ * zmq_errno() set. */
 struct dff_zmq_zap *
 dff_zmq_zap_new (void *context, struct event_base *base, dff_zmq_zap_func is_known, void *ctx);
 
--- a/tests/peer/fake_transport.h
+++ b/tests/peer/fake_transport.h
@@ -9,21 +9,22 @@
 #include "common/metrics.h"
 #include "peer/peer.h"
 
-/* Peers of several processes in one, under a virtual clock, over a network in memory that loses,
- * delays, repeats and reorders messages and can be cut one way. All chance comes from one seed. */
+/* Peers of several simulated processes with a virtual clock and a network in memory. The network
+ * loses, delays, duplicates and reorders messages and can be cut one way. One seed determines all
+ * randomness. */
 
 struct fake_network;
 
-/** One process. */
+/** One simulated process. */
 struct fake_node {
 	struct fake_network *network;
 	struct dff_instance instance;
 	struct dff_peer *peer; /**< NULL: not running. */
 	struct dff_metrics *metrics;
 	bool paused;
-	/** Generation in force, as told by pool_received or fake_node_apply(). */
+	/** Generation in force, set by pool_received or fake_node_apply(). */
 	int64_t generation;
-	/** As told by pool_received; fake_node_apply() takes ten times the generation. */
+	/** Set by pool_received; fake_node_apply() uses ten times the generation. */
 	int64_t pool_revision;
 	bool generation_went_back;
 	int64_t members_changed;
@@ -39,7 +40,7 @@
 	int64_t grants_epoch;
 	int64_t grants_expire_ms;
 	int32_t granted_slots;
-	/** Messages that arrived while it was paused. */
+	/** Messages that arrived while the process was paused. */
 	GQueue inbox;
 };
 
@@ -50,47 +51,47 @@
 	struct fake_node *nodes;
 	int32_t n_nodes;
 	int32_t tick_ms;
-	/** Chances, in percent, of each message. */
+	/** Probability that a message is lost or duplicated, percent. */
 	int32_t loss;
 	int32_t repeat;
 	int32_t min_delay_ms;
 	int32_t max_delay_ms;
-	/** [from * n_nodes + to]: nothing gets through. */
+	/** [from * n_nodes + to]: all messages are lost. */
 	bool *cut;
-	/** Messages on their way, in order of arrival. */
+	/** Messages in flight, in order of arrival. */
 	GSequence *packets;
 	uint64_t n_packets;
 	uint64_t n_starts;
 };
 
-/** @n_data_centres: nodes are spread over them; one region. */
+/** Spreads the nodes over @n_data_centres data centres of one region. */
 struct fake_network *fake_network_new (uint64_t seed, int32_t n_nodes, int32_t n_data_centres);
 
 void fake_network_free (struct fake_network *network);
 
 DFF_DEFINE_CLEANUP (fake_network, fake_network_free);
 
-/** Starts a process that is not running, with an empty memory. */
+/** Starts a process that is not running, without any earlier state. */
 void fake_node_start (struct fake_node *node);
 
-/** Ends a process without notice. */
+/** Kills a process; its peers are not notified. */
 void fake_node_kill (struct fake_node *node);
 
-/** Lets a paused process go on: what arrived meanwhile is taken in first. */
+/** Resumes a paused process, which first handles the messages that arrived meanwhile. */
 void fake_node_resume (struct fake_node *node);
 
-/** Puts a generation in force at one process. */
+/** Applies a generation at one process. */
 void fake_node_apply (struct fake_node *node, int64_t generation);
 
-/** Gives every running process the instance list, without the nodes that @absent names by bit. */
+/** Sends all running processes the instance list without the nodes of the bit mask @absent. */
 void fake_network_list (struct fake_network *network, uint64_t absent);
 
 void fake_network_set_cut (struct fake_network *network, int32_t from, int32_t to, bool cut);
 
-/** Lets time pass. */
+/** Advances the clock by @ms. */
 void fake_network_run (struct fake_network *network, int64_t ms);
 
-/** Returns: what @node thinks of @other; DFF_MEMBER_DEAD when it has no entry of it. */
+/** Returns: state of @other at @node; DFF_MEMBER_DEAD when @node has no entry for it. */
 enum dff_member_state fake_node_state_of (struct fake_node *node, const struct fake_node *other);
 
 #endif
--- a/tests/peer/test-deflate.c
+++ b/tests/peer/test-deflate.c
@@ -13,21 +13,22 @@
 
 struct inflate_case {
 	const char *what;
-	/** Of the bytes that arrive, and which of them is damaged; -1: none. */
+	/** Number of bytes cut off at the end. */
 	int missing;
+	/** Damaged byte; 0: the first, 1: the last, -1: none. */
 	int damaged;
 	size_t claimed;
 	bool taken;
 };
 
-/* Symptom: a process puts a file in force that nobody applied, or runs out of memory. Sequence: a
- * message is damaged, cut off or made up on its way. Cause: what it claims to be was believed. */
+/* Guards against applying a wrong pool file, or running out of memory, on a message that is
+ * damaged, cut off or forged and claims another length than it has. */
 static void
 test_inflate (void **state)
 {
 	(void)state;
 	static const struct inflate_case cases[] = {
-		{"whole", 0, -1, TEXT_LEN, true},
+		{"undamaged", 0, -1, TEXT_LEN, true},
 		{"claims to be longer", 0, -1, TEXT_LEN + 1, false},
 		{"claims to be shorter", 0, -1, TEXT_LEN - 1, false},
 		{"cut off", 3, -1, TEXT_LEN, false},
--- a/tests/peer/test-grant-renewal.c
+++ b/tests/peer/test-grant-renewal.c
@@ -15,7 +15,7 @@
 #define N_WORKERS 100
 #define ROUND_MS 2000
 #define VALID_MS 10000
-/* A set of 100 workers is far longer than this, a renewal shorter. */
+/* A renewal is shorter than this, a full set of 100 workers much longer. */
 #define RENEWAL_BYTES_MAX 100
 
 static struct fake_network *
@@ -37,7 +37,7 @@
 	return *dff_metrics_counter (node->metrics, name, "");
 }
 
-/* Sends the entry @n grants of one slot and lets a round pass. Returns: bytes sent. */
+/* Sends @n grants of one slot to the entry and runs for one round. Returns: bytes sent. */
 static int64_t
 send_round (struct fake_network *network, int32_t from, int64_t epoch, size_t n)
 {
@@ -53,7 +53,7 @@
 	return bytes;
 }
 
-/* As send_round(); the message is lost. */
+/* As send_round(), but the message is lost. */
 static void
 lose_round (struct fake_network *network, size_t n)
 {
@@ -87,9 +87,8 @@
 	assert_int_equal (entry->granted_slots, N_WORKERS - 1);
 }
 
-/* Symptom: a process goes on with slots that the holder has given to another. Sequence: its set
- * changes, both whole sets are lost, the renewals of the new set arrive. Cause: a renewal was taken
- * for one of whatever set the process had. */
+/* Guards against a process that goes on using slots which the holder has granted to another: its
+ * set changes, both full sets are lost, and a renewal of the new set renews the old one. */
 static void
 test_lost_full_sets_are_resent (void **state)
 {
@@ -148,9 +147,9 @@
 	assert_int_equal (entry->grants_expire_ms, network->clock.now_ms + VALID_MS);
 }
 
-/* Symptom: a holder that was paused past its lease keeps grants alive beside the new holder's.
- * Sequence: pause, take-over, resume, renewals of the set that the process still has. Cause: only
- * whole sets were compared by epoch. */
+/* Guards against a former holder that renews grants beside the new holder: it is paused past its
+ * lease, another process takes over, it resumes and sends renewals of the current set. Renewals
+ * must be checked for the epoch as full sets are. */
 static void
 test_renewals_of_an_old_epoch_are_refused (void **state)
 {
@@ -171,9 +170,9 @@
 	assert_int_equal (entry->grants_epoch, 5);
 }
 
-/* Symptom: a process that was started anew waits for its slots. Sequence: it restarts under its
- * name within the time of a heartbeat or two, its set stays the same. Cause: the holder renewed a
- * set that only the process before it had. */
+/* Guards against a restarted process that waits for its slots: it restarts under the same name
+ * within a heartbeat or two, its set is unchanged, and the holder renews a set that only its
+ * predecessor had. */
 static void
 test_a_restarted_process_gets_its_set_at_once (void **state)
 {
--- a/tests/peer/test-membership.c
+++ b/tests/peer/test-membership.c
@@ -7,17 +7,17 @@
 
 #include "fake_transport.h"
 
-/* Membership and the pool file under faults, each over many seeds. The times are the defaults:
- * heartbeats each second, suspect after 3 s, dead 4 s later. */
+/* Membership and pool file distribution under faults, with many seeds each. The times are the
+ * defaults: a heartbeat per second, suspect after 3 s, dead 4 s later. */
 
 #define SUSPECT_MS 3000
 #define DEAD_MS 4000
 
-/** Time in which a dead member is taken for dead by every other one: an interval more than the two
- * waits, as the last sign of life may come late, by way of a third member. */
+/** Time in which all members detect a dead one: the two timeouts and one heartbeat interval, as the
+ * last heartbeat may arrive late through another member. */
 #define REMOVAL_MS (SUSPECT_MS + DEAD_MS + 1000)
 
-/** Time in which a configuration is in force on every member that can be reached. */
+/** Time in which all reachable members apply a configuration. */
 #define IN_FORCE_MS 3000
 
 #define N_SCHEDULES 2000
@@ -38,7 +38,7 @@
 	return node->peer != NULL && !node->paused;
 }
 
-/* Returns: how many pairs (a, b) of running processes have b in @state at a. */
+/* Returns: number of pairs (a, b) of running processes where b has @state at a. */
 static int32_t
 count_pairs (struct fake_network *network, enum dff_member_state state)
 {
@@ -54,7 +54,7 @@
 	return n;
 }
 
-/* Returns: how many running processes have @node in @state. */
+/* Returns: number of other running processes at which @node has @state. */
 static int32_t
 count_views (struct fake_network *network,
 	     const struct fake_node *node,
@@ -88,8 +88,8 @@
 	{2, 0, 20}, {3, 20, 50}, {9, 0, 20}, {9, 20, 100}, {40, 0, 3}, {40, 20, 8},
 };
 
-/* Symptom: a running process is treated as gone, its work is handed to others. Sequence: a fifth of
- * all messages is lost. Cause: silence taken for death without asking others and the member. */
+/* Guards against a running process that is declared dead, and its work reassigned, when a fifth of
+ * all messages is lost. Missing heartbeats alone, without peers and a probe, prove nothing. */
 static void
 test_message_loss_causes_no_false_death (void **state)
 {
@@ -107,8 +107,8 @@
 	}
 }
 
-/* Symptom: work stays with a process that is gone. Sequence: kill -9, and the instance list goes on
- * naming it. Cause: nothing but the list tells. */
+/* Guards against work that stays assigned to a dead process: it is killed with SIGKILL and the
+ * instance list still contains it. */
 static void
 test_dead_member_is_detected (void **state)
 {
@@ -141,8 +141,8 @@
 	}
 }
 
-/* Symptom: a running process vanishes for the others. Sequence: the platform's list leaves it out,
- * or has not named it yet. Cause: the list lags; a heartbeat is the better witness. */
+/* Guards against dropping a running process that the platform's list omits or does not contain yet.
+ * The list lags, so heartbeats take precedence. */
 static void
 test_heartbeat_takes_precedence_over_list (void **state)
 {
@@ -157,8 +157,8 @@
 	}
 }
 
-/* Symptom: a process that was paused stays out for good. Sequence: SIGSTOP, taken for dead,
- * SIGCONT. Cause: the others hold to its death. It learns what is said of it and refutes that. */
+/* Guards against a paused process that never rejoins: SIGSTOP, declared dead, SIGCONT. Its peers
+ * send it their report on it, so that it can refute. */
 static void
 test_paused_member_rejoins (void **state)
 {
@@ -180,8 +180,8 @@
 	}
 }
 
-/* Symptom: after a pause a process declares all others dead. Sequence: SIGSTOP for a minute,
- * SIGCONT. Cause: the time in which it did not listen counted as their silence. */
+/* Guards against a process that declares all peers dead after its own pause, SIGSTOP for a minute
+ * and SIGCONT, because the pause counts as time without heartbeats. */
 static void
 test_own_pause_does_not_time_out_peers (void **state)
 {
@@ -225,9 +225,8 @@
 		assert_int_equal (dff_peer_holder (network->nodes[i].peer)->holder_epoch, 77);
 }
 
-/* Symptom: a process that was restarted under its old name is not heard. Sequence: its heartbeats
- * begin again at incarnation 1 and the others drop them as old. Cause: it has no disk to remember
- * its incarnation by. */
+/* Guards against a restarted process whose heartbeats are dropped as outdated: it has no disk to
+ * store its incarnation and begins at 1 again under the same name. */
 static void
 test_restart_under_the_same_name (void **state)
 {
@@ -241,8 +240,8 @@
 	}
 }
 
-/* Symptom: two running processes hold each other for dead. Sequence: what one sends does not reach
- * the other, while everything else works. Cause: silence on one path taken for death. */
+/* Guards against a running process that is declared dead because its messages do not reach one
+ * peer, while all other paths work. */
 static void
 test_one_way_cut_causes_no_false_death (void **state)
 {
@@ -304,9 +303,9 @@
 	assert_int_equal (count_behind (network, 3), 0);
 }
 
-/* Symptom: two halves never find each other again. Sequence: a cut for a minute, both sides take
- * the other for dead, an operator applies a pool on one side, the cut heals. Cause: nobody sends to
- * the dead. */
+/* Guards against two partitions that never merge because no member sends to dead ones: the network
+ * is cut for a minute, each side declares the other dead, an operator applies a pool on one side,
+ * and the cut heals. */
 static void
 test_partitions_merge (void **state)
 {
@@ -338,7 +337,7 @@
 	}
 }
 
-/* What may happen in one second of a random schedule. */
+/* Draws the events of one second of a random schedule. */
 static void
 random_fault (struct fake_network *network, int64_t *generation)
 {
@@ -400,8 +399,8 @@
 	fake_network_list (network, 0);
 }
 
-/* Any faults at once, in any order: whatever came before, once the network works again everybody
- * is alive for everybody and has the newest file. */
+/* Any faults in any order: once the network works again, all members are alive at all others and
+ * have the newest pool file. */
 static void
 test_random_schedules (void **state)
 {
--- a/tests/peer/test-message.c
+++ b/tests/peer/test-message.c
@@ -167,8 +167,8 @@
 	(void)state;
 	static const struct bad_case cases[] = {
 		{"no sender", DFF_MESSAGE_JOB_HINT, no_sender},
-		{"heartbeat about another", DFF_MESSAGE_HEARTBEAT, foreign_sender},
-		{"byte that no name has", DFF_MESSAGE_JOB_WATCH, bad_byte},
+		{"heartbeat of another sender", DFF_MESSAGE_HEARTBEAT, foreign_sender},
+		{"byte not allowed in a name", DFF_MESSAGE_JOB_WATCH, bad_byte},
 		{"unknown outcome", DFF_MESSAGE_JOB_ENDED, bad_outcome},
 		{"generation 0", DFF_MESSAGE_POOL_FILE, bad_generation},
 		{"negative revision", DFF_MESSAGE_POOL_FILE, bad_revision},
@@ -177,7 +177,7 @@
 		{"negative age", DFF_MESSAGE_GRANTS, bad_age},
 		{"grants in a renewal", DFF_MESSAGE_GRANTS, grants_in_a_renewal},
 		{"negative silence", DFF_MESSAGE_WORKER_REPORT, bad_silence},
-		{"last incarnation", DFF_MESSAGE_HEARTBEAT, bad_incarnation},
+		{"largest incarnation", DFF_MESSAGE_HEARTBEAT, bad_incarnation},
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct dff_message message = {.kind = cases[i].kind};
--- a/tests/peer/test-peer.c
+++ b/tests/peer/test-peer.c
@@ -109,8 +109,8 @@
 	assert_int_equal (entry->ended_outcome, DFF_OUTCOME_COMPLETED);
 }
 
-/* Symptom: a worker that starts anew stays in the holder's tables with its old tasks. Sequence: its
- * watcher is not the holder. Cause: the peers' message left out that the reports were whole. */
+/* Guards against a restarted worker that keeps its old tasks at the holder, because the message
+ * from its watcher does not carry that the task reports are complete. */
 static void
 test_complete_report_stays_complete (void **state)
 {
@@ -125,8 +125,8 @@
 	assert_int_equal (network->nodes[0].complete_reports, 1);
 }
 
-/* Symptom: a leaving worker still gets new requests while the cell has no holder. Sequence: the
- * store is down, a worker says that it is leaving. Cause: only the holder was told. */
+/* Guards against new requests to a leaving worker while the cell has no holder, as when the store
+ * is down: all members have to receive the report, not the holder alone. */
 static void
 test_all_members_receive_a_leaving_worker (void **state)
 {
@@ -140,9 +140,9 @@
 		assert_int_equal (network->nodes[i].leaving_reports, i == 4 ? 0 : 1);
 }
 
-/* Symptom: a hint sent during a take-over is lost, and the job waits for the next reading of the
- * table. Sequence: no holder is known, an entry accepts a job, a process takes the cell. Cause: the
- * hint had nowhere to go. A bounded number is held, and dropped when no holder appears. */
+/* Guards against a hint that is lost during a takeover, so that the job waits for the next table
+ * scan: an entry accepts a job while no holder is known, then a process becomes the holder. A
+ * limited number of hints is queued, and dropped if there is no holder in time. */
 static void
 test_notices_wait_for_a_holder (void **state)
 {
@@ -185,8 +185,8 @@
 	assert_true (entry->grants_expire_ms > sent_ms + 9900);
 }
 
-/* Symptom: a new holder's grants do not reach all. Sequence: many members, a take-over, grants at
- * once. Cause: the holder has not heard from each of them and cannot date their grants. */
+/* Guards against members that get no grants right after a takeover: with many members, the new
+ * holder cannot date the grants of members that have not sent it a heartbeat. */
 static void
 test_new_holder_can_grant_to_many (void **state)
 {
@@ -203,9 +203,9 @@
 		assert_int_equal (network->nodes[i].granted_slots, 1);
 }
 
-/* Symptom: two processes use the same slots of a worker. Sequence: grants are long on their way;
- * the holder counts them as expired and grants the slots to another; then they arrive. Cause: their
- * time was counted from arrival. */
+/* Guards against two processes that use the same slots of a worker: grants are delayed, the holder
+ * counts them as expired and grants the slots to another process, then the first grants arrive and
+ * their validity is counted from arrival. */
 static void
 test_late_grants_are_not_used (void **state)
 {
@@ -222,8 +222,8 @@
 	assert_int_equal (entry->grant_sets, 0);
 }
 
-/* Symptom: a holder that was paused past its lease hands out slots that the new holder hands out
- * too. Sequence: pause, take-over, resume, send. Cause: the set carries an epoch that is over. */
+/* Guards against slots that are granted twice by an old and a new holder: the old one is paused
+ * past its lease, another takes over, the old one resumes and sends grants with its old epoch. */
 static void
 test_grants_of_an_old_epoch_are_refused (void **state)
 {
--- a/tests/peer/test-reports.c
+++ b/tests/peer/test-reports.c
@@ -8,39 +8,41 @@
 #include "fake_transport.h"
 #include "peer/message.h"
 
-/* What entry-0 makes of what entry-1 says about entry-2. */
+/* State of entry-2 at entry-0 after a report of entry-1 on entry-2. */
 
-/** Longer than entry-2 has sent heartbeats for. */
+/** More heartbeats than entry-2 has sent. */
 #define MUCH_LATER 1000
 
 struct report_case {
 	const char *what;
-	/** Time that entry-2 has been silent for when the report comes, ms; 0: it runs. */
+	/** Time since entry-2 was paused when the report arrives, ms; 0: entry-2 runs. */
 	int64_t silent_ms;
 	int32_t incarnation;
-	/** Added to the number of heartbeats that entry-0 knows of. */
+	/** Sequence in the report, relative to the heartbeats that entry-0 has received. */
 	int32_t later;
 	enum dff_liveness liveness;
 	enum dff_member_state state;
 };
 
 static const struct report_case cases[] = {
-	{"accused, but heard here", 0, 1, 0, DFF_LIVENESS_DEAD, DFF_MEMBER_ALIVE},
-	{"suspected, but heard here", 0, 1, 5, DFF_LIVENESS_SUSPECT, DFF_MEMBER_ALIVE},
-	{"accused by one that never heard it", 5000, 0, 0, DFF_LIVENESS_DEAD, DFF_MEMBER_SUSPECT},
+	{"reported dead, but heartbeats received", 0, 1, 0, DFF_LIVENESS_DEAD, DFF_MEMBER_ALIVE},
+	{"suspected, but heartbeats received", 0, 1, 5, DFF_LIVENESS_SUSPECT, DFF_MEMBER_ALIVE},
+	{"reported dead by one without a heartbeat", 5000, 0, 0, DFF_LIVENESS_DEAD,
+	 DFF_MEMBER_SUSPECT},
 	{"silent, and still suspect", 5000, 1, -2, DFF_LIVENESS_ALIVE, DFF_MEMBER_SUSPECT},
-	{"silent here, heard elsewhere", 5000, 1, 3, DFF_LIVENESS_ALIVE, DFF_MEMBER_ALIVE},
-	{"silent here, and dead elsewhere", 5000, 1, 0, DFF_LIVENESS_DEAD, DFF_MEMBER_DEAD},
-	{"dead for one that lost two heartbeats", 5000, 1, -2, DFF_LIVENESS_DEAD, DFF_MEMBER_DEAD},
-	{"dead for one that lost many", 5000, 1, -5, DFF_LIVENESS_DEAD, DFF_MEMBER_SUSPECT},
-	{"dead, a late sign of life", 9000, 1, MUCH_LATER, DFF_LIVENESS_ALIVE, DFF_MEMBER_DEAD},
+	{"silent, alive at a peer", 5000, 1, 3, DFF_LIVENESS_ALIVE, DFF_MEMBER_ALIVE},
+	{"silent, dead at a peer", 5000, 1, 0, DFF_LIVENESS_DEAD, DFF_MEMBER_DEAD},
+	{"dead at a peer that lost two heartbeats", 5000, 1, -2, DFF_LIVENESS_DEAD,
+	 DFF_MEMBER_DEAD},
+	{"dead at a peer that lost many", 5000, 1, -5, DFF_LIVENESS_DEAD, DFF_MEMBER_SUSPECT},
+	{"dead, a delayed heartbeat", 9000, 1, MUCH_LATER, DFF_LIVENESS_ALIVE, DFF_MEMBER_DEAD},
 	{"dead, refuted", 9000, 2, 1, DFF_LIVENESS_ALIVE, DFF_MEMBER_ALIVE},
 	{"dead, suspect in a later incarnation", 9000, 2, 1, DFF_LIVENESS_SUSPECT,
 	 DFF_MEMBER_SUSPECT},
 };
 
-/* Heartbeats that the others have from entry-2: one a second, and one when it was asked to start.
- */
+/* Heartbeats that each peer has received from entry-2: one a second, and one in answer to a probe
+ * at its start. */
 static uint64_t
 heartbeats_of (struct fake_node *node)
 {
--- a/tests/peer/test-zmq-transport.c
+++ b/tests/peer/test-zmq-transport.c
@@ -11,8 +11,8 @@
 
 #include "peer/zmq_transport.h"
 
-/* Real sockets on loopback. Tests wait on events only; the test's own time limit ends one that
- * would wait for ever. */
+/* Real sockets on loopback. Tests wait for events without a timeout; the time limit of the test
+ * program ends a test that hangs. */
 
 struct end {
 	struct dff_zmq_transport *transport;
@@ -107,8 +107,9 @@
 	event_base_free (base);
 }
 
-/* Symptom: messages lie in ZeroMQ's queue until another one comes. Sequence: many arrive between
- * two turns of the loop. Cause: its descriptor is raised once, not once for each message. */
+/* Guards against messages that stay in ZeroMQ's queue until another one arrives: many arrive
+ * between two iterations of the event loop, and the descriptor is raised once, not once per
+ * message. */
 static void
 test_many_messages_in_one_loop_turn (void **state)
 {
@@ -138,9 +139,8 @@
 	event_base_free (base);
 }
 
-/* Symptom: a process that has just started is never heard by another. Sequence: it connects before
- * its key is on the list that the other one has read; it is refused; the list catches up. Cause: a
- * refusal that ZeroMQ takes for final. */
+/* Guards against a new process that can never connect to a peer: it connects before its key is in
+ * the peer's copy of the list, is refused, and ZeroMQ treats the refusal as final. */
 static void
 test_unknown_key_is_refused_until_listed (void **state)
 {
@@ -163,8 +163,8 @@
 	event_base_free (base);
 }
 
-/* Symptom: two running processes lose each other. Sequence: the instance list leaves one out for a
- * while. Cause: the list lags, and its word was taken over what is heard. */
+/* Guards against dropping a running peer that the lagging instance list omits for a while although
+ * its messages arrive. */
 static void
 test_active_peer_stays_when_unlisted (void **state)
 {
@@ -188,8 +188,8 @@
 	event_base_free (base);
 }
 
-/* Symptom: a process whose key was withdrawn goes on being heard. Sequence: it connects, its key is
- * replaced on the list, it sends. Cause: keys are checked when a connection is made, not after. */
+/* Guards against accepting messages of a process whose key was replaced in the list after it
+ * connected: ZeroMQ checks keys only at the handshake. */
 static void
 test_messages_of_replaced_key_are_dropped (void **state)
 {
@@ -289,7 +289,7 @@
 	}
 }
 
-/* Returns: the address it listens on. */
+/* Returns: the address that the middlebox listens on. */
 static struct dff_name
 middlebox_open (struct middlebox *box, struct event_base *base, const struct dff_name *server)
 {
@@ -325,9 +325,8 @@
 	}
 }
 
-/* Symptom: one process never hears another again though both run. Sequence: something between them
- * loses track of their connection; bytes vanish, no end is told; new connections work. Cause: the
- * connection was kept because no error came. */
+/* Guards against a dead connection that is kept because no error is reported: a middlebox loses its
+ * state, so that bytes are dropped without notice, while new connections work. */
 static void
 test_silent_connection_is_replaced (void **state)
 {
