--- a/peer/zmq_zap.c
+++ b/peer/zmq_zap.c
@@ -60,7 +60,7 @@
 }
 
 static bool
-may_come_in (const struct dff_zmq_zap *zap, const struct zap_request *request)
+is_authorized (const struct dff_zmq_zap *zap, const struct zap_request *request)
 {
 	const struct frame *frames = request->frames;
 	if (request->n_frames != REQUEST_FRAMES || !frame_is (&frames[0], VERSION))
@@ -79,22 +79,22 @@
 static void
 answer (const struct dff_zmq_zap *zap, const struct zap_request *request)
 {
-	bool known = may_come_in (zap, request);
+	bool known = is_authorized (zap, request);
 	const struct frame *address = &request->frames[3];
 	if (!known) {
 		dff_log (DFF_LOG_PEER, DFF_LOG_INFO,
-			 "Connection refused: unknown key. address=%.*s", (int)address->len,
+			 "Peer connection refused: unknown key. address=%.*s", (int)address->len,
 			 (const char *)address->data);
 	}
 	send_text (zap->socket, VERSION, ZMQ_SNDMORE);
 	const struct frame *id = &request->frames[1];
 	zmq_send (zap->socket, id->data, id->len, ZMQ_DONTWAIT | ZMQ_SNDMORE);
-	/* 300, come back, and not 400: the instance list lags, and the key of a process that has
-	 * just started may be known a moment later. After 400 ZeroMQ never connects again, and the
-	 * two processes would stay cut off from each other. */
+	/* 300 (temporary failure), not 400: the instance list lags, and the key of a process that
+	 * has just started may be listed a moment later. After 400 ZeroMQ never reconnects, and the
+	 * two processes would stay disconnected. */
 	send_text (zap->socket, known ? "200" : "300", ZMQ_SNDMORE);
 	send_text (zap->socket, known ? "OK" : "Unknown key", ZMQ_SNDMORE);
-	/* The user id of the connection's messages: whose they are is asked for each. */
+	/* The user id of the connection, by which the sender of each message is checked. */
 	struct dff_name key = {0};
 	if (known)
 		key = dff_zmq_key_format (request->frames[6].data);
@@ -102,9 +102,9 @@
 	send_text (zap->socket, "", 0);
 }
 
-/* The descriptor is raised once for a change, so each turn goes on until nothing is left. */
+/* The descriptor is edge-triggered, so this handles requests until none is left. */
 static void
-on_readable (evutil_socket_t fd, short what, void *ctx)
+handle_readable (evutil_socket_t fd, short what, void *ctx)
 {
 	(void)fd;
 	(void)what;
@@ -127,7 +127,7 @@
 	    zmq_bind (zap->socket, ENDPOINT) != 0 ||
 	    zmq_getsockopt (zap->socket, ZMQ_FD, &fd, &size) != 0)
 		return false;
-	zap->readable = event_new (base, fd, EV_READ | EV_PERSIST, on_readable, zap);
+	zap->readable = event_new (base, fd, EV_READ | EV_PERSIST, handle_readable, zap);
 	event_add (zap->readable, NULL);
 	event_active (zap->readable, EV_READ, 0);
 	return true;
--- a/record/resolve.c
+++ b/record/resolve.c
@@ -19,34 +19,35 @@
 }
 
 static void
-note_success (struct dff_recorder *recorder)
+handle_success (struct dff_recorder *recorder)
 {
 	if (recorder->breaker.state != DFF_BREAKER_CLOSED)
 		dff_log (DFF_LOG_RECORD, DFF_LOG_INFO, "Table answers again.");
-	dff_breaker_succeed (&recorder->breaker);
+	dff_breaker_add_success (&recorder->breaker);
 	recorder->n_successes++;
 }
 
 static void
-note_failure (struct dff_recorder *recorder)
+handle_failure (struct dff_recorder *recorder)
 {
 	bool was_closed = recorder->breaker.state == DFF_BREAKER_CLOSED;
-	if (!dff_breaker_fail (&recorder->breaker, dff_recorder_now_ms (recorder)) || !was_closed)
+	if (!dff_breaker_add_failure (&recorder->breaker, dff_recorder_now_ms (recorder)) ||
+	    !was_closed)
 		return;
 	(*recorder->counters.breaker_opened)++;
 	dff_log (DFF_LOG_RECORD, DFF_LOG_WARNING,
 		 "Table fails, breaker opened. waiting=%u unresolved=%u", recorder->waiting.length,
 		 recorder->groups->len);
-	/* The answer "not recorded" is already true: kept back until the give-up time, it would
-	 * only keep callers from coming back later. */
+	/* Units still in the queue are known not to be committed. To report that only at their
+	 * timeout would delay the callers' retries. */
 	dff_recorder_refuse_waiting (recorder);
 }
 
-/* Takes the group off the keys; its units are the caller's. */
+/* Removes the group and unlocks its keys. The caller takes over its units. */
 static void
 end_group (struct dff_recorder *recorder, struct dff_record_group *group)
 {
-	dff_recorder_forget_calls (recorder, group);
+	dff_recorder_detach_calls (recorder, group);
 	g_ptr_array_remove (recorder->groups, group);
 	for (guint i = 0; i < group->units->len; i++) {
 		struct dff_record_unit *unit = group->units->pdata[i];
@@ -67,7 +68,7 @@
 	dff_record_group_free (group);
 }
 
-/* The group is proven not written and never will be. */
+/* Queues the units of a group that is proven not written and cannot take effect later. */
 static void
 requeue_group (struct dff_recorder *recorder, struct dff_record_group *group)
 {
@@ -77,24 +78,25 @@
 	dff_record_group_free (group);
 }
 
-/* A unit that the table refuses for good (too large for it, say) would take the others of its group
- * down with it, again and again, and trip the breaker for everybody. Symptom: nothing is recorded
- * any more although the table works. A unit refused twice, with something else taken in between,
- * is sent by itself from then on, at growing intervals, and does not count for the breaker. */
+/* If the table refuses a unit permanently, for example because it is too large, the unit would fail
+ * its group on each attempt and open the breaker: nothing would be recorded although the table
+ * works. So a unit that was refused twice, with another call accepted in between, is sent in a
+ * transaction of its own, with backoff, and its refusals do not count for the breaker. */
 static void
-note_refusal (struct dff_recorder *recorder, struct dff_record_unit *unit)
+count_refusal (struct dff_recorder *recorder, struct dff_record_unit *unit)
 {
 	bool was_suspect = unit->refusals >= DFF_RECORD_SUSPECT_REFUSALS;
-	bool took_others = unit->refusals == 0 || unit->refused_at != recorder->n_successes;
-	if (!took_others && !was_suspect)
+	bool accepted_others =
+		unit->refusals == 0 || unit->successes_at_refusal != recorder->n_successes;
+	if (!accepted_others && !was_suspect)
 		return;
 	unit->refusals++;
-	unit->refused_at = recorder->n_successes;
+	unit->successes_at_refusal = recorder->n_successes;
 	if (unit->refusals < DFF_RECORD_SUSPECT_REFUSALS)
 		return;
 	int32_t backoff_ms = doubled_ms (REFUSED_BACKOFF_FIRST_MS, REFUSED_BACKOFF_MAX_MS,
 					 unit->refusals - DFF_RECORD_SUSPECT_REFUSALS);
-	unit->alone = true;
+	unit->ungrouped = true;
 	unit->not_before_ms =
 		dff_recorder_now_ms (recorder) + dff_jitter_ms (recorder->rand, backoff_ms);
 }
@@ -103,7 +105,7 @@
 refuse_group (struct dff_recorder *recorder, struct dff_record_group *group)
 {
 	for (guint i = 0; i < group->units->len; i++)
-		note_refusal (recorder, group->units->pdata[i]);
+		count_refusal (recorder, group->units->pdata[i]);
 	requeue_group (recorder, group);
 }
 
@@ -117,7 +119,7 @@
 }
 
 static void
-become_uncertain (struct dff_recorder *recorder, struct dff_record_group *group)
+mark_uncertain (struct dff_recorder *recorder, struct dff_record_group *group)
 {
 	int32_t backoff_ms =
 		doubled_ms (LOOKUP_BACKOFF_FIRST_MS, LOOKUP_BACKOFF_MAX_MS, group->lookups);
@@ -127,11 +129,11 @@
 	group->due_ms = dff_recorder_now_ms (recorder) + dff_jitter_ms (recorder->rand, backoff_ms);
 }
 
-/* One failed condition fails the whole transaction. Which one is found by a single read: halving
- * the group again and again would cost two commits for each unit when all of them fail, as they do
- * for a holder that has lost its epoch. */
+/* One failed condition fails the whole transaction. A single read finds the failed conditions.
+ * Bisecting the group instead would cost two commits per unit if all units fail, as they do for a
+ * holder whose epoch is over. */
 static void
-take_conflict (struct dff_recorder *recorder, struct dff_record_group *group, int64_t revision)
+handle_conflict (struct dff_recorder *recorder, struct dff_record_group *group, int64_t revision)
 {
 	if (group->units->len == 1) {
 		finish_group (recorder, group, DFF_RECORD_CONFLICT, revision);
@@ -142,7 +144,7 @@
 }
 
 static void
-take_commit_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
+handle_commit_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
 {
 	struct dff_record_group *group = call->group;
 	switch (call->outcome) {
@@ -150,25 +152,25 @@
 		finish_group (recorder, group, DFF_RECORD_COMMITTED, call->revision);
 		break;
 	case DFF_TABLE_CONFLICT:
-		/* After a lookup, the conflict may be the lookup's refusal of the write id, and no
-		 * condition may have failed. Symptom: a writer is told of a race that never was. */
+		/* After a lookup the conflict may be with the write id that the lookup barred. To
+		 * report it would claim a failed condition although none failed. */
 		if (group->lookups > 0)
 			requeue_group (recorder, group);
 		else
-			take_conflict (recorder, group, call->revision);
+			handle_conflict (recorder, group, call->revision);
 		break;
 	case DFF_TABLE_UNAVAILABLE:
 		refuse_group (recorder, group);
 		break;
 	case DFF_TABLE_UNCERTAIN:
 		if (group->state == DFF_GROUP_SENT)
-			become_uncertain (recorder, group);
+			mark_uncertain (recorder, group);
 		break;
 	}
 }
 
 static void
-take_lookup_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
+handle_lookup_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
 {
 	struct dff_record_group *group = call->group;
 	switch (call->outcome) {
@@ -183,13 +185,13 @@
 	case DFF_TABLE_UNAVAILABLE:
 	case DFF_TABLE_UNCERTAIN:
 		if (group->state == DFF_GROUP_LOOKUP)
-			become_uncertain (recorder, group);
+			mark_uncertain (recorder, group);
 		break;
 	}
 }
 
 static bool
-any_conflicts (const struct dff_record_group *group)
+has_conflict (const struct dff_record_group *group)
 {
 	for (guint i = 0; i < group->units->len; i++) {
 		const struct dff_record_unit *unit = group->units->pdata[i];
@@ -199,22 +201,22 @@
 	return false;
 }
 
-/* A unit whose condition fails by the read is not written and ends here; the others go again. When
- * the row has changed back in between, none fails: they go one by one, so that the next conflict
- * names its unit. */
+/* Units whose condition fails according to the read end with a conflict; the others are requeued.
+ * If no condition fails, as the row has changed back meanwhile, each unit is sent in a transaction
+ * of its own, so that the next conflict belongs to one unit. */
 static void
-take_read_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
+handle_read_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
 {
 	struct dff_record_group *group = call->group;
 	if (call->outcome != DFF_TABLE_OK) {
 		requeue_group (recorder, group);
 		return;
 	}
-	bool one_by_one = !any_conflicts (group);
+	bool one_by_one = !has_conflict (group);
 	end_group (recorder, group);
 	for (guint i = 0; i < group->units->len; i++) {
 		struct dff_record_unit *unit = group->units->pdata[i];
-		unit->alone = one_by_one;
+		unit->ungrouped = one_by_one;
 		if (unit->conflicts)
 			dff_recorder_finish (recorder, unit, DFF_RECORD_CONFLICT, call->revision);
 		else
@@ -234,23 +236,23 @@
 }
 
 static void
-take_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
+handle_answer (struct dff_recorder *recorder, const struct dff_record_call *call)
 {
 	if (call->outcome == DFF_TABLE_OK || call->outcome == DFF_TABLE_CONFLICT)
-		note_success (recorder);
+		handle_success (recorder);
 	else if (counts_as_failure (call))
-		note_failure (recorder);
+		handle_failure (recorder);
 	if (call->group == NULL)
 		return;
 	switch (call->kind) {
 	case DFF_RECORD_CALL_COMMIT:
-		take_commit_answer (recorder, call);
+		handle_commit_answer (recorder, call);
 		break;
 	case DFF_RECORD_CALL_LOOKUP:
-		take_lookup_answer (recorder, call);
+		handle_lookup_answer (recorder, call);
 		break;
 	case DFF_RECORD_CALL_READ:
-		take_read_answer (recorder, call);
+		handle_read_answer (recorder, call);
 		break;
 	case DFF_RECORD_CALL_PROBE:
 		break;
@@ -258,11 +260,11 @@
 }
 
 void
-dff_recorder_take_answers (struct dff_recorder *recorder)
+dff_recorder_handle_answers (struct dff_recorder *recorder)
 {
 	struct dff_record_call *call;
 	while ((call = g_queue_pop_head (&recorder->answers)) != NULL) {
-		take_answer (recorder, call);
+		handle_answer (recorder, call);
 		g_hash_table_remove (recorder->calls, call);
 	}
 }
@@ -270,12 +272,13 @@
 static void
 time_out (struct dff_recorder *recorder, struct dff_record_group *group)
 {
-	note_failure (recorder);
-	/* A conflict was answered, so that nothing is written whatever the read would say. */
+	handle_failure (recorder);
+	/* The commit was answered with a conflict, so nothing was written and the read is not
+	 * needed to requeue. */
 	if (group->state == DFF_GROUP_READING)
 		requeue_group (recorder, group);
 	else
-		become_uncertain (recorder, group);
+		mark_uncertain (recorder, group);
 }
 
 void
@@ -288,7 +291,7 @@
 			time_out (recorder, group);
 	}
 	if (recorder->breaker.state == DFF_BREAKER_HALF_OPEN && now_ms >= recorder->probe_due_ms)
-		note_failure (recorder);
+		handle_failure (recorder);
 }
 
 void
@@ -313,7 +316,7 @@
 dff_recorder_probe (struct dff_recorder *recorder)
 {
 	int64_t now_ms = dff_recorder_now_ms (recorder);
-	if (!dff_budget_has (&recorder->budget, now_ms) ||
+	if (!dff_budget_is_available (&recorder->budget, now_ms) ||
 	    !dff_breaker_begin_probe (&recorder->breaker, now_ms))
 		return;
 	dff_budget_take (&recorder->budget, now_ms);
