--- a/tests/compat/jobs.c
+++ b/tests/compat/jobs.c
@@ -194,13 +194,13 @@
 	struct dff_holder holder = {.epoch = 41,
 				    .least_takeover_ms = 120,
 				    .n_relays = 3,
-				    .former_until_ms = 5000,
-				    .earlier_until_ms = 7000};
+				    .former_renewals_end_ms = 5000,
+				    .earlier_renewals_end_ms = 7000};
 	holder.options.instance = dff_name_from ("node-1.x7");
 	holder.options.probe_address = dff_name_from ("10.0.0.1:8081");
 	holder.options.takeover_ms = 350;
 	holder.options.relay_address = dff_name_from ("10.0.0.1:9000");
-	holder.store_ahead_ms = record == 0 ? 1000000 : HOLDER_CLOCK_UNKNOWN;
+	holder.store_clock_offset_ms = record == 0 ? 1000000 : HOLDER_CLOCK_UNKNOWN;
 	return lease_encode (&holder, 17, record == 1);
 }
 
--- a/tests/compat/rows.c
+++ b/tests/compat/rows.c
@@ -193,7 +193,7 @@
 {
 	struct dff_lease_rows rows = {0};
 	struct dff_table_row row = {.value = bytes, .revision = 5};
-	dff_lease_rows_take (&rows, record < 2 ? &row : NULL, record == 2 ? &row : NULL, 1000);
+	dff_lease_rows_apply (&rows, record < 2 ? &row : NULL, record == 2 ? &row : NULL, 1000);
 	assert_true (rows.known);
 	assert_false (rows.malformed);
 	assert_int_equal (rows.is_free, record != 0);
@@ -201,7 +201,7 @@
 	assert_int_equal (rows.counter, record < 2 ? 17 : 0);
 	assert_int_equal (rows.epoch_revision, record == 2 ? 5 : 0);
 	assert_int_equal (rows.epoch, record == 2 ? 41 : 0);
-	assert_int_equal (rows.seen_ms, 1000);
+	assert_int_equal (rows.first_seen_ms, 1000);
 }
 
 #define POOL_TEXT "{\n\"racks\": [], \"note\": \"\xc3\xa9\"\n}\n"
