--- a/backing/http_instance_list.c
+++ b/backing/http_instance_list.c
@@ -15,7 +15,7 @@
 
 /* Returns: (nullable): array of struct dff_instance; NULL when @body is not a list. */
 static GArray *
-read_instances (struct dff_str body)
+parse_instances (struct dff_str body)
 {
 	json_t *root = json_loadb (body.data, body.len, 0, NULL);
 	const json_t *array = json_object_get (root, "instances");
@@ -35,7 +35,7 @@
 }
 
 static void
-keep_list (struct dff_http_instance_list *list, GArray *instances, const char *tag)
+cache_list (struct dff_http_instance_list *list, GArray *instances, const char *tag)
 {
 	g_clear_pointer (&list->instances, g_array_unref);
 	g_clear_pointer (&list->tag, g_free);
@@ -45,15 +45,15 @@
 
 /* Returns: (nullable): the list that @response stands for. */
 static GArray *
-take_response (struct dff_http_instance_list *list, const struct dff_http_response *response)
+list_from_response (struct dff_http_instance_list *list, const struct dff_http_response *response)
 {
 	if (response->outcome != DFF_HTTP_ANSWERED)
 		return NULL;
 	if (response->status == HTTP_NOTMODIFIED && list->instances != NULL)
 		return g_array_ref (list->instances);
-	GArray *instances = response->status == HTTP_OK ? read_instances (response->body) : NULL;
+	GArray *instances = response->status == HTTP_OK ? parse_instances (response->body) : NULL;
 	if (instances != NULL)
-		keep_list (list, instances, evhttp_find_header (response->headers, "ETag"));
+		cache_list (list, instances, evhttp_find_header (response->headers, "ETag"));
 	return instances;
 }
 
@@ -64,11 +64,11 @@
 }
 
 static void
-take_list (void *user, const struct dff_http_response *response)
+handle_list (void *user, const struct dff_http_response *response)
 {
 	struct dff_http_call *call = user;
 	struct dff_http_instance_list *list = list_of (call);
-	g_autoptr (GArray) instances = take_response (list, response);
+	g_autoptr (GArray) instances = list_from_response (list, response);
 	struct dff_instance_list_result result = {.ok = instances != NULL};
 	if (instances != NULL) {
 		result.instances = (const struct dff_instance *)instances->data;
@@ -87,11 +87,11 @@
 	struct dff_http_call *call = dff_http_call_begin (&list->service, DFF_HTTP_CALL_LIST, user);
 	call->list_done = done;
 	call->known_tag = list->tag;
-	dff_http_call_send (call, EVHTTP_REQ_GET, INSTANCES_PATH, (struct dff_str){0}, take_list);
+	dff_http_call_send (call, EVHTTP_REQ_GET, INSTANCES_PATH, (struct dff_str){0}, handle_list);
 }
 
 static void
-take_announced (void *user, const struct dff_http_response *response)
+handle_announced (void *user, const struct dff_http_response *response)
 {
 	struct dff_http_call *call = user;
 	if (response->outcome != DFF_HTTP_ANSWERED || response->status != 200)
@@ -108,7 +108,7 @@
 		dff_http_call_begin (&list->service, DFF_HTTP_CALL_ANNOUNCE, NULL);
 	json_t *root = dff_instance_wire_to_json (instance);
 	json_object_set_new (root, "ttl_ms", json_integer (ttl_ms));
-	dff_http_call_send_json (call, INSTANCES_PATH, root, take_announced);
+	dff_http_call_send_json (call, INSTANCES_PATH, root, handle_announced);
 }
 
 struct dff_http_instance_list *
--- a/backing/http_object_store.c
+++ b/backing/http_object_store.c
@@ -20,7 +20,7 @@
 }
 
 static void
-take_response (void *user, const struct dff_http_response *response)
+handle_response (void *user, const struct dff_http_response *response)
 {
 	struct dff_http_call *call = user;
 	struct dff_object_result result = {.outcome = outcome (call, response)};
@@ -39,7 +39,7 @@
 	char *encoded = evhttp_uriencode (key.data, (ev_ssize_t)key.len, 0);
 	g_autofree char *path = g_strconcat (OBJECTS_PATH, encoded, NULL);
 	free (encoded);
-	dff_http_call_send (call, method, path, data, take_response);
+	dff_http_call_send (call, method, path, data, handle_response);
 }
 
 static void
--- a/backing/http_table.c
+++ b/backing/http_table.c
@@ -45,7 +45,7 @@
 }
 
 static void
-take_response (void *user, const struct dff_http_response *response)
+handle_response (void *user, const struct dff_http_response *response)
 {
 	struct dff_http_call *call = user;
 	bool is_commit = call->kind == DFF_HTTP_CALL_COMMIT;
@@ -97,7 +97,7 @@
 	}
 	json_t *root = json_pack ("{s:o}", "keys", array);
 	if (valid) {
-		dff_http_call_send_json (call, "/v1/table/get", root, take_response);
+		dff_http_call_send_json (call, "/v1/table/get", root, handle_response);
 		return;
 	}
 	json_decref (root);
@@ -118,7 +118,7 @@
 	if (root == NULL)
 		refuse (call);
 	else
-		dff_http_call_send_json (call, "/v1/table/scan", root, take_response);
+		dff_http_call_send_json (call, "/v1/table/scan", root, handle_response);
 }
 
 static void
@@ -129,7 +129,7 @@
 	if (root == NULL)
 		refuse (call);
 	else
-		dff_http_call_send_json (call, "/v1/table/commit", root, take_response);
+		dff_http_call_send_json (call, "/v1/table/commit", root, handle_response);
 }
 
 static void
@@ -137,7 +137,7 @@
 {
 	struct dff_http_call *call = begin (ctx, DFF_HTTP_CALL_LOOKUP, done, user);
 	json_t *root = json_pack ("{s:s}", "write_id", write_id->data);
-	dff_http_call_send_json (call, "/v1/table/lookup", root, take_response);
+	dff_http_call_send_json (call, "/v1/table/lookup", root, handle_response);
 }
 
 struct dff_http_table *
--- a/backing/instance_watch.c
+++ b/backing/instance_watch.c
@@ -6,7 +6,7 @@
 #include "common/log.h"
 
 /* Covers a client that never calls back, so that polling cannot stop for good. */
-#define POLL_LOST_AFTER_MS 10000
+#define POLL_TIMEOUT_MS 10000
 
 /** A lost announcement and a late one leave the process listed; more would only cost bytes. */
 #define ANNOUNCEMENTS_PER_TTL 3
@@ -18,14 +18,14 @@
 struct dff_instance_watch {
 	struct dff_instance_watch_options options;
 	GRand *random;
-	/** Last list told, ordered by id. Elements: struct dff_instance. */
+	/** Last list delivered, ordered by id. Elements: struct dff_instance. */
 	GArray *instances;
 	struct poll *poll;
 	int64_t polled_ms;
 	int64_t next_poll_ms;
 	int64_t next_announce_ms;
 	int64_t answered_ms;
-	bool told;
+	bool delivered;
 	int64_t *failed;
 	int64_t *changes;
 };
@@ -87,18 +87,18 @@
 }
 
 static void
-take_list (struct dff_instance_watch *watch, const struct dff_instance_list_result *result)
+apply_list (struct dff_instance_watch *watch, const struct dff_instance_list_result *result)
 {
-	g_autoptr (GArray) fresh = g_array_new (FALSE, TRUE, sizeof (struct dff_instance));
+	g_autoptr (GArray) received = g_array_new (FALSE, TRUE, sizeof (struct dff_instance));
 	if (result->n_instances > 0)
-		g_array_append_vals (fresh, result->instances, (guint)result->n_instances);
-	g_array_sort (fresh, compare_instances);
-	if (watch->told && lists_equal (fresh, watch->instances))
+		g_array_append_vals (received, result->instances, (guint)result->n_instances);
+	g_array_sort (received, compare_instances);
+	if (watch->delivered && lists_equal (received, watch->instances))
 		return;
-	watch->told = true;
+	watch->delivered = true;
 	*watch->changes += 1;
 	g_array_unref (watch->instances);
-	watch->instances = g_steal_pointer (&fresh);
+	watch->instances = g_steal_pointer (&received);
 	watch->options.changed (watch->options.ctx,
 				(const struct dff_instance *)(void *)watch->instances->data,
 				watch->instances->len);
@@ -118,7 +118,7 @@
 		return;
 	}
 	watch->answered_ms = dff_clock_now_ms (watch->options.clock);
-	take_list (watch, result);
+	apply_list (watch, result);
 }
 
 static void
@@ -156,8 +156,8 @@
 		watch->next_announce_ms = now_ms + watch->options.ttl_ms / ANNOUNCEMENTS_PER_TTL;
 		announce (watch);
 	}
-	bool lost = watch->poll != NULL && now_ms - watch->polled_ms >= POLL_LOST_AFTER_MS;
-	if (now_ms < watch->next_poll_ms || (watch->poll != NULL && !lost))
+	bool timed_out = watch->poll != NULL && now_ms - watch->polled_ms >= POLL_TIMEOUT_MS;
+	if (now_ms < watch->next_poll_ms || (watch->poll != NULL && !timed_out))
 		return;
 	start_poll (watch, now_ms);
 }
--- a/backing/memory.c
+++ b/backing/memory.c
@@ -26,7 +26,7 @@
 	/** struct event, in order of time. */
 	GSequence *events;
 	uint64_t next_sequence;
-	GPtrArray *callers;
+	GPtrArray *handles;
 	struct dff_memory_counts counts;
 };
 
@@ -58,9 +58,9 @@
 }
 
 static bool
-is_silent (const struct dff_memory_handle *caller)
+is_silent (const struct dff_memory_handle *handle)
 {
-	return caller != NULL && now_ms (caller->memory) < caller->faults.silent_until_ms;
+	return handle != NULL && now_ms (handle->memory) < handle->faults.silent_until_ms;
 }
 
 static void
@@ -81,8 +81,8 @@
 run_event (struct dff_memory *memory, struct event *event)
 {
 	struct dff_memory_call *call = event->call;
-	if (is_silent (call->caller)) {
-		g_queue_push_tail (&call->caller->held, event);
+	if (is_silent (call->handle)) {
+		g_queue_push_tail (&call->handle->held, event);
 		return;
 	}
 	if (event->phase == DFF_EVENT_EFFECT)
@@ -113,9 +113,9 @@
 	return permille > 0 && g_rand_int_range (memory->rand, 0, 1000) < permille;
 }
 
-/* Returns: whether a fault with a count of calls left, or its chance, strikes now. */
+/* Returns: whether a fault with a count of calls left, or its chance, applies now. */
 static bool
-strikes (struct dff_memory *memory, int32_t *count, int32_t permille)
+fault_applies (struct dff_memory *memory, int32_t *count, int32_t permille)
 {
 	if (*count > 0) {
 		(*count)--;
@@ -152,16 +152,16 @@
 		  int64_t usual_ms,
 		  int64_t answer_ms)
 {
-	struct dff_memory_faults *faults = &call->caller->faults;
-	if (strikes (memory, &faults->lost_writes, faults->lost_permille)) {
+	struct dff_memory_faults *faults = &call->handle->faults;
+	if (fault_applies (memory, &faults->lost_writes, faults->lost_permille)) {
 		call->answer_lost = true;
 		return -1;
 	}
-	if (strikes (memory, &faults->late_writes, faults->late_permille)) {
+	if (fault_applies (memory, &faults->late_writes, faults->late_permille)) {
 		call->answer_lost = true;
 		return answer_ms + faults->late_ms;
 	}
-	call->answer_lost = strikes (memory, &faults->lose_answers, faults->lose_permille);
+	call->answer_lost = fault_applies (memory, &faults->lose_answers, faults->lose_permille);
 	return usual_ms;
 }
 
@@ -198,23 +198,23 @@
 static void
 begin (struct dff_memory_call *call)
 {
-	struct dff_memory_handle *caller = call->caller;
-	struct dff_memory *memory = caller->memory;
+	struct dff_memory_handle *handle = call->handle;
+	struct dff_memory *memory = handle->memory;
 	int64_t now = now_ms (memory);
-	if (now < caller->faults.outage_until_ms ||
-	    draw_permille (memory, caller->faults.unavailable_permille)) {
+	if (now < handle->faults.outage_until_ms ||
+	    draw_permille (memory, handle->faults.unavailable_permille)) {
 		refuse (call);
 		return;
 	}
 	count_call (&memory->counts, call->kind);
 	call->available = true;
-	int64_t delay_ms = draw_delay_ms (memory, &caller->faults);
+	int64_t delay_ms = draw_delay_ms (memory, &handle->faults);
 	int64_t answer_ms = now + delay_ms;
 	int64_t effect_ms = now + delay_ms / 2;
 	if (call->kind == DFF_CALL_COMMIT)
 		effect_ms = commit_effect_ms (memory, call, effect_ms, answer_ms);
 	if (call->kind == DFF_CALL_LOOKUP)
-		call->answer_lost = draw_permille (memory, caller->faults.lose_permille);
+		call->answer_lost = draw_permille (memory, handle->faults.lose_permille);
 	if (effect_ms >= 0)
 		schedule (memory, call, DFF_EVENT_EFFECT, effect_ms);
 	schedule (memory, call, DFF_EVENT_ANSWER, answer_ms);
@@ -222,14 +222,14 @@
 }
 
 static void
-release_held (struct dff_memory *memory, struct dff_memory_handle *caller)
+requeue_held (struct dff_memory *memory, struct dff_memory_handle *handle)
 {
-	if (is_silent (caller))
+	if (is_silent (handle))
 		return;
 	/* They keep their times: put after events that fell due meanwhile, an effect would come
 	 * after its own answer. */
 	struct event *event;
-	while ((event = g_queue_pop_head (&caller->held)) != NULL) {
+	while ((event = g_queue_pop_head (&handle->held)) != NULL) {
 		g_sequence_insert_sorted (memory->events, event, event_compare, NULL);
 	}
 }
@@ -237,8 +237,8 @@
 void
 dff_memory_tick (struct dff_memory *memory)
 {
-	for (guint i = 0; i < memory->callers->len; i++)
-		release_held (memory, memory->callers->pdata[i]);
+	for (guint i = 0; i < memory->handles->len; i++)
+		requeue_held (memory, memory->handles->pdata[i]);
 	while (!g_sequence_is_empty (memory->events)) {
 		GSequenceIter *first = g_sequence_get_begin_iter (memory->events);
 		struct event *event = g_sequence_get (first);
@@ -258,10 +258,10 @@
 			g_sequence_get (g_sequence_get_begin_iter (memory->events));
 		due_ms = event->due_ms;
 	}
-	for (guint i = 0; i < memory->callers->len; i++) {
-		const struct dff_memory_handle *caller = memory->callers->pdata[i];
-		if (!g_queue_is_empty ((GQueue *)&caller->held))
-			due_ms = MIN (due_ms, caller->faults.silent_until_ms);
+	for (guint i = 0; i < memory->handles->len; i++) {
+		const struct dff_memory_handle *handle = memory->handles->pdata[i];
+		if (!g_queue_is_empty ((GQueue *)&handle->held))
+			due_ms = MIN (due_ms, handle->faults.silent_until_ms);
 	}
 	return due_ms;
 }
@@ -341,11 +341,11 @@
 static void
 instances_announce (void *ctx, const struct dff_instance *instance, int32_t ttl_ms)
 {
-	struct dff_memory_handle *caller = ctx;
-	int64_t now = now_ms (caller->memory);
-	if (now < caller->faults.outage_until_ms || is_silent (caller))
+	struct dff_memory_handle *handle = ctx;
+	int64_t now = now_ms (handle->memory);
+	if (now < handle->faults.outage_until_ms || is_silent (handle))
 		return;
-	dff_memory_announce (caller->memory, instance, ttl_ms);
+	dff_memory_announce (handle->memory, instance, ttl_ms);
 }
 
 struct dff_memory *
@@ -358,21 +358,21 @@
 	dff_memory_store_init (&memory->store, &options->limits);
 	dff_memory_instances_init (&memory->instances, options->instance_lag_ms);
 	memory->events = g_sequence_new (NULL);
-	memory->callers = g_ptr_array_new ();
+	memory->handles = g_ptr_array_new ();
 	return memory;
 }
 
 void
 dff_memory_free (struct dff_memory *memory)
 {
-	g_assert (memory->callers->len == 0);
+	g_assert (memory->handles->len == 0);
 	while (!g_sequence_is_empty (memory->events)) {
 		GSequenceIter *first = g_sequence_get_begin_iter (memory->events);
 		event_free (g_sequence_get (first));
 		g_sequence_remove (first);
 	}
 	g_sequence_free (memory->events);
-	g_ptr_array_unref (memory->callers);
+	g_ptr_array_unref (memory->handles);
 	dff_memory_store_clear (&memory->store);
 	dff_memory_instances_clear (&memory->instances);
 	g_rand_free (memory->rand);
@@ -382,45 +382,45 @@
 struct dff_memory_handle *
 dff_memory_open (struct dff_memory *memory)
 {
-	struct dff_memory_handle *caller = g_new0 (struct dff_memory_handle, 1);
-	caller->memory = memory;
-	caller->table.get = table_get;
-	caller->table.scan = table_scan;
-	caller->table.commit = table_commit;
-	caller->table.lookup = table_lookup;
-	caller->table.ctx = caller;
-	caller->objects.put = object_put;
-	caller->objects.get = object_get;
-	caller->objects.ctx = caller;
-	caller->instances.list = instances_list;
-	caller->instances.announce = instances_announce;
-	caller->instances.ctx = caller;
-	g_queue_init (&caller->held);
-	g_ptr_array_add (memory->callers, caller);
-	return caller;
+	struct dff_memory_handle *handle = g_new0 (struct dff_memory_handle, 1);
+	handle->memory = memory;
+	handle->table.get = table_get;
+	handle->table.scan = table_scan;
+	handle->table.commit = table_commit;
+	handle->table.lookup = table_lookup;
+	handle->table.ctx = handle;
+	handle->objects.put = object_put;
+	handle->objects.get = object_get;
+	handle->objects.ctx = handle;
+	handle->instances.list = instances_list;
+	handle->instances.announce = instances_announce;
+	handle->instances.ctx = handle;
+	g_queue_init (&handle->held);
+	g_ptr_array_add (memory->handles, handle);
+	return handle;
 }
 
 static void
-forget_caller (gpointer data, gpointer caller)
+detach_handle (gpointer data, gpointer handle)
 {
 	struct event *event = data;
-	if (event->call->caller == caller)
-		event->call->caller = NULL;
+	if (event->call->handle == handle)
+		event->call->handle = NULL;
 }
 
 void
-dff_memory_close (struct dff_memory_handle *caller)
+dff_memory_close (struct dff_memory_handle *handle)
 {
-	struct dff_memory *memory = caller->memory;
+	struct dff_memory *memory = handle->memory;
 	struct event *event;
-	while ((event = g_queue_pop_head (&caller->held)) != NULL) {
-		event->due_ms = MAX (event->due_ms, caller->faults.silent_until_ms);
+	while ((event = g_queue_pop_head (&handle->held)) != NULL) {
+		event->due_ms = MAX (event->due_ms, handle->faults.silent_until_ms);
 		event->sequence = memory->next_sequence++;
 		g_sequence_insert_sorted (memory->events, event, event_compare, NULL);
 	}
-	g_sequence_foreach (memory->events, forget_caller, caller);
-	g_ptr_array_remove (memory->callers, caller);
-	g_free (caller);
+	g_sequence_foreach (memory->events, detach_handle, handle);
+	g_ptr_array_remove (memory->handles, handle);
+	g_free (handle);
 }
 
 void
--- a/backing/memory_call.c
+++ b/backing/memory_call.c
@@ -9,11 +9,11 @@
 }
 
 struct dff_memory_call *
-dff_memory_call_new (struct dff_memory_handle *caller, enum dff_memory_call_kind kind, void *user)
+dff_memory_call_new (struct dff_memory_handle *handle, enum dff_memory_call_kind kind, void *user)
 {
 	struct dff_memory_call *call = g_new0 (struct dff_memory_call, 1);
 	call->kind = kind;
-	call->caller = caller;
+	call->handle = handle;
 	call->user = user;
 	call->rows = g_ptr_array_new_with_free_func (row_destroy);
 	return call;
@@ -116,7 +116,7 @@
 void
 dff_memory_call_answer (const struct dff_memory_call *call)
 {
-	if (call->caller == NULL)
+	if (call->handle == NULL)
 		return;
 	if (call->table_done != NULL)
 		answer_table (call);
--- a/backing/memory_call.h
+++ b/backing/memory_call.h
@@ -20,7 +20,7 @@
 struct dff_memory_call {
 	enum dff_memory_call_kind kind;
 	/** NULL once the handle is closed. */
-	struct dff_memory_handle *caller;
+	struct dff_memory_handle *handle;
 	int events_left;
 	/** The caller is told UNCERTAIN whatever the effect. */
 	bool answer_lost;
@@ -49,7 +49,7 @@
 };
 
 struct dff_memory_call *
-dff_memory_call_new (struct dff_memory_handle *caller, enum dff_memory_call_kind kind, void *user);
+dff_memory_call_new (struct dff_memory_handle *handle, enum dff_memory_call_kind kind, void *user);
 
 void dff_memory_call_free (struct dff_memory_call *call);
 
--- a/backing/memory_store.c
+++ b/backing/memory_store.c
@@ -184,7 +184,7 @@
 }
 
 static void
-remember_write_id (struct dff_memory_store *store, const struct dff_name *id, int64_t revision)
+record_write_id (struct dff_memory_store *store, const struct dff_name *id, int64_t revision)
 {
 	struct dff_name *key = dff_name_dup (id);
 	g_hash_table_insert (store->write_ids, key, g_memdup2 (&revision, sizeof (revision)));
@@ -207,7 +207,7 @@
 	}
 	*revision = store->revision;
 	if (!conditions_hold (store, txn)) {
-		remember_write_id (store, &txn->write_id, 0);
+		record_write_id (store, &txn->write_id, 0);
 		return DFF_TABLE_CONFLICT;
 	}
 	if (!within_limits (store, txn))
@@ -215,7 +215,7 @@
 	store->revision++;
 	for (size_t i = 0; i < txn->n_writes; i++)
 		apply_write (store, &txn->writes[i]);
-	remember_write_id (store, &txn->write_id, store->revision);
+	record_write_id (store, &txn->write_id, store->revision);
 	*revision = store->revision;
 	return DFF_TABLE_OK;
 }
@@ -232,7 +232,7 @@
 		return DFF_TABLE_OK;
 	}
 	if (earlier == NULL)
-		remember_write_id (store, write_id, 0);
+		record_write_id (store, write_id, 0);
 	return DFF_TABLE_CONFLICT;
 }
 
--- a/include/backing/memory.h
+++ b/include/backing/memory.h
@@ -110,7 +110,7 @@
  * Closes a handle. Like a process that dies: its commits that are on their way still take effect,
  * and no callback comes any more. To be called before what the callbacks point to is freed.
  */
-void dff_memory_close (struct dff_memory_handle *caller);
+void dff_memory_close (struct dff_memory_handle *handle);
 
 /** Adds or replaces an instance. It is listed for @ttl_ms; 0: until it is removed. */
 void dff_memory_announce (struct dff_memory *memory,
--- a/tests/backing/test-http-platform.c
+++ b/tests/backing/test-http-platform.c
@@ -95,7 +95,7 @@
 }
 
 static void
-take_response (void *user, const struct dff_http_response *response)
+handle_response (void *user, const struct dff_http_response *response)
 {
 	struct answer *answer = user;
 	answer->calls++;
@@ -116,14 +116,14 @@
 		.body = dff_str_from (body),
 		.timeout_ms = 5000,
 	};
-	dff_http_client_send (fixture->client, &request, take_response, &answer);
+	dff_http_client_send (fixture->client, &request, handle_response, &answer);
 	answer_wait (&answer);
 	g_string_free (answer.text, TRUE);
 	return answer.outcome;
 }
 
 static void
-take_result (void *user, const struct dff_table_result *result)
+handle_result (void *user, const struct dff_table_result *result)
 {
 	struct answer *answer = user;
 	answer->calls++;
@@ -157,7 +157,7 @@
 		.n_writes = 1,
 	};
 	const struct dff_table *table = dff_http_table_interface (fixture->table);
-	table->commit (table->ctx, &txn, take_result, &answer);
+	table->commit (table->ctx, &txn, handle_result, &answer);
 	answer_wait (&answer);
 	g_string_free (answer.text, TRUE);
 	return answer;
@@ -170,7 +170,7 @@
 	answer_init (fixture, &answer);
 	struct dff_name id = dff_name_from (write_id);
 	const struct dff_table *table = dff_http_table_interface (fixture->table);
-	table->lookup (table->ctx, &id, take_result, &answer);
+	table->lookup (table->ctx, &id, handle_result, &answer);
 	answer_wait (&answer);
 	g_string_free (answer.text, TRUE);
 	return answer;
@@ -191,12 +191,12 @@
 	const struct dff_table *table = dff_http_table_interface (fixture->table);
 	struct answer answer;
 	answer_init (fixture, &answer);
-	table->get (table->ctx, keys, G_N_ELEMENTS (keys), take_result, &answer);
+	table->get (table->ctx, keys, G_N_ELEMENTS (keys), handle_result, &answer);
 	answer_wait (&answer);
 	assert_string_equal (answer.text->str, "job/zv/1={\"a\":\"\\u010d\"}@1;");
 	g_string_free (answer.text, TRUE);
 	answer_init (fixture, &answer);
-	table->scan (table->ctx, dff_str_from (""), 0, 10, take_result, &answer);
+	table->scan (table->ctx, dff_str_from (""), 0, 10, handle_result, &answer);
 	answer_wait (&answer);
 	assert_string_equal (answer.text->str, "job/zv/1={\"a\":\"\\u010d\"}@1;empty=@2;");
 	assert_int_equal (answer.revision, 4);
@@ -240,7 +240,7 @@
 }
 
 static void
-test_row_that_is_no_text_is_not_sent (void **state)
+test_row_that_is_not_utf8_is_not_sent (void **state)
 {
 	struct fixture *fixture = *state;
 	struct dff_str binary = {"\xff\xfe", 2};
@@ -252,7 +252,7 @@
 
 /* A service that keeps silent: the call ends at its timeout, as UNCERTAIN for a commit. */
 static void
-test_silence_ends_at_the_timeout (void **state)
+test_call_without_answer_ends_at_the_timeout (void **state)
 {
 	struct fixture *fixture = *state;
 	struct dff_http_service_options options;
@@ -271,7 +271,7 @@
 }
 
 static void
-take_object (void *user, const struct dff_object_result *result)
+handle_object (void *user, const struct dff_object_result *result)
 {
 	struct answer *answer = user;
 	answer->calls++;
@@ -297,12 +297,12 @@
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct dff_str data = {cases[i].data, cases[i].len};
 		answer_init (fixture, &answer);
-		objects->put (objects->ctx, dff_str_from (cases[i].key), data, take_object,
+		objects->put (objects->ctx, dff_str_from (cases[i].key), data, handle_object,
 			      &answer);
 		answer_wait (&answer);
 		assert_int_equal (answer.outcome, DFF_OBJECT_OK);
 		answer.calls = 0;
-		objects->get (objects->ctx, dff_str_from (cases[i].key), take_object, &answer);
+		objects->get (objects->ctx, dff_str_from (cases[i].key), handle_object, &answer);
 		answer_wait (&answer);
 		assert_int_equal (answer.outcome, DFF_OBJECT_OK);
 		assert_int_equal (answer.text->len, cases[i].len);
@@ -310,14 +310,14 @@
 		g_string_free (answer.text, TRUE);
 	}
 	answer_init (fixture, &answer);
-	objects->get (objects->ctx, dff_str_from ("absent"), take_object, &answer);
+	objects->get (objects->ctx, dff_str_from ("absent"), handle_object, &answer);
 	answer_wait (&answer);
 	assert_int_equal (answer.outcome, DFF_OBJECT_NOT_FOUND);
 	g_string_free (answer.text, TRUE);
 }
 
 static void
-take_instances (void *user, const struct dff_instance_list_result *result)
+handle_instances (void *user, const struct dff_instance_list_result *result)
 {
 	struct answer *answer = user;
 	answer->calls++;
@@ -349,7 +349,7 @@
 	struct answer answer;
 	do {
 		answer_init (fixture, &answer);
-		list->list (list->ctx, take_instances, &answer);
+		list->list (list->ctx, handle_instances, &answer);
 		answer_wait (&answer);
 		assert_true (answer.outcome);
 		if (strstr (answer.text->str, "entry-1") != NULL)
@@ -361,7 +361,7 @@
 	g_string_free (answer.text, TRUE);
 	assert_int_equal (exchange (fixture, EVHTTP_REQ_DELETE, "/v1/instances/entry-1", ""), 200);
 	answer_init (fixture, &answer);
-	list->list (list->ctx, take_instances, &answer);
+	list->list (list->ctx, handle_instances, &answer);
 	answer_wait (&answer);
 	assert_string_equal (answer.text->str, "w1 0 0 127.0.0.1:1 ;");
 	g_string_free (answer.text, TRUE);
@@ -374,7 +374,7 @@
 		dff_http_instance_list_interface (fixture->instances);
 	struct answer answer;
 	answer_init (fixture, &answer);
-	list->list (list->ctx, take_instances, &answer);
+	list->list (list->ctx, handle_instances, &answer);
 	answer_wait (&answer);
 	assert_true (answer.outcome);
 	return answer.text;
@@ -443,9 +443,10 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown (test_rows, setup, teardown),
 		cmocka_unit_test_setup_teardown (test_commit_outcomes, setup, teardown),
-		cmocka_unit_test_setup_teardown (test_row_that_is_no_text_is_not_sent, setup,
+		cmocka_unit_test_setup_teardown (test_row_that_is_not_utf8_is_not_sent, setup,
 						 teardown),
-		cmocka_unit_test_setup_teardown (test_silence_ends_at_the_timeout, setup, teardown),
+		cmocka_unit_test_setup_teardown (test_call_without_answer_ends_at_the_timeout,
+						 setup, teardown),
 		cmocka_unit_test_setup_teardown (test_objects, setup, teardown),
 		cmocka_unit_test_setup_teardown (test_instances, setup, teardown),
 		cmocka_unit_test_setup_teardown (test_unchanged_list_is_not_sent_again, setup,
--- a/tests/backing/test-instance-watch.c
+++ b/tests/backing/test-instance-watch.c
@@ -13,7 +13,7 @@
 struct fixture {
 	struct memory_fixture site;
 	struct dff_instance_watch *watch;
-	int n_told;
+	int n_changes;
 	size_t n_instances;
 	bool leaving;
 };
@@ -22,7 +22,7 @@
 handle_changed (void *ctx, const struct dff_instance *instances, size_t n_instances)
 {
 	struct fixture *fixture = ctx;
-	fixture->n_told++;
+	fixture->n_changes++;
 	fixture->n_instances = n_instances;
 	fixture->leaving = n_instances > 0 && instances[0].leaving;
 }
@@ -73,14 +73,14 @@
 }
 
 static void
-test_announces_itself_and_tells_changes_only (void **state)
+test_announces_itself_and_reports_changes_only (void **state)
 {
 	struct fixture *fixture = *state;
 	run_for (fixture, 10 * POLL_MS);
 	assert_int_equal (fixture->n_instances, 1);
-	int told = fixture->n_told;
+	int n_before = fixture->n_changes;
 	run_for (fixture, 10 * POLL_MS);
-	assert_int_equal (fixture->n_told, told);
+	assert_int_equal (fixture->n_changes, n_before);
 	dff_instance_watch_set_leaving (fixture->watch);
 	run_for (fixture, 2 * POLL_MS);
 	assert_true (fixture->leaving);
@@ -96,10 +96,10 @@
 	dff_memory_announce (fixture->site.memory, &worker, 0);
 	run_for (fixture, 3 * POLL_MS);
 	assert_int_equal (fixture->n_instances, 2);
-	int told = fixture->n_told;
+	int n_before = fixture->n_changes;
 	fixture->site.caller->faults.outage_until_ms = fixture->site.time.now_ms + 60000;
 	run_for (fixture, 60000);
-	assert_int_equal (fixture->n_told, told);
+	assert_int_equal (fixture->n_changes, n_before);
 	run_for (fixture, 3 * POLL_MS);
 	assert_int_equal (fixture->n_instances, 2);
 }
@@ -107,7 +107,7 @@
 /* Symptom: a process sees no change for ever. Sequence: a poll is never answered. Cause: the next
  * poll waited for it. */
 static void
-test_goes_on_after_a_poll_without_answer (void **state)
+test_polls_again_after_a_poll_timed_out (void **state)
 {
 	struct fixture *fixture = *state;
 	run_for (fixture, 2 * POLL_MS);
@@ -131,7 +131,7 @@
 };
 
 static void
-keep_answer (void *ctx, dff_instance_list_func done, void *user)
+withhold_answer (void *ctx, dff_instance_list_func done, void *user)
 {
 	struct silent_list *silent = ctx;
 	silent->done = done;
@@ -156,13 +156,13 @@
  * poll of the list is never answered. Cause: it was announced only together with the next poll,
  * later than its time to live. */
 static void
-test_announces_while_a_poll_is_open (void **state)
+test_announces_while_a_poll_is_pending (void **state)
 {
 	(void)state;
 	struct dff_clock_virtual time;
 	dff_clock_virtual_init (&time, 1000);
 	struct silent_list silent = {.clock = &time.clock};
-	struct dff_instance_list list = {keep_answer, count_announcement, &silent};
+	struct dff_instance_list list = {withhold_answer, count_announcement, &silent};
 	DFF_AUTO (dff_metrics) metrics = dff_metrics_new ();
 	struct dff_instance_watch_options options = {
 		.list = &list,
@@ -188,12 +188,12 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_announces_while_a_poll_is_open),
-		cmocka_unit_test_setup_teardown (test_announces_itself_and_tells_changes_only,
+		cmocka_unit_test (test_announces_while_a_poll_is_pending),
+		cmocka_unit_test_setup_teardown (test_announces_itself_and_reports_changes_only,
 						 set_up, tear_down),
 		cmocka_unit_test_setup_teardown (test_keeps_the_last_list_through_an_outage, set_up,
 						 tear_down),
-		cmocka_unit_test_setup_teardown (test_goes_on_after_a_poll_without_answer, set_up,
+		cmocka_unit_test_setup_teardown (test_polls_again_after_a_poll_timed_out, set_up,
 						 tear_down),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/backing/test-memory.c
+++ b/tests/backing/test-memory.c
@@ -11,7 +11,7 @@
 struct fixture {
 	struct dff_clock_virtual clock;
 	struct dff_memory *memory;
-	struct dff_memory_handle *caller;
+	struct dff_memory_handle *handle;
 };
 
 /** The last answer of a call to the table. */
@@ -31,7 +31,7 @@
 	struct dff_memory_options options = {
 		.clock = &fixture->clock.clock, .seed = 1, .instance_lag_ms = 300};
 	fixture->memory = dff_memory_new (&options);
-	fixture->caller = dff_memory_open (fixture->memory);
+	fixture->handle = dff_memory_open (fixture->memory);
 	*state = fixture;
 	return 0;
 }
@@ -40,15 +40,15 @@
 teardown (void **state)
 {
 	struct fixture *fixture = *state;
-	if (fixture->caller != NULL)
-		dff_memory_close (fixture->caller);
+	if (fixture->handle != NULL)
+		dff_memory_close (fixture->handle);
 	dff_memory_free (fixture->memory);
 	g_free (fixture);
 	return 0;
 }
 
 static void
-take_answer (void *user, const struct dff_table_result *result)
+handle_answer (void *user, const struct dff_table_result *result)
 {
 	struct answer *answer = user;
 	answer->calls++;
@@ -82,16 +82,16 @@
 		.writes = &write,
 		.n_writes = 1,
 	};
-	const struct dff_table *table = &fixture->caller->table;
-	table->commit (table->ctx, &txn, take_answer, answer);
+	const struct dff_table *table = &fixture->handle->table;
+	table->commit (table->ctx, &txn, handle_answer, answer);
 }
 
 static void
 lookup (struct fixture *fixture, const char *write_id, struct answer *answer)
 {
 	struct dff_name id = dff_name_from (write_id);
-	const struct dff_table *table = &fixture->caller->table;
-	table->lookup (table->ctx, &id, take_answer, answer);
+	const struct dff_table *table = &fixture->handle->table;
+	table->lookup (table->ctx, &id, handle_answer, answer);
 }
 
 static bool
@@ -137,12 +137,12 @@
 		{dff_str_from ("j/2"), dff_str_from ("v")},
 		{dff_str_from ("j/3"), dff_str_from ("v")},
 	};
-	const struct dff_table *table = &fixture->caller->table;
+	const struct dff_table *table = &fixture->handle->table;
 	struct answer answer = {0};
 	commit (fixture, "w1", "j/0", 0, &answer);
 	struct dff_table_txn txn = {
 		.write_id = dff_name_from ("w2"), .writes = writes, .n_writes = 3};
-	table->commit (table->ctx, &txn, take_answer, &answer);
+	table->commit (table->ctx, &txn, handle_answer, &answer);
 	commit (fixture, "w3", "j/4", 0, &answer);
 	static const struct {
 		int64_t after;
@@ -155,7 +155,7 @@
 	};
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		table->scan (table->ctx, dff_str_from ("j/"), cases[i].after, cases[i].limit,
-			     take_answer, &answer);
+			     handle_answer, &answer);
 		assert_int_equal (answer.n_rows, cases[i].n_rows);
 		assert_int_equal (answer.more, cases[i].more);
 	}
@@ -169,19 +169,19 @@
 	struct fixture *fixture = *state;
 	struct dff_memory_options options = {.clock = &fixture->clock.clock,
 					     .limits = {.max_scan_bytes = 6}};
-	dff_memory_close (fixture->caller);
+	dff_memory_close (fixture->handle);
 	dff_memory_free (fixture->memory);
 	fixture->memory = dff_memory_new (&options);
-	fixture->caller = dff_memory_open (fixture->memory);
-	const struct dff_table *table = &fixture->caller->table;
+	fixture->handle = dff_memory_open (fixture->memory);
+	const struct dff_table *table = &fixture->handle->table;
 	struct answer answer = {0};
 	static const char *const keys[] = {"j/0", "j/1", "j/2"};
 	for (size_t i = 0; i < G_N_ELEMENTS (keys); i++)
 		commit (fixture, keys[i] + 2, keys[i], 0, &answer);
-	table->scan (table->ctx, dff_str_from ("j/"), 0, 10, take_answer, &answer);
+	table->scan (table->ctx, dff_str_from ("j/"), 0, 10, handle_answer, &answer);
 	assert_int_equal (answer.n_rows, 2);
 	assert_true (answer.more);
-	table->scan (table->ctx, dff_str_from ("j/"), 2, 10, take_answer, &answer);
+	table->scan (table->ctx, dff_str_from ("j/"), 2, 10, handle_answer, &answer);
 	assert_int_equal (answer.n_rows, 1);
 	assert_false (answer.more);
 }
@@ -190,8 +190,8 @@
 test_delay (void **state)
 {
 	struct fixture *fixture = *state;
-	fixture->caller->faults.delay_min_ms = 10;
-	fixture->caller->faults.delay_max_ms = 10;
+	fixture->handle->faults.delay_min_ms = 10;
+	fixture->handle->faults.delay_max_ms = 10;
 	struct answer answer = {0};
 	commit (fixture, "w1", "a", 0, &answer);
 	assert_int_equal (dff_memory_next_due_ms (fixture->memory), 1005);
@@ -207,7 +207,7 @@
 test_outage (void **state)
 {
 	struct fixture *fixture = *state;
-	fixture->caller->faults.outage_until_ms = 1100;
+	fixture->handle->faults.outage_until_ms = 1100;
 	struct answer answer = {0};
 	commit (fixture, "w1", "a", 0, &answer);
 	assert_int_equal (answer.outcome, DFF_TABLE_UNAVAILABLE);
@@ -221,7 +221,7 @@
 test_silence (void **state)
 {
 	struct fixture *fixture = *state;
-	fixture->caller->faults.silent_until_ms = 1100;
+	fixture->handle->faults.silent_until_ms = 1100;
 	struct answer answer = {0};
 	commit (fixture, "w1", "a", 0, &answer);
 	advance (fixture, 99);
@@ -236,12 +236,12 @@
  * falls due during a silence, which ends; the next tick comes after its answer's time. Cause: what
  * was held got the time of the release, so that the answer came before the effect. */
 static void
-test_silence_keeps_the_order (void **state)
+test_silence_keeps_effect_before_answer (void **state)
 {
 	struct fixture *fixture = *state;
-	fixture->caller->faults.delay_min_ms = 100;
-	fixture->caller->faults.delay_max_ms = 100;
-	fixture->caller->faults.silent_until_ms = 1080;
+	fixture->handle->faults.delay_min_ms = 100;
+	fixture->handle->faults.delay_max_ms = 100;
+	fixture->handle->faults.silent_until_ms = 1080;
 	struct answer answer = {0};
 	commit (fixture, "w1", "a", 0, &answer);
 	advance (fixture, 60);
@@ -275,7 +275,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		struct answer answer = {0};
 		struct answer looked_up = {0};
-		fixture->caller->faults = cases[i].faults;
+		fixture->handle->faults = cases[i].faults;
 		commit (fixture, cases[i].key, cases[i].key, 0, &answer);
 		assert_int_equal (answer.outcome, DFF_TABLE_UNCERTAIN);
 		assert_int_equal (exists (fixture, cases[i].key), cases[i].exists_at_once);
@@ -291,13 +291,13 @@
 }
 
 static void
-test_one_caller_cut_off (void **state)
+test_outage_of_one_handle (void **state)
 {
 	struct fixture *fixture = *state;
 	struct dff_memory_handle *other = dff_memory_open (fixture->memory);
 	other->faults.outage_until_ms = DFF_MEMORY_FOREVER;
 	struct answer answer = {0};
-	other->table.lookup (other->table.ctx, &(struct dff_name){"x", 1}, take_answer, &answer);
+	other->table.lookup (other->table.ctx, &(struct dff_name){"x", 1}, handle_answer, &answer);
 	assert_int_equal (answer.outcome, DFF_TABLE_UNAVAILABLE);
 	commit (fixture, "w1", "a", 0, &answer);
 	assert_int_equal (answer.outcome, DFF_TABLE_OK);
@@ -308,21 +308,21 @@
  * Sequence: commit sent, process dies, commit takes effect. Cause: the table knows nothing of the
  * death. */
 static void
-test_commit_outlives_its_caller (void **state)
+test_commit_outlives_its_handle (void **state)
 {
 	struct fixture *fixture = *state;
-	fixture->caller->faults.delay_min_ms = 10;
+	fixture->handle->faults.delay_min_ms = 10;
 	struct answer answer = {0};
 	commit (fixture, "w1", "a", 0, &answer);
-	dff_memory_close (fixture->caller);
-	fixture->caller = NULL;
+	dff_memory_close (fixture->handle);
+	fixture->handle = NULL;
 	advance (fixture, 10);
 	assert_true (exists (fixture, "a"));
 	assert_int_equal (answer.calls, 0);
 }
 
 static void
-take_object (void *user, const struct dff_object_result *result)
+handle_object (void *user, const struct dff_object_result *result)
 {
 	GString *text = user;
 	g_string_printf (text, "%d:%.*s", result->outcome, (int)result->data.len,
@@ -333,21 +333,21 @@
 test_objects (void **state)
 {
 	struct fixture *fixture = *state;
-	const struct dff_object_store *objects = &fixture->caller->objects;
+	const struct dff_object_store *objects = &fixture->handle->objects;
 	g_autoptr (GString) text = g_string_new (NULL);
-	objects->get (objects->ctx, dff_str_from ("k"), take_object, text);
+	objects->get (objects->ctx, dff_str_from ("k"), handle_object, text);
 	assert_string_equal (text->str, "1:");
-	objects->put (objects->ctx, dff_str_from ("k"), dff_str_from ("data"), take_object, text);
+	objects->put (objects->ctx, dff_str_from ("k"), dff_str_from ("data"), handle_object, text);
 	assert_string_equal (text->str, "0:");
-	objects->get (objects->ctx, dff_str_from ("k"), take_object, text);
+	objects->get (objects->ctx, dff_str_from ("k"), handle_object, text);
 	assert_string_equal (text->str, "0:data");
-	fixture->caller->faults.outage_until_ms = DFF_MEMORY_FOREVER;
-	objects->get (objects->ctx, dff_str_from ("k"), take_object, text);
+	fixture->handle->faults.outage_until_ms = DFF_MEMORY_FOREVER;
+	objects->get (objects->ctx, dff_str_from ("k"), handle_object, text);
 	assert_string_equal (text->str, "2:");
 }
 
 static void
-take_instances (void *user, const struct dff_instance_list_result *result)
+handle_instances (void *user, const struct dff_instance_list_result *result)
 {
 	GString *text = user;
 	g_string_assign (text, result->ok ? "" : "down");
@@ -368,7 +368,7 @@
 		int64_t at_ms;
 		const char *listed;
 	} cases[] = {{0, ""}, {299, ""}, {300, "w1 w2 "}, {500, "w1 w2- "}, {800, "w2- "}};
-	const struct dff_instance_list *list = &fixture->caller->instances;
+	const struct dff_instance_list *list = &fixture->handle->instances;
 	g_autoptr (GString) text = g_string_new (NULL);
 	dff_memory_announce (fixture->memory, &worker, 0);
 	dff_memory_announce (fixture->memory, &other, 500);
@@ -377,12 +377,12 @@
 	dff_memory_announce (fixture->memory, &worker, 0);
 	for (size_t i = 0; i < G_N_ELEMENTS (cases); i++) {
 		fixture->clock.now_ms = 1000 + cases[i].at_ms;
-		list->list (list->ctx, take_instances, text);
+		list->list (list->ctx, handle_instances, text);
 		assert_string_equal (text->str, cases[i].listed);
 	}
 	dff_memory_remove_instance (fixture->memory, &worker.id);
 	advance (fixture, 300);
-	list->list (list->ctx, take_instances, text);
+	list->list (list->ctx, handle_instances, text);
 	assert_string_equal (text->str, "");
 }
 
@@ -396,10 +396,11 @@
 		cmocka_unit_test_setup_teardown (test_delay, setup, teardown),
 		cmocka_unit_test_setup_teardown (test_outage, setup, teardown),
 		cmocka_unit_test_setup_teardown (test_silence, setup, teardown),
-		cmocka_unit_test_setup_teardown (test_silence_keeps_the_order, setup, teardown),
+		cmocka_unit_test_setup_teardown (test_silence_keeps_effect_before_answer, setup,
+						 teardown),
 		cmocka_unit_test_setup_teardown (test_uncertain_commits, setup, teardown),
-		cmocka_unit_test_setup_teardown (test_one_caller_cut_off, setup, teardown),
-		cmocka_unit_test_setup_teardown (test_commit_outlives_its_caller, setup, teardown),
+		cmocka_unit_test_setup_teardown (test_outage_of_one_handle, setup, teardown),
+		cmocka_unit_test_setup_teardown (test_commit_outlives_its_handle, setup, teardown),
 		cmocka_unit_test_setup_teardown (test_objects, setup, teardown),
 		cmocka_unit_test_setup_teardown (test_instances_lag_and_expire, setup, teardown),
 	};
