--- a/backing/http_instance_list.c
+++ b/backing/http_instance_list.c
@@ -5,15 +5,15 @@
 #define INSTANCES_PATH "/v1/instances"
 
 struct dff_http_instance_list {
-	/** First, so that a call's service leads back to the list. */
+	/** First member: list_of() casts a call's service to the list. */
 	struct dff_http_service service;
 	struct dff_instance_list interface;
-	/** (nullable): the list that was read last, and its entity tag. */
+	/** (nullable): the last list received, and its entity tag. */
 	GArray *instances;
 	char *tag;
 };
 
-/* Returns: (nullable): array of struct dff_instance; NULL when @body is not a list. */
+/* Returns: (nullable): array of struct dff_instance; NULL when @body is malformed. */
 static GArray *
 parse_instances (struct dff_str body)
 {
@@ -29,7 +29,8 @@
 	json_decref (root);
 	if (valid)
 		return instances;
-	dff_log (DFF_LOG_PLATFORM, DFF_LOG_ERROR, "Instance list is malformed.");
+	dff_log (DFF_LOG_PLATFORM, DFF_LOG_ERROR,
+		 "Response of the instance list service is malformed.");
 	g_array_unref (instances);
 	return NULL;
 }
@@ -43,7 +44,8 @@
 	list->tag = g_strdup (tag);
 }
 
-/* Returns: (nullable): the list that @response stands for. */
+/* Returns: (nullable): the list in @response, or the cached one for 304 Not Modified; NULL when the
+ * call failed. */
 static GArray *
 list_from_response (struct dff_http_instance_list *list, const struct dff_http_response *response)
 {
@@ -78,8 +80,9 @@
 	dff_http_call_end (call);
 }
 
-/* The list is read each second, and of a region with 360 workers it is 90 KB long, while hardly
- * anything in it changes: only a changed one is sent. */
+/* Sends the entity tag of the cached list, so that the service returns the list only when it has
+ * changed. The list is polled each second, rarely changes, and for a region with 360 workers has
+ * 90 KB. */
 static void
 list_instances (void *ctx, dff_instance_list_func done, void *user)
 {
@@ -95,7 +98,8 @@
 {
 	struct dff_http_call *call = user;
 	if (response->outcome != DFF_HTTP_ANSWERED || response->status != 200)
-		dff_log (DFF_LOG_PLATFORM, DFF_LOG_WARNING, "Announcement failed. status=%d",
+		dff_log (DFF_LOG_PLATFORM, DFF_LOG_WARNING,
+			 "Announcing this instance to the platform failed. status=%d",
 			 response->status);
 	dff_http_call_end (call);
 }
--- a/backing/http_service.h
+++ b/backing/http_service.h
@@ -5,11 +5,12 @@
 
 #include "backing/http.h"
 
-/* What the three HTTP services of the platform share: sending a call and keeping track of it. */
+/* Common to the HTTP clients of the table, the object store and the instance list: sends calls and
+ * keeps those without an answer. */
 
 struct dff_http_service {
 	struct dff_http_service_options options;
-	/** struct dff_http_call, a set; freed with the service. */
+	/** Set of struct dff_http_call without an answer; freed with the service. */
 	GHashTable *calls;
 };
 
@@ -22,7 +23,7 @@
 	DFF_HTTP_CALL_ANNOUNCE,
 };
 
-/** A call without answer yet. */
+/** A call that has not been answered yet. */
 struct dff_http_call {
 	struct dff_http_service *service;
 	enum dff_http_call_kind kind;
@@ -30,7 +31,7 @@
 	dff_object_func object_done;
 	dff_instance_list_func list_done;
 	void *user;
-	/** (nullable): the entity tag that is known, sent as If-None-Match. */
+	/** (nullable): entity tag of the cached copy, sent as If-None-Match. */
 	const char *known_tag;
 };
 
@@ -43,10 +44,10 @@
 struct dff_http_call *
 dff_http_call_begin (struct dff_http_service *service, enum dff_http_call_kind kind, void *user);
 
-/** To be called once the answer has been passed on. */
+/** Frees @call. To be called after its callback. */
 void dff_http_call_end (struct dff_http_call *call);
 
-/** Sends @body; @done gets @call as its user. */
+/** Sends @body; @done is called with @call as its user. */
 void dff_http_call_send (struct dff_http_call *call,
 			 enum evhttp_cmd_type method,
 			 const char *path,
--- a/backing/http_table.c
+++ b/backing/http_table.c
@@ -7,9 +7,9 @@
 	struct dff_table interface;
 };
 
-/* Only what the service itself says proves that a commit was not written: an answer from something
- * in between (502, 504) may come after the service has been reached. Symptom otherwise: a caller is
- * told "not run", and the job runs. */
+/* Only statuses that the table service itself sends prove that a commit was not written. A proxy's
+ * 502 or 504 may come after the commit has reached the service: taken for a failure, it would have
+ * the caller receive "not run" for a job that runs. */
 static enum dff_table_outcome
 commit_outcome (const struct dff_http_response *response)
 {
@@ -57,7 +57,8 @@
 		root = json_loadb (response->body.data, response->body.len, 0, NULL);
 		if (!dff_table_wire_result_from_json (root, rows, &result)) {
 			dff_log (DFF_LOG_PLATFORM, DFF_LOG_ERROR,
-				 "Table's answer is malformed. status=%d", response->status);
+				 "Response of the table service is malformed. status=%d",
+				 response->status);
 			result = (struct dff_table_result){0};
 			result.outcome = is_commit ? DFF_TABLE_UNCERTAIN : DFF_TABLE_UNAVAILABLE;
 		}
@@ -75,7 +76,7 @@
 	return call;
 }
 
-/* Ends a call that cannot be put into JSON, so that nothing was sent. */
+/* Ends a call whose arguments cannot be encoded as JSON; nothing has been sent. */
 static void
 refuse (struct dff_http_call *call)
 {
--- a/backing/instance_watch.c
+++ b/backing/instance_watch.c
@@ -5,10 +5,12 @@
 
 #include "common/log.h"
 
-/* Covers a client that never calls back, so that polling cannot stop for good. */
+/* A poll without a callback for this long is abandoned, so that a client that never calls back does
+ * not stop polling for good. */
 #define POLL_TIMEOUT_MS 10000
 
-/** A lost announcement and a late one leave the process listed; more would only cost bytes. */
+/** The process stays listed if one announcement is lost and the next is late; more announcements
+ * would only add traffic. */
 #define ANNOUNCEMENTS_PER_TTL 3
 
 struct poll {
@@ -18,7 +20,7 @@
 struct dff_instance_watch {
 	struct dff_instance_watch_options options;
 	GRand *random;
-	/** Last list delivered, ordered by id. Elements: struct dff_instance. */
+	/** Last list passed to the changed callback, by id. Elements: struct dff_instance. */
 	GArray *instances;
 	struct poll *poll;
 	int64_t polled_ms;
@@ -150,8 +152,8 @@
 dff_instance_watch_tick (struct dff_instance_watch *watch)
 {
 	int64_t now_ms = dff_clock_now_ms (watch->options.clock);
-	/* Not tied to the polls: one that is never answered would hold the announcement back past
-	 * its time to live, and a live process would drop out of the list. */
+	/* Announcements do not depend on polls: a poll that is never answered would delay them
+	 * beyond the time to live, and the list would drop a live process. */
 	if (now_ms >= watch->next_announce_ms) {
 		watch->next_announce_ms = now_ms + watch->options.ttl_ms / ANNOUNCEMENTS_PER_TTL;
 		announce (watch);
--- a/backing/instance_wire.c
+++ b/backing/instance_wire.c
@@ -9,7 +9,7 @@
 	[DFF_INSTANCE_ENTRY] = "entry",
 };
 
-/** The fields that are names. */
+/** Fields of type struct dff_name. */
 static const struct {
 	const char *key;
 	size_t offset;
--- a/backing/instance_wire.h
+++ b/backing/instance_wire.h
@@ -6,7 +6,7 @@
 
 #include "backing/instance_list.h"
 
-/* Instances as JSON, docs/BACKING.md; shared by the client and the stand-in. */
+/* JSON encoding of instances (docs/BACKING.md), used by the client and the stand-in platform. */
 
 json_t *dff_instance_wire_to_json (const struct dff_instance *instance);
 
--- a/backing/memory.c
+++ b/backing/memory.c
@@ -12,7 +12,7 @@
 
 struct event {
 	int64_t due_ms;
-	/** Order among events of the same time. */
+	/** Order among events with the same due time. */
 	uint64_t sequence;
 	enum event_phase phase;
 	struct dff_memory_call *call;
@@ -23,7 +23,7 @@
 	GRand *rand;
 	struct dff_memory_store store;
 	struct dff_memory_instances instances;
-	/** struct event, in order of time. */
+	/** struct event, by due time, then sequence. */
 	GSequence *events;
 	uint64_t next_sequence;
 	GPtrArray *handles;
@@ -76,7 +76,7 @@
 		memory->counts.conflicts++;
 }
 
-/* Takes the event over. */
+/* Frees @event, or keeps it in the handle's held queue during a silence. */
 static void
 run_event (struct dff_memory *memory, struct event *event)
 {
@@ -113,7 +113,8 @@
 	return permille > 0 && g_rand_int_range (memory->rand, 0, 1000) < permille;
 }
 
-/* Returns: whether a fault with a count of calls left, or its chance, applies now. */
+/* Returns: whether the fault applies to this call: @count calls left are affected, then each with a
+ * chance of @permille. */
 static bool
 fault_applies (struct dff_memory *memory, int32_t *count, int32_t permille)
 {
@@ -136,7 +137,7 @@
 	(*counters[kind])++;
 }
 
-/* Refuses @call before it reaches the platform. */
+/* Answers @call as unavailable; the call has no effect and is not counted. */
 static void
 refuse (struct dff_memory_call *call)
 {
@@ -145,7 +146,7 @@
 	dff_memory_call_free (call);
 }
 
-/* Returns: when a commit takes effect, or -1 for never; sets whether its answer is lost. */
+/* Returns: time at which a commit takes effect, ms; -1: never. Sets call->answer_lost. */
 static int64_t
 commit_effect_ms (struct dff_memory *memory,
 		  struct dff_memory_call *call,
@@ -173,7 +174,7 @@
 	return g_rand_int_range (memory->rand, faults->delay_min_ms, faults->delay_max_ms + 1);
 }
 
-/* Runs the events of @call that are due, so that a platform without delay answers at once. */
+/* Runs the due events of @call, so that without a delay it is answered before it returns. */
 static void
 run_due_events_of (struct dff_memory *memory, const struct dff_memory_call *call)
 {
@@ -188,7 +189,8 @@
 			left--;
 			g_sequence_remove (iter);
 			run_event (memory, event);
-			/* The callback may have made and run calls of its own. */
+			/* The callback may have made calls, which changes the sequence: start over.
+			 */
 			next = g_sequence_get_begin_iter (memory->events);
 		}
 		iter = next;
@@ -226,8 +228,8 @@
 {
 	if (is_silent (handle))
 		return;
-	/* They keep their times: put after events that fell due meanwhile, an effect would come
-	 * after its own answer. */
+	/* Held events keep their due times: after events that fell due during the silence, an
+	 * effect would run after the answer of its call. */
 	struct event *event;
 	while ((event = g_queue_pop_head (&handle->held)) != NULL) {
 		g_sequence_insert_sorted (memory->events, event, event_compare, NULL);
--- a/backing/memory_call.h
+++ b/backing/memory_call.h
@@ -4,7 +4,7 @@
 #include "backing/memory_instances.h"
 #include "backing/memory_store.h"
 
-/* Calls to the in-memory platform that are on their way: arguments, effect, answer. */
+/* Pending calls to the in-memory platform: arguments, effect, result. */
 
 enum dff_memory_call_kind {
 	DFF_CALL_GET,
@@ -16,13 +16,13 @@
 	DFF_CALL_LIST,
 };
 
-/** A call on its way; freed after its last event. */
+/** A pending call; freed after its last event. */
 struct dff_memory_call {
 	enum dff_memory_call_kind kind;
 	/** NULL once the handle is closed. */
 	struct dff_memory_handle *handle;
 	int events_left;
-	/** The caller is told UNCERTAIN whatever the effect. */
+	/** The result is UNCERTAIN, whether the call took effect or not. */
 	bool answer_lost;
 
 	GPtrArray *keys;
@@ -53,13 +53,13 @@
 
 void dff_memory_call_free (struct dff_memory_call *call);
 
-/** Reads or writes; the result is kept in @call. */
+/** Executes the read or write and stores the result in @call. */
 void dff_memory_call_take_effect (struct dff_memory_call *call,
 				  struct dff_memory_store *store,
 				  struct dff_memory_instances *instances,
 				  int64_t now_ms);
 
-/** Calls back, unless the handle is closed. */
+/** Runs the callback, unless the handle is closed. */
 void dff_memory_call_answer (const struct dff_memory_call *call);
 
 #endif
--- a/backing/memory_instances.c
+++ b/backing/memory_instances.c
@@ -4,7 +4,7 @@
 
 struct entry {
 	struct dff_instance instance;
-	/** When it disappears from the list, lag included. */
+	/** Time at which the entry leaves the list, lag included, ms. */
 	int64_t expires_ms;
 };
 
@@ -29,7 +29,7 @@
 	g_ptr_array_unref (instances->visible);
 }
 
-/* Returns: the index of @id, or where it belongs. */
+/* Returns: the index of @id, or the index at which to insert it. */
 static guint
 find (const GPtrArray *visible, const struct dff_name *id, bool *found)
 {
@@ -79,7 +79,7 @@
 			       int32_t ttl_ms,
 			       int64_t now_ms)
 {
-	/* Keeps the queue as short as the lag when nobody lists. */
+	/* Bounds the queue to the changes within the lag when the list is never read. */
 	advance (instances, now_ms);
 	struct change *change = g_new0 (struct change, 1);
 	change->visible_ms = now_ms + instances->lag_ms;
--- a/backing/memory_instances.h
+++ b/backing/memory_instances.h
@@ -9,9 +9,9 @@
 
 struct dff_memory_instances {
 	int32_t lag_ms;
-	/** struct change, in order of time. */
+	/** struct change, by time at which they become visible. */
 	GQueue changes;
-	/** struct entry, in order of id. */
+	/** struct entry, by id. */
 	GPtrArray *visible;
 };
 
@@ -29,7 +29,7 @@
 				  const struct dff_name *id,
 				  int64_t now_ms);
 
-/** Returns: array of struct dff_instance as seen at @now_ms, in order of id. */
+/** Returns: array of struct dff_instance as listed at @now_ms, by id. */
 GArray *dff_memory_instances_list (struct dff_memory_instances *instances, int64_t now_ms);
 
 #endif
--- a/backing/memory_store.c
+++ b/backing/memory_store.c
@@ -7,7 +7,7 @@
 {
 	struct dff_str str = {0};
 	str.data = g_bytes_get_data (bytes, &str.len);
-	/* An empty value is not a deletion; GBytes gives NULL for both. */
+	/* data NULL stands for a deletion, but GBytes returns NULL for an empty value. */
 	if (str.data == NULL)
 		str.data = "";
 	return str;
@@ -51,7 +51,7 @@
 	const struct dff_memory_row *right = b;
 	if (left->revision != right->revision)
 		return left->revision < right->revision ? -1 : 1;
-	/* A row without key sorts after every row of its revision: the start of a scan. */
+	/* The start of a scan has no key: it sorts after every row of its revision. */
 	if (left->key == NULL || right->key == NULL)
 		return (left->key == NULL) - (right->key == NULL);
 	return g_bytes_compare (left->key, right->key);
@@ -108,8 +108,8 @@
 	       (prefix.len == 0 || memcmp (str.data, prefix.data, prefix.len) == 0);
 }
 
-/* A reader goes on after the last revision it saw. Cut in the middle of a commit, the rest of that
- * commit would never be read: symptom, a job that is in the table and that no holder knows. */
+/* A page never ends within a commit. The next scan starts after the last revision returned and
+ * would skip the other rows of that commit: no holder would load a job that is in the table. */
 bool
 dff_memory_store_scan (const struct dff_memory_store *store,
 		       struct dff_str prefix,
--- a/backing/memory_store.h
+++ b/backing/memory_store.h
@@ -7,10 +7,10 @@
 #include "backing/object_store.h"
 #include "backing/table.h"
 
-/* The data of the in-memory platform: rows, write ids and objects. Every call takes effect at once;
- * delay and faults are added by memory.c. */
+/* The data of the in-memory platform: rows, write ids and objects. Every call takes effect
+ * immediately; memory.c adds delays and faults. */
 
-/** A row as stored; also what a read returns a copy of. */
+/** A stored row; reads return copies. */
 struct dff_memory_row {
 	GBytes *key;
 	GBytes *value;
@@ -18,7 +18,7 @@
 };
 
 struct dff_memory_store {
-	/** GBytes key to struct dff_memory_row, which it owns. */
+	/** GBytes key to struct dff_memory_row, owned. */
 	GHashTable *rows;
 	/** The same rows in order of revision, then key. */
 	GTree *rows_by_revision;
@@ -41,7 +41,7 @@
 void
 dff_memory_store_get (const struct dff_memory_store *store, const GPtrArray *keys, GPtrArray *rows);
 
-/** Appends copies of rows to @rows, as dff_table's scan says. Returns: whether there are more. */
+/** Appends copies of rows to @rows, see dff_table's scan. Returns: whether more rows follow. */
 bool dff_memory_store_scan (const struct dff_memory_store *store,
 			    struct dff_str prefix,
 			    int64_t after,
--- a/backing/table_txn.c
+++ b/backing/table_txn.c
@@ -16,7 +16,7 @@
 static struct dff_str
 copy_str (char **next, struct dff_str str)
 {
-	/* NULL means deletion and an empty value does not: keep them apart. */
+	/* NULL means deletion, an empty value does not: copy NULL as NULL. */
 	if (str.data == NULL)
 		return str;
 	struct dff_str copy = {.data = *next, .len = str.len};
--- a/backing/table_txn.h
+++ b/backing/table_txn.h
@@ -4,7 +4,7 @@
 #include "backing/table.h"
 #include "common/cleanup.h"
 
-/* Copies of transactions, for those that keep one past the call. */
+/* Copies of transactions, for code that keeps a transaction after the call returns. */
 
 /** Returns: a deep copy in one allocation, to be freed with dff_table_txn_free(). */
 struct dff_table_txn *dff_table_txn_copy (const struct dff_table_txn *txn);
--- a/backing/table_wire.c
+++ b/backing/table_wire.c
@@ -21,7 +21,7 @@
 	return json_stringn (str.data, str.len);
 }
 
-/* Returns: false when @value is NULL, which is what a string that is not UTF-8 became. */
+/* Returns: false when @value is NULL; jansson returns NULL for a string that is not UTF-8. */
 static bool
 set (json_t *object, const char *key, json_t *value)
 {
--- a/backing/table_wire.h
+++ b/backing/table_wire.h
@@ -7,13 +7,13 @@
 
 #include "backing/table.h"
 
-/* The table's calls and answers as JSON, docs/BACKING.md; shared by the client and the stand-in.
- * Keys and values are UTF-8 text. */
+/* JSON encoding of the table's calls and results (docs/BACKING.md), used by the client and the
+ * stand-in platform. Keys and values are UTF-8 text. */
 
-/** Borrows a JSON string's bytes; data NULL when @value is none. */
+/** Borrows the bytes of a JSON string; data is NULL when @value is not a string. */
 struct dff_str dff_wire_str (const json_t *value);
 
-/** Reads an identifier. Returns: false when @value is none. */
+/** Parses an identifier. Returns: false when @value is not a valid one. */
 bool dff_wire_name (const json_t *value, struct dff_name *name);
 
 /** Returns: (nullable): NULL when a key or value is not UTF-8. */
@@ -22,12 +22,13 @@
 /** A transaction that borrows its strings from the JSON it was read from. */
 struct dff_table_wire_txn {
 	struct dff_table_txn txn;
-	/** struct dff_table_condition, struct dff_table_write. */
+	/** Elements: struct dff_table_condition. */
 	GArray *conditions;
+	/** Elements: struct dff_table_write. */
 	GArray *writes;
 };
 
-/** Returns: false when @root is not a transaction. Clear it in both cases. */
+/** Returns: false when @root is not a transaction. @out is to be cleared in both cases. */
 bool dff_table_wire_txn_from_json (const json_t *root, struct dff_table_wire_txn *out);
 
 void dff_table_wire_txn_clear (struct dff_table_wire_txn *out);
--- a/include/backing/http.h
+++ b/include/backing/http.h
@@ -10,19 +10,19 @@
 #include "common/http_client.h"
 
 /*
- * The platform over HTTP and JSON, as docs/BACKING.md describes it. A call that gets no answer
- * within its timeout ends, and the connection it was on is not used again, so that a connection
- * that has gone silent is noticed within @timeout_ms of the next call on it and replaced.
+ * Clients of the platform's HTTP and JSON services (docs/BACKING.md). When a call gets no answer
+ * within its timeout, it ends and its connection is not reused: a connection that no longer answers
+ * is replaced within @timeout_ms of the next call on it.
  */
 
 struct dff_http_service_options {
-	/** Borrowed. To be freed before the services that use it. */
+	/** Borrowed; to be freed before the services that use the client. */
 	struct dff_http_client *client;
 	/** "IP:PORT" of the service. */
 	struct dff_name address;
-	/** This process, sent with each call as X-Instance; may be empty. */
+	/** Id of this process, sent with each call as X-Instance; may be empty. */
 	struct dff_name instance;
-	/** Longest time of a call, ms. */
+	/** Timeout of a call, ms. */
 	int32_t timeout_ms;
 };
 
@@ -31,7 +31,7 @@
 
 struct dff_http_table;
 
-/** Returns: (transfer full): nothing is sent before the first call. */
+/** Returns: (transfer full): a client; sends nothing before the first call. */
 struct dff_http_table *dff_http_table_new (const struct dff_http_service_options *options);
 
 void dff_http_table_free (struct dff_http_table *table);
--- a/include/backing/instance_list.h
+++ b/include/backing/instance_list.h
@@ -7,7 +7,7 @@
 
 #include "common/str.h"
 
-/* The platform's list of live and leaving instances. It lags behind reality by seconds. */
+/* The platform's list of live and leaving instances. Changes appear in the list seconds late. */
 
 enum dff_instance_role {
 	DFF_INSTANCE_WORKER,
@@ -18,7 +18,7 @@
 	enum dff_instance_role role;
 	bool leaving;
 	struct dff_name id;
-	/** "IP:PORT" of its HTTP endpoint. */
+	/** "IP:PORT" of the HTTP endpoint. */
 	struct dff_name address;
 	struct dff_name rack;
 	struct dff_name data_centre;
@@ -31,7 +31,7 @@
 };
 
 struct dff_instance_list_result {
-	/** false: the list could not be read; the last one read goes on being used. */
+	/** false: the list could not be read; the last list that was read stays valid. */
 	bool ok;
 	/** Valid in the callback only. */
 	const struct dff_instance *instances;
@@ -43,8 +43,8 @@
 /**
  * struct dff_instance_list:
  * @list: reads the list
- * @announce: (nullable): tells the list about this process, for platforms that do not know their
- *   instances by themselves. The entry lapses after @ttl_ms, so it is repeated; without answer.
+ * @announce: (nullable): registers this process, for platforms that do not discover their
+ * instances. The entry expires after @ttl_ms and needs to be repeated; there is no answer.
  */
 struct dff_instance_list {
 	void (*list) (void *ctx, dff_instance_list_func done, void *user);
--- a/include/backing/memory.h
+++ b/include/backing/memory.h
@@ -13,27 +13,27 @@
 
 /*
  * Table, object store and instance list in memory, with scripted faults, for tests and for the
- * stand-in platform. Deterministic: time is a struct dff_clock, chance is seeded. Each caller has a
- * handle of its own, so that one can be cut off while others are not.
+ * stand-in platform. Deterministic: time comes from a struct dff_clock, random numbers are seeded.
+ * Each process has its own handle, so that faults can affect one process and not the others.
  */
 
 struct dff_memory;
 
-/** 0: no limit. A write beyond a limit is answered as unavailable. */
+/** Limits; 0: none. A write beyond a limit is answered UNAVAILABLE. */
 struct dff_memory_limits {
 	size_t max_rows;
 	size_t max_row_bytes;
-	/** A scan ends once it has read this much. */
+	/** A scan ends once it has read this many bytes. */
 	size_t max_scan_bytes;
-	/** Write ids remembered; the oldest are forgotten. */
+	/** Write ids that are kept; the oldest are dropped. */
 	size_t max_write_ids;
-	size_t max_object_bytes; /**< Of all objects together. */
+	size_t max_object_bytes; /**< All objects together. */
 };
 
 struct dff_memory_options {
 	const struct dff_clock *clock;
 	uint64_t seed;
-	/** The instance list shows the state of this long ago, ms. */
+	/** Delay of changes in the instance list, ms. */
 	int32_t instance_lag_ms;
 	struct dff_memory_limits limits;
 };
@@ -46,29 +46,29 @@
 
 DFF_DEFINE_CLEANUP (dff_memory, dff_memory_free);
 
-/** Takes effect and answers what is due by the clock. */
+/** Executes the effects and answers that are due by the clock. */
 void dff_memory_tick (struct dff_memory *memory);
 
-/** Returns: monotonic ms at which the next call is due; INT64_MAX: none. */
+/** Returns: time of the next effect or answer, monotonic ms; INT64_MAX: none. */
 int64_t dff_memory_next_due_ms (const struct dff_memory *memory);
 
-/** Until when an outage lasts that ends only when it is lifted. */
+/** End time of an outage that lasts until the fault is reset. */
 #define DFF_MEMORY_FOREVER INT64_MAX
 
 /**
  * struct dff_memory_faults:
- * What happens to the calls of one handle. All zero: every call is answered before it returns.
- * @delay_min_ms, @delay_max_ms: each call is answered after a time from this range and takes effect
- *   half-way
+ * Faults of the calls of one handle. All zero: every call is answered before it returns.
+ * @delay_min_ms, @delay_max_ms: each call is answered after a random time in this range and takes
+ *   effect after half of that time
  * @outage_until_ms: until this monotonic time every call is answered UNAVAILABLE at once
  * @silent_until_ms: until this monotonic time no call takes effect and none is answered; then all
- *   are, in order
+ *   held calls take effect and are answered, in order
  * @lose_answers: the next so many commits take effect and are answered UNCERTAIN
  * @late_writes: the next so many commits are answered UNCERTAIN and take effect @late_ms later,
- *   unless a lookup refused their write id before
+ *   unless a lookup has refused their write id by then
  * @lost_writes: the next so many commits are answered UNCERTAIN and never take effect
- * @lose_permille, @late_permille, @lost_permille: the same by seeded chance, for each commit
- * @unavailable_permille: chance of each call to be answered UNAVAILABLE
+ * @lose_permille, @late_permille, @lost_permille: probability of the same faults for each commit
+ * @unavailable_permille: probability that a call is answered UNAVAILABLE
  */
 struct dff_memory_faults {
 	int32_t delay_min_ms;
@@ -87,9 +87,8 @@
 
 /**
  * struct dff_memory_handle:
- * A handle: the interfaces to pass on, and the faults of its calls, which may be changed at any
- * time. Faults take hold of the calls made from then on; a silence also of calls and answers that
- * are on their way.
+ * The interfaces of one process, and the faults of its calls, which may be changed at any time.
+ * Faults affect the calls made after the change; a silence also affects pending calls and answers.
  */
 struct dff_memory_handle {
 	struct dff_table table;
@@ -97,7 +96,7 @@
 	struct dff_instance_list instances;
 	struct dff_memory_faults faults;
 	struct dff_memory *memory;
-	/** Private: calls kept back by a silence. */
+	/** Private: events held until a silence ends. */
 	GQueue held;
 };
 
@@ -107,20 +106,20 @@
 /**
  * dff_memory_close:
  *
- * Closes a handle. Like a process that dies: its commits that are on their way still take effect,
- * and no callback comes any more. To be called before what the callbacks point to is freed.
+ * Closes a handle, as when a process dies: pending commits still take effect, and no callback runs
+ * any more. To be called before the user data of the callbacks is freed.
  */
 void dff_memory_close (struct dff_memory_handle *handle);
 
-/** Adds or replaces an instance. It is listed for @ttl_ms; 0: until it is removed. */
+/** Adds or replaces an instance, listed for @ttl_ms; 0: until removed. */
 void dff_memory_announce (struct dff_memory *memory,
 			  const struct dff_instance *instance,
 			  int32_t ttl_ms);
 
-/** Takes an instance off the list, which shows it after the lag. */
+/** Removes an instance; the list shows the removal after the lag. */
 void dff_memory_remove_instance (struct dff_memory *memory, const struct dff_name *id);
 
-/** Calls that reached the platform (not refused by an outage), since it was made. */
+/** Calls that reached the platform (not refused by an outage) since dff_memory_new(). */
 struct dff_memory_counts {
 	int64_t gets;
 	int64_t scans;
@@ -134,19 +133,19 @@
 	int64_t lists;
 };
 
-/** Returns: the counts of all handles together. */
+/** Returns: the counts over all handles. */
 struct dff_memory_counts dff_memory_counts (const struct dff_memory *memory);
 
 /**
  * dff_memory_peek:
- * @row: (out): the row as it is now; valid until the next commit
+ * @row: (out): the current row; valid until the next commit
  *
- * Reads a row past all faults, for checks in tests. Returns: false when it does not exist.
+ * Reads a row without faults, for checks in tests. Returns: false when the row does not exist.
  */
 bool
 dff_memory_peek (const struct dff_memory *memory, struct dff_str key, struct dff_table_row *row);
 
-/** Returns: the table's revision, past all faults. */
+/** Returns: the table's revision, read without faults. */
 int64_t dff_memory_revision (const struct dff_memory *memory);
 
 #endif
--- a/include/backing/object_store.h
+++ b/include/backing/object_store.h
@@ -5,8 +5,8 @@
 
 #include "common/str.h"
 
-/* The platform's object store: immutable objects of bytes under keys. Asynchronous like the table.
- */
+/* The platform's object store: immutable byte objects by key. Calls are asynchronous, as those of
+ * the table. */
 
 enum dff_object_outcome {
 	DFF_OBJECT_OK,
@@ -24,8 +24,8 @@
 
 /**
  * struct dff_object_store:
- * @put: writes an object whole; writing the same key again with the same bytes is harmless
- * @get: reads an object whole
+ * @put: writes a whole object; writing the same bytes under the same key again has no effect
+ * @get: reads a whole object
  */
 struct dff_object_store {
 	void (*put) (void *ctx,
--- a/include/backing/table.h
+++ b/include/backing/table.h
@@ -8,19 +8,19 @@
 #include "common/str.h"
 
 /*
- * The platform's transactional table: rows of bytes under keys, each with the revision of its last
- * write. Every call is asynchronous and ends in exactly one callback, which may run before the call
- * returns. docs/BACKING.md states what is expected of it.
+ * The platform's transactional table: byte values by key, each with the revision of its last write.
+ * Every call is asynchronous and ends in exactly one callback, which may run before the call
+ * returns. docs/BACKING.md states the requirements on a table.
  */
 
 enum dff_table_outcome {
 	DFF_TABLE_OK,
 	/** A condition did not hold; nothing was written. */
 	DFF_TABLE_CONFLICT,
-	/** Proven not written (refused, or not sent). */
+	/** Certainly not written: refused, or not sent. */
 	DFF_TABLE_UNAVAILABLE,
-	/** The answer was lost: written or not, and a late write may still take effect. Resolve it
-	 * by reading back the write id. */
+	/** The answer was lost: the commit may have been written, or may still be written later.
+	 * Look up the write id to find out. */
 	DFF_TABLE_UNCERTAIN,
 };
 
@@ -32,7 +32,7 @@
 	int64_t revision;
 };
 
-/** A row's revision must be @revision; 0: the row must not exist. */
+/** Requires that the row has this revision; 0: that the row does not exist. */
 struct dff_table_condition {
 	struct dff_str key;
 	int64_t revision;
@@ -44,10 +44,10 @@
 	struct dff_str value;
 };
 
-/** All of it, or nothing. Borrowed for the length of the call only. */
+/** Applied as a whole or not at all. Borrowed for the duration of the call. */
 struct dff_table_txn {
-	/** Kept by the table with the commit: committing the same id twice has the first one's
-	 * effect and answer. Unique for each distinct transaction. */
+	/** Unique id of the transaction, stored by the table with the commit: a second commit with
+	 * the same id has no further effect and the same result. */
 	struct dff_name write_id;
 	const struct dff_table_condition *conditions;
 	size_t n_conditions;
@@ -57,12 +57,13 @@
 
 struct dff_table_result {
 	enum dff_table_outcome outcome;
-	/** Revision of the commit, or of the table when it was read. */
+	/** Revision of the commit, or of the table at the time of the read. */
 	int64_t revision;
-	/** Rows read, valid in the callback only; for a commit that conflicted: none. */
+	/** Rows read, valid in the callback only; none for a commit with a conflict. */
 	const struct dff_table_row *rows;
 	size_t n_rows;
-	/** A scan ended before the last row; go on after the revision of rows[n_rows - 1]. */
+	/** A scan ended before the last row; the next one starts after the revision of
+	 * rows[n_rows - 1]. */
 	bool more;
 };
 
@@ -72,13 +73,13 @@
  * struct dff_table:
  * @get: reads the rows under @keys that exist
  * @scan: reads rows whose key starts with @prefix and whose revision is above @after, in order of
- *   revision; ends after @limit rows or earlier, with more set, but never within a commit, as its
- *   rows share one revision: the last commit comes whole
+ *   revision. Ends after @limit rows or earlier, with more set, but never within a commit: the rows
+ *   of a commit share one revision, so that the last commit is returned whole
  * @commit: applies a transaction
- * @lookup: tells whether the transaction with @write_id took effect: OK with its revision, or
- *   CONFLICT when it has not and, from now on, will not (the table refuses that id afterwards);
- *   UNAVAILABLE and UNCERTAIN tell nothing: ask again
- * @ctx: passed to each
+ * @lookup: returns whether the transaction with @write_id took effect: OK with its revision, or
+ *   CONFLICT when it has not and will not, as the table refuses that id from then on. UNAVAILABLE
+ *   and UNCERTAIN say nothing about the transaction: repeat the lookup
+ * @ctx: passed to every function
  */
 struct dff_table {
 	void (*get) (void *ctx,
--- a/tests/backing/memory_fixture.h
+++ b/tests/backing/memory_fixture.h
@@ -4,7 +4,7 @@
 #include "backing/memory.h"
 #include "common/metrics.h"
 
-/* The platform in memory and one caller of it, under a virtual clock. */
+/* The in-memory platform with one handle, under a virtual clock. */
 
 struct memory_fixture {
 	struct dff_clock_virtual time;
@@ -15,13 +15,13 @@
 
 void memory_fixture_init (struct memory_fixture *fixture);
 
-/** Drops calls in progress; whoever made them must still be there. */
+/** Drops pending calls; the user data of their callbacks must still be valid. */
 void memory_fixture_close (struct memory_fixture *fixture);
 
-/** After memory_fixture_close(), and after whoever uses the metrics is gone. */
+/** To be called after memory_fixture_close(), and after the users of the metrics are freed. */
 void memory_fixture_clear (struct memory_fixture *fixture);
 
-/** Lets time pass in steps of 50 ms and calls @tick with @user in each. */
+/** Advances the clock in steps of 50 ms and calls @tick with @user in each. */
 void memory_fixture_run (struct memory_fixture *fixture,
 			 int64_t length_ms,
 			 void (*tick) (void *user),
--- a/tests/backing/test-http-platform.c
+++ b/tests/backing/test-http-platform.c
@@ -10,7 +10,8 @@
 #include "backing/http.h"
 #include "standin/platform_server.h"
 
-/* The clients of the platform against the stand-in, both in this process on loopback. */
+/* Tests the HTTP clients of the platform against the stand-in server, both in this process, over
+ * loopback. */
 
 struct fixture {
 	struct event_base *base;
@@ -25,7 +26,7 @@
 struct answer {
 	struct event_base *base;
 	int calls;
-	/** Of whatever kind of call. */
+	/** Outcome of the call (enum by kind of call), or HTTP status. */
 	int outcome;
 	int64_t revision;
 	GString *text;
@@ -85,7 +86,7 @@
 	answer->text = g_string_new (NULL);
 }
 
-/* Waits for the answer, and forgets its text. */
+/* Runs the event loop until the answer arrives. */
 static void
 answer_wait (struct answer *answer)
 {
@@ -203,8 +204,8 @@
 	g_string_free (answer.text, TRUE);
 }
 
-/* Symptom: a job is called refused, and is in the table. Sequence: the commit takes effect and its
- * connection closes without an answer. Cause: the lost answer was taken for a failure. */
+/* Guards against taking a lost answer for a failure: a commit takes effect and its connection
+ * closes without an answer, and a job is reported as refused although it is in the table. */
 static void
 test_commit_outcomes (void **state)
 {
@@ -250,7 +251,7 @@
 	assert_int_equal (answer.outcome, DFF_TABLE_CONFLICT);
 }
 
-/* A service that keeps silent: the call ends at its timeout, as UNCERTAIN for a commit. */
+/* When the service does not answer, a call ends at its timeout; a commit as UNCERTAIN. */
 static void
 test_call_without_answer_ends_at_the_timeout (void **state)
 {
@@ -380,9 +381,9 @@
 	return answer.text;
 }
 
-/* Symptom: an idle process receives 7.6 KB a second, with 24 workers; the bar is 6 KB. Sequence:
- * each process reads the instance list each second, and nothing on it changes. Cause: the whole
- * list came with every answer. */
+/* Guards against sending the whole instance list with each answer although nothing has changed.
+ * Each process polls the list each second: with 24 workers, an idle process received 7.6 KB/s, and
+ * the limit is 6 KB/s. */
 static void
 test_unchanged_list_is_not_sent_again (void **state)
 {
--- a/tests/backing/test-instance-watch.c
+++ b/tests/backing/test-instance-watch.c
@@ -86,8 +86,8 @@
 	assert_true (fixture->leaving);
 }
 
-/* Symptom: every worker counts as gone. Sequence: the instance list has an outage. Cause: a list
- * that could not be read was taken for an empty one. */
+/* Guards against treating a list that could not be read as an empty list: in an outage of the
+ * instance list every worker would count as gone. */
 static void
 test_keeps_the_last_list_through_an_outage (void **state)
 {
@@ -104,8 +104,8 @@
 	assert_int_equal (fixture->n_instances, 2);
 }
 
-/* Symptom: a process sees no change for ever. Sequence: a poll is never answered. Cause: the next
- * poll waited for it. */
+/* Guards against waiting without limit for a poll that is never answered: the process would not
+ * receive any further change. */
 static void
 test_polls_again_after_a_poll_timed_out (void **state)
 {
@@ -119,7 +119,7 @@
 	assert_int_equal (fixture->n_instances, 2);
 }
 
-/* A list that keeps its answer back. */
+/* An instance list that does not answer polls. */
 struct silent_list {
 	dff_instance_list_func done;
 	void *user;
@@ -152,9 +152,8 @@
 	silent->n_announced++;
 }
 
-/* Symptom: a live process drops out of the instance list, and its peers refuse its key. Sequence: a
- * poll of the list is never answered. Cause: it was announced only together with the next poll,
- * later than its time to live. */
+/* Guards against announcing only together with the next poll: when a poll is never answered, the
+ * announcement expires, the live process drops out of the list, and its peers refuse its key. */
 static void
 test_announces_while_a_poll_is_pending (void **state)
 {
@@ -176,7 +175,8 @@
 	struct dff_instance_watch *watch = dff_instance_watch_new (&options);
 	for (; time.now_ms < 1000 + 9 * POLL_MS; time.now_ms += 50)
 		dff_instance_watch_tick (watch);
-	/* Three within the 5 s that one lasts, so that one may be lost; at steps of 50 ms. */
+	/* Three announcements per time to live of 5 s, so that one may be lost; the clock advances
+	 * in steps of 50 ms. */
 	assert_int_equal (silent.n_announced, 6);
 	assert_int_equal (silent.longest_gap_ms, 1700);
 	dff_instance_watch_free (watch);
--- a/tests/backing/test-memory.c
+++ b/tests/backing/test-memory.c
@@ -14,7 +14,7 @@
 	struct dff_memory_handle *handle;
 };
 
-/** The last answer of a call to the table. */
+/** The last result of a table call. */
 struct answer {
 	int calls;
 	enum dff_table_outcome outcome;
@@ -125,9 +125,9 @@
 	}
 }
 
-/* Symptom: a job that is in the table and that no holder knows. Sequence: one commit writes three
- * rows, a scan with a limit of two ends inside it, the next scan starts after its revision. Cause:
- * rows of one commit share a revision. */
+/* Guards against ending a scan within a commit, whose rows share one revision. One commit writes
+ * three rows; if a scan with a limit of two ends within it, the next scan starts after that
+ * revision, and no holder loads the job of the third row. */
 static void
 test_scan_keeps_commits_whole (void **state)
 {
@@ -161,8 +161,8 @@
 	}
 }
 
-/* Symptom: a new holder never gets beyond its first page. Sequence: rows are large, a page of them
- * is larger than what the client takes. Cause: only the number of rows was limited. */
+/* Guards against limiting pages by the number of rows only: a page of large rows exceeds what the
+ * client accepts, and a new holder never gets beyond its first page. */
 static void
 test_scan_is_limited_in_bytes (void **state)
 {
@@ -232,9 +232,9 @@
 	assert_true (exists (fixture, "a"));
 }
 
-/* Symptom: a commit is answered OK with revision 0, and nothing is written. Sequence: its effect
- * falls due during a silence, which ends; the next tick comes after its answer's time. Cause: what
- * was held got the time of the release, so that the answer came before the effect. */
+/* Guards against answering a commit OK with revision 0 before anything is written. Its effect falls
+ * due during a silence, and the next tick comes after the due time of the answer: if the held
+ * effect is rescheduled to the end of the silence, the answer runs first. */
 static void
 test_silence_keeps_effect_before_answer (void **state)
 {
@@ -304,9 +304,8 @@
 	dff_memory_close (other);
 }
 
-/* Symptom: a process dies with a commit on its way, and its successor reads a table without it.
- * Sequence: commit sent, process dies, commit takes effect. Cause: the table knows nothing of the
- * death. */
+/* A commit that a process sent before it died still takes effect, as the table does not notice the
+ * death: the successor may first read the table without the commit. */
 static void
 test_commit_outlives_its_handle (void **state)
 {
