--- a/bench/backfill.c
+++ b/bench/backfill.c
@@ -23,7 +23,7 @@
 
 /* Jobs that hold room, in the order in which they are declared to end. */
 static GPtrArray *
-holders (struct dff_baseline *baseline, int64_t now_ms)
+jobs_by_expected_end (struct dff_baseline *baseline, int64_t now_ms)
 {
 	GPtrArray *sorted = g_ptr_array_new ();
 	GHashTableIter iter;
@@ -42,11 +42,12 @@
 }
 
 static void
-release_holder (GArray *room, const struct dff_baseline_job *job)
+release_job (GArray *available, const struct dff_baseline_job *job)
 {
 	for (int32_t i = 0; i < job->spec.gang; i++) {
 		if (job->members[i].open)
-			dff_room_add (room, job->members[i].worker, &job->spec.per_task, 1);
+			dff_capacity_add (available, job->members[i].worker, &job->spec.per_task,
+					  1);
 	}
 }
 
@@ -56,11 +57,11 @@
 	    struct reservation *reservation)
 {
 	int32_t workers[DFF_JOB_GANG_MAX];
-	struct dff_cluster_view view = {.room = reservation->left};
+	struct dff_cluster_view view = {.available = reservation->left};
 	if (!dff_cluster_place (&baseline->cluster, &view, &head->spec, workers))
 		return false;
 	for (int32_t i = 0; i < head->spec.gang; i++)
-		dff_room_add (reservation->left, workers[i], &head->spec.per_task, -1);
+		dff_capacity_add (reservation->left, workers[i], &head->spec.per_task, -1);
 	return true;
 }
 
@@ -69,12 +70,12 @@
 {
 	struct reservation reservation = {
 		.start_ms = INT64_MAX,
-		.left = g_array_copy (baseline->cluster.room),
+		.left = g_array_copy (baseline->cluster.available),
 	};
-	g_autoptr (GPtrArray) sorted = holders (baseline, now_ms);
+	g_autoptr (GPtrArray) sorted = jobs_by_expected_end (baseline, now_ms);
 	for (guint i = 0; i < sorted->len; i++) {
 		const struct dff_baseline_job *job = g_ptr_array_index (sorted, i);
-		release_holder (reservation.left, job);
+		release_job (reservation.left, job);
 		/* Jobs that end together are released together. */
 		const struct dff_baseline_job *next =
 			i + 1 < sorted->len ? g_ptr_array_index (sorted, i + 1) : NULL;
@@ -93,7 +94,7 @@
 start_before_reservation (struct dff_baseline *baseline, struct dff_baseline_job *job)
 {
 	int32_t workers[DFF_JOB_GANG_MAX];
-	struct dff_cluster_view view = {.room = baseline->cluster.room};
+	struct dff_cluster_view view = {.available = baseline->cluster.available};
 	if (dff_cluster_place (&baseline->cluster, &view, &job->spec, workers))
 		dff_baseline_start (baseline, job, workers);
 	else
@@ -106,7 +107,8 @@
 			  const struct reservation *reservation)
 {
 	int32_t workers[DFF_JOB_GANG_MAX];
-	struct dff_cluster_view view = {.room = baseline->cluster.room, .limit = reservation->left};
+	struct dff_cluster_view view = {.available = baseline->cluster.available,
+					.limit = reservation->left};
 	struct dff_baseline_class *queue = job->queue;
 	if (queue->limited)
 		return;
@@ -115,7 +117,7 @@
 		return;
 	}
 	for (int32_t i = 0; i < job->spec.gang; i++)
-		dff_room_add (reservation->left, workers[i], &job->spec.per_task, -1);
+		dff_capacity_add (reservation->left, workers[i], &job->spec.per_task, -1);
 	dff_baseline_start (baseline, job, workers);
 }
 
@@ -146,7 +148,7 @@
 void
 dff_backfill_schedule (struct dff_baseline *baseline, int64_t now_ms)
 {
-	struct dff_cluster_view view = {.room = baseline->cluster.room};
+	struct dff_cluster_view view = {.available = baseline->cluster.available};
 	int32_t workers[DFF_JOB_GANG_MAX];
 	struct dff_baseline_job *job;
 	dff_baseline_pass_begin (baseline);
--- a/bench/baseline.c
+++ b/bench/baseline.c
@@ -91,7 +91,7 @@
 }
 
 static void
-attempt_over (struct dff_baseline *baseline, struct dff_baseline_job *job)
+attempt_ended (struct dff_baseline *baseline, struct dff_baseline_job *job)
 {
 	if (!job->broken) {
 		job_end (baseline, job, DFF_OUTCOME_COMPLETED, "completed");
@@ -131,7 +131,7 @@
 	job->lost |= event->type == DFF_EVENT_TASK_LOST;
 	job->failures += first && event->type == DFF_EVENT_TASK_FAILED;
 	if (job->n_open == 0)
-		attempt_over (baseline, job);
+		attempt_ended (baseline, job);
 	else if (job->broken && job->state != DFF_BASELINE_STOPPING)
 		job_stop (baseline, job);
 }
--- a/bench/bound.c
+++ b/bench/bound.c
@@ -17,7 +17,7 @@
 
 #define DFF_EXIT_USAGE 2
 /* Less work than this is none: the rounding of sums. */
-#define DFF_NONE_S 1e-9
+#define DFF_EPSILON_S 1e-9
 
 struct work {
 	double submitted_s;
@@ -109,7 +109,7 @@
 		sum += (now + part / 2.0 - first->submitted_s) * part / first->size_s;
 		first->left_s -= part;
 		now += part;
-		if (first->left_s <= DFF_NONE_S)
+		if (first->left_s <= DFF_EPSILON_S)
 			g_ptr_array_remove_index (active, 0);
 	}
 	return sum / works->len;
@@ -147,7 +147,7 @@
 		g_ptr_array_remove (active, work);
 		work->left_s -= part;
 		work->key = reference_key (work, power);
-		if (work->left_s > DFF_NONE_S)
+		if (work->left_s > DFF_EPSILON_S)
 			insert (active, work);
 		else
 			sum += now + part - work->submitted_s;
--- a/bench/claims.c
+++ b/bench/claims.c
@@ -131,7 +131,7 @@
 }
 
 static void
-note_wait (struct dff_claims_verdict *verdict, const struct claim *claim, int64_t now_ms)
+record_wait (struct dff_claims_verdict *verdict, const struct claim *claim, int64_t now_ms)
 {
 	int64_t wait_ms = now_ms - claim->covered_ms;
 	verdict->wait_max_ms = MAX (verdict->wait_max_ms, wait_ms);
@@ -146,7 +146,7 @@
 		return;
 	claim->started = true;
 	if (claim->shape >= 0)
-		note_wait (&claims->verdict, claim, now_ms);
+		record_wait (&claims->verdict, claim, now_ms);
 }
 
 static void
@@ -189,7 +189,7 @@
 	while (g_hash_table_iter_next (&iter, NULL, &value)) {
 		const struct claim *claim = value;
 		if (claim->shape >= 0 && !claim->started)
-			note_wait (&verdict, claim, now_ms);
+			record_wait (&verdict, claim, now_ms);
 	}
 	return verdict;
 }
--- a/bench/cluster.c
+++ b/bench/cluster.c
@@ -13,9 +13,9 @@
 }
 
 static const struct dff_resources *
-room_at (const GArray *room, int32_t index)
+available_at (const GArray *available, int32_t index)
 {
-	return &g_array_index (room, struct dff_resources, index);
+	return &g_array_index (available, struct dff_resources, index);
 }
 
 static int32_t
@@ -52,7 +52,7 @@
 		g_hash_table_insert (cluster->index, dff_name_dup (&worker.name),
 				     GINT_TO_POINTER (cluster->workers->len));
 		g_array_append_val (cluster->workers, worker);
-		g_array_append_val (cluster->room, worker.capacity);
+		g_array_append_val (cluster->available, worker.capacity);
 	}
 }
 
@@ -61,7 +61,7 @@
 {
 	cluster->workers = g_array_new (FALSE, FALSE, sizeof (struct dff_cluster_worker));
 	cluster->racks = g_array_new (FALSE, FALSE, sizeof (struct dff_cluster_rack));
-	cluster->room = g_array_new (FALSE, FALSE, sizeof (struct dff_resources));
+	cluster->available = g_array_new (FALSE, FALSE, sizeof (struct dff_resources));
 	cluster->index = g_hash_table_new_full (dff_name_hash, dff_name_equal_func, g_free, NULL);
 	/* Region by region, so that neighbours stand next to each other. */
 	for (int32_t region = 0; region < (int32_t)pool->racks->len; region++) {
@@ -79,7 +79,7 @@
 {
 	g_array_unref (cluster->workers);
 	g_array_unref (cluster->racks);
-	g_array_unref (cluster->room);
+	g_array_unref (cluster->available);
 	g_hash_table_unref (cluster->index);
 }
 
@@ -93,17 +93,17 @@
 }
 
 static int32_t
-fits_in (const struct dff_resources *room, const struct dff_resources *need, int32_t most)
+fits_in (const struct dff_resources *available, const struct dff_resources *need, int32_t most)
 {
 	int32_t fits = most;
 	if (need->slots > 0)
-		fits = MIN (fits, room->slots / need->slots);
+		fits = MIN (fits, available->slots / need->slots);
 	if (need->cores > 0)
-		fits = MIN (fits, room->cores / need->cores);
+		fits = MIN (fits, available->cores / need->cores);
 	if (need->memory_gb > 0)
-		fits = MIN (fits, room->memory_gb / need->memory_gb);
+		fits = MIN (fits, available->memory_gb / need->memory_gb);
 	if (need->accelerators > 0)
-		fits = MIN (fits, room->accelerators / need->accelerators);
+		fits = MIN (fits, available->accelerators / need->accelerators);
 	return MAX (fits, 0);
 }
 
@@ -115,9 +115,10 @@
 {
 	if (!view->ignore_state && !worker_at (cluster, worker)->up)
 		return 0;
-	int32_t fits = fits_in (room_at (view->room, worker), &spec->per_task, spec->gang);
+	int32_t fits =
+		fits_in (available_at (view->available, worker), &spec->per_task, spec->gang);
 	if (view->limit != NULL)
-		fits = fits_in (room_at (view->limit, worker), &spec->per_task, fits);
+		fits = fits_in (available_at (view->limit, worker), &spec->per_task, fits);
 	return fits;
 }
 
@@ -231,17 +232,17 @@
 static GArray *
 capacities (const struct dff_cluster *cluster)
 {
-	GArray *room = g_array_new (FALSE, FALSE, sizeof (struct dff_resources));
+	GArray *available = g_array_new (FALSE, FALSE, sizeof (struct dff_resources));
 	for (guint i = 0; i < cluster->workers->len; i++)
-		g_array_append_val (room, worker_at (cluster, (int32_t)i)->capacity);
-	return room;
+		g_array_append_val (available, worker_at (cluster, (int32_t)i)->capacity);
+	return available;
 }
 
 static bool
 fits_an_empty_rack (const struct dff_cluster *cluster, const struct dff_job_spec *spec)
 {
-	g_autoptr (GArray) room = capacities (cluster);
-	struct dff_cluster_view view = {.room = room, .ignore_state = true};
+	g_autoptr (GArray) available = capacities (cluster);
+	struct dff_cluster_view view = {.available = available, .ignore_state = true};
 	int32_t workers[DFF_JOB_GANG_MAX];
 	return place_in_rack (cluster, &view, spec, workers);
 }
@@ -268,16 +269,19 @@
 {
 	if (spec->gang > DFF_JOB_GANG_MAX)
 		return false;
-	g_autoptr (GArray) room = capacities (cluster);
-	struct dff_cluster_view view = {.room = room, .ignore_state = true};
+	g_autoptr (GArray) available = capacities (cluster);
+	struct dff_cluster_view view = {.available = available, .ignore_state = true};
 	int32_t workers[DFF_JOB_GANG_MAX];
 	return dff_cluster_place (cluster, &view, spec, workers);
 }
 
 void
-dff_room_add (GArray *room, int32_t worker, const struct dff_resources *amount, int32_t times)
+dff_capacity_add (GArray *available,
+		  int32_t worker,
+		  const struct dff_resources *amount,
+		  int32_t times)
 {
-	struct dff_resources *entry = &g_array_index (room, struct dff_resources, worker);
+	struct dff_resources *entry = &g_array_index (available, struct dff_resources, worker);
 	entry->slots += times * amount->slots;
 	entry->cores += times * amount->cores;
 	entry->memory_gb += times * amount->memory_gb;
@@ -288,7 +292,7 @@
 dff_cluster_lease (struct dff_cluster *cluster, int32_t worker, const struct dff_resources *amount)
 {
 	struct dff_cluster_worker *entry = worker_at (cluster, worker);
-	dff_room_add (cluster->room, worker, amount, -1);
+	dff_capacity_add (cluster->available, worker, amount, -1);
 	uint64_t picked = 0;
 	int32_t missing = amount->accelerators;
 	for (int32_t bit = 0; bit < entry->capacity.accelerators && missing > 0; bit++) {
@@ -309,6 +313,6 @@
 		     const struct dff_resources *amount,
 		     uint64_t accelerators)
 {
-	dff_room_add (cluster->room, worker, amount, 1);
+	dff_capacity_add (cluster->available, worker, amount, 1);
 	worker_at (cluster, worker)->leased &= ~accelerators;
 }
--- a/bench/cluster.h
+++ b/bench/cluster.h
@@ -28,12 +28,12 @@
 	GArray *racks;   /**< Elements: struct dff_cluster_rack. */
 	GHashTable *index;
 	/** Elements: struct dff_resources, one a worker: what is free now. */
-	GArray *room;
+	GArray *available;
 };
 
 /** What a placement may use of each worker. Elements of both: struct dff_resources. */
 struct dff_cluster_view {
-	const GArray *room;
+	const GArray *available;
 	/** (nullable): a second bound, what may be held beyond a reservation. */
 	const GArray *limit;
 	/** Whether workers that are down count as well. */
@@ -64,7 +64,10 @@
 bool dff_cluster_place_ever (const struct dff_cluster *cluster, const struct dff_job_spec *spec);
 
 /** Adds @times times @amount to one element of a table of struct dff_resources. */
-void dff_room_add (GArray *room, int32_t worker, const struct dff_resources *amount, int32_t times);
+void dff_capacity_add (GArray *available,
+		       int32_t worker,
+		       const struct dff_resources *amount,
+		       int32_t times);
 
 /** Leases resources on a worker. Returns: the accelerators picked, lowest first. */
 uint64_t
--- a/bench/fifo.c
+++ b/bench/fifo.c
@@ -5,7 +5,7 @@
 void
 dff_fifo_schedule (struct dff_baseline *baseline, G_GNUC_UNUSED int64_t now_ms)
 {
-	struct dff_cluster_view view = {.room = baseline->cluster.room};
+	struct dff_cluster_view view = {.available = baseline->cluster.available};
 	int32_t workers[DFF_JOB_GANG_MAX];
 	struct dff_baseline_job *job;
 	dff_baseline_pass_begin (baseline);
--- a/bench/fleet/audit.c
+++ b/bench/fleet/audit.c
@@ -40,7 +40,7 @@
 
 /* "request ID TAG" or "task JOB ATTEMPT MEMBER TAG". */
 static void
-take_line (struct run_table *table, const char *line)
+count_line (struct run_table *table, const char *line)
 {
 	g_auto (GStrv) words = g_strsplit (line, " ", -1);
 	guint n_words = g_strv_length (words);
@@ -64,18 +64,18 @@
 		return false;
 	g_auto (GStrv) lines = g_strsplit (text, "\n", -1);
 	for (char **line = lines; *line != NULL; line++)
-		take_line (table, *line);
+		count_line (table, *line);
 	for (char **line = lines; *line != NULL; line++)
 		*n_runs += **line != '\0';
 	return true;
 }
 
 static void
-complain (const struct fleet_caller *caller, const struct runs *runs, const char *what)
+print_fault (const struct fleet_caller *caller, const struct runs *runs, const char *what)
 {
 	fprintf (stderr, "fleet: %s: %s; verdict %d, job %s %s, %d tries, %d runs\n",
 		 caller->tag.data, what, caller->verdict, caller->job.data,
-		 caller->job_outcome.data, caller->tries, (int)runs->n_runs);
+		 caller->job_outcome.data, caller->n_tries, (int)runs->n_runs);
 }
 
 static bool
@@ -98,15 +98,15 @@
 	bool once = caller->kind == FLEET_ONCE || caller->kind == FLEET_JOB_ONCE;
 	if (once && runs->per_member > 1) {
 		audit->duplicates++;
-		complain (caller, runs, "ran more than once");
+		print_fault (caller, runs, "ran more than once");
 	}
 	if (says_not_run (caller) && runs->n_runs > 0) {
 		audit->false_not_run++;
-		complain (caller, runs, "was said not to have run");
+		print_fault (caller, runs, "was said not to have run");
 	}
 	if (says_done (caller) && runs->n_runs == 0) {
 		audit->answered_without_run++;
-		complain (caller, runs, "was answered without a run");
+		print_fault (caller, runs, "was answered without a run");
 	}
 	if (!once)
 		audit->repeated_attempts += runs->repeated;
--- a/bench/fleet/cost.c
+++ b/bench/fleet/cost.c
@@ -19,7 +19,7 @@
 #define SETTLE_MS 3000
 #define READY_TIMEOUT_MS 30000
 #define JOBS_TIMEOUT_MS 60000
-#define PATIENCE_MS 15000
+#define REQUEST_TIMEOUT_MS 15000
 #define BAR_WRITES 300
 #define BAR_READS 1000
 #define BAR_CPU_PERCENT 1.6
@@ -151,7 +151,7 @@
 {
 	struct fleet_rates rates = {.idempotent = 60, .once = 30, .jobs = 6, .jobs_once = 2};
 	int64_t duration_ms = fleet->options.quick ? LOADED_MS_QUICK : LOADED_MS;
-	fleet_load_begin (fleet, phase, &rates, PATIENCE_MS);
+	fleet_load_begin (fleet, phase, &rates, REQUEST_TIMEOUT_MS);
 	struct store_calls before = read_store (fleet);
 	int64_t begun_ms = fleet_now_ms (fleet);
 	fleet_sleep (fleet, duration_ms);
@@ -167,7 +167,7 @@
 	fleet_report (fleet, phase, "store reads/s", (after.reads - before.reads) / seconds,
 		      BAR_READS);
 	fleet_report (fleet, phase, "accepted jobs not ended", (double)open, 0);
-	fleet_load_drop (fleet);
+	fleet_load_free (fleet);
 }
 
 /* More work than the budget of writes lets through: what is too much is refused, and the table must
@@ -177,7 +177,7 @@
 {
 	struct fleet_rates rates = {.once = 500, .jobs = 60};
 	double highest = 0;
-	fleet_load_begin (fleet, "overload", &rates, PATIENCE_MS);
+	fleet_load_begin (fleet, "overload", &rates, REQUEST_TIMEOUT_MS);
 	for (int second = 0; second < OVERLOAD_S; second++) {
 		double before = read_store (fleet).budgeted;
 		int64_t begun_ms = fleet_now_ms (fleet);
@@ -198,7 +198,7 @@
 	fleet_report (fleet, phase, "overload, table writes in the worst second", highest,
 		      BAR_WRITES);
 	fleet_report (fleet, phase, "overload, accepted jobs not ended", (double)open, 0);
-	fleet_load_drop (fleet);
+	fleet_load_free (fleet);
 }
 
 /* The highest of all processes: the holder is one of them. */
--- a/bench/fleet/faults.c
+++ b/bench/fleet/faults.c
@@ -12,7 +12,7 @@
 #define INTERVAL_MAX_MS 400
 #define POLL_MS 100
 #define READY_TIMEOUT_MS 30000
-#define PATIENCE_MS 30000
+#define REQUEST_TIMEOUT_MS 30000
 #define JOBS_TIMEOUT_MS 90000
 
 static const char phase[] = "faults";
@@ -98,7 +98,7 @@
 	struct fleet_rates rates = {.idempotent = 20, .once = 30, .jobs = 3, .jobs_once = 4};
 	fleet->poll_ms = POLL_MS;
 	fleet_wait (fleet, fleet_all_ready, 0, READY_TIMEOUT_MS);
-	fleet_load_begin (fleet, phase, &rates, PATIENCE_MS);
+	fleet_load_begin (fleet, phase, &rates, REQUEST_TIMEOUT_MS);
 	inject_all (fleet, fleet->options.quick ? N_FAULTS_QUICK : N_FAULTS);
 	bool ready = fleet_inject_end (fleet);
 	fleet_load_end (fleet);
@@ -107,6 +107,6 @@
 	report_callers (fleet);
 	report_outcomes (fleet);
 	report_audit (fleet, open);
-	fleet_load_drop (fleet);
+	fleet_load_free (fleet);
 	fleet_print_phase (fleet, phase);
 }
--- a/bench/fleet/fleet.c
+++ b/bench/fleet/fleet.c
@@ -68,7 +68,7 @@
 	event_free (fleet->tick);
 	dff_http_client_free (fleet->http);
 	if (fleet->load != NULL)
-		fleet_load_drop (fleet);
+		fleet_load_free (fleet);
 	dff_metrics_free (fleet->metrics);
 	event_base_free (fleet->base);
 	g_rand_free (fleet->rng);
--- a/bench/fleet/fleet.h
+++ b/bench/fleet/fleet.h
@@ -34,7 +34,7 @@
 	bool polling;
 	int64_t polled_ms;
 	/** The balancer sends to it, and when it looked last. */
-	bool balanced;
+	bool in_rotation;
 	bool checking;
 	int64_t checked_ms;
 	/** It is stopped, paused or starting by the driver's doing. */
@@ -148,7 +148,7 @@
 
 /** Conditions for fleet_wait(). */
 bool fleet_all_ready (struct fleet *fleet, int64_t unused);
-bool fleet_in_force (struct fleet *fleet, int64_t generation);
+bool fleet_all_applied (struct fleet *fleet, int64_t generation);
 bool fleet_process_ready (struct fleet *fleet, int64_t index);
 bool fleet_process_gone (struct fleet *fleet, int64_t index);
 
--- a/bench/fleet/follow.c
+++ b/bench/fleet/follow.c
@@ -13,15 +13,15 @@
 	int64_t waiting;
 };
 
-struct question {
+struct query {
 	struct follow *follow;
 	struct fleet_caller *caller;
 };
 
 static void
-job_read (void *user, const struct dff_http_response *response)
+handle_job (void *user, const struct dff_http_response *response)
 {
-	struct question *question = user;
+	struct query *query = user;
 	bool answered = response->outcome == DFF_HTTP_ANSWERED && response->status == 200;
 	json_t *job =
 		answered ? json_loadb (response->body.data, response->body.len, 0, NULL) : NULL;
@@ -29,17 +29,17 @@
 	struct dff_str text = {json_string_value (outcome), json_string_length (outcome)};
 	bool ended = g_strcmp0 (json_string_value (json_object_get (job, "state")), "ended") == 0;
 	if (ended && text.data != NULL)
-		dff_name_parse (text, &question->caller->job_outcome);
+		dff_name_parse (text, &query->caller->job_outcome);
 	json_decref (job);
-	question->follow->waiting--;
-	g_free (question);
+	query->follow->waiting--;
+	g_free (query);
 }
 
 static void
-ask (struct follow *follow, struct fleet_caller *caller)
+send_query (struct follow *follow, struct fleet_caller *caller)
 {
 	struct fleet *fleet = follow->fleet;
-	struct question *question = g_new (struct question, 1);
+	struct query *query = g_new (struct query, 1);
 	g_autofree char *path = g_strconcat ("/v1/jobs/", caller->job.data, NULL);
 	const struct dff_http_header header = {"Authorization",
 					       dff_str_from ("Bearer fleet-token")};
@@ -52,9 +52,9 @@
 		.n_headers = 1,
 		.timeout_ms = CALL_TIMEOUT_MS,
 	};
-	*question = (struct question){follow, caller};
+	*query = (struct query){follow, caller};
 	follow->waiting++;
-	dff_http_client_send (fleet->http, &request, job_read, question);
+	dff_http_client_send (fleet->http, &request, handle_job, query);
 }
 
 static bool
@@ -65,13 +65,13 @@
 
 /* Asks for every job that has not ended. Returns how many there are. */
 static int64_t
-ask_round (struct fleet *fleet)
+query_round (struct fleet *fleet)
 {
 	struct follow follow = {.fleet = fleet};
 	int64_t open = 0;
 	for (guint i = 0; i < fleet->load->callers->len; i++) {
 		if (is_followed (fleet->load->callers->pdata[i]))
-			ask (&follow, fleet->load->callers->pdata[i]);
+			send_query (&follow, fleet->load->callers->pdata[i]);
 	}
 	while (follow.waiting > 0)
 		event_base_loop (fleet->base, EVLOOP_ONCE);
@@ -95,10 +95,10 @@
 fleet_load_follow_jobs (struct fleet *fleet, int64_t timeout_ms)
 {
 	int64_t until_ms = fleet_now_ms (fleet) + timeout_ms;
-	int64_t open = ask_round (fleet);
+	int64_t open = query_round (fleet);
 	while (open > 0 && fleet_now_ms (fleet) < until_ms) {
 		fleet_sleep (fleet, ROUND_PAUSE_MS);
-		open = ask_round (fleet);
+		open = query_round (fleet);
 	}
 	print_open (fleet);
 	return open;
--- a/bench/fleet/inject.c
+++ b/bench/fleet/inject.c
@@ -18,7 +18,7 @@
 static const int weights[FLEET_N_FAULTS] = {9, 4, 5, 4, 28, 12, 38};
 
 static int
-between (struct fleet *fleet, int low, int high)
+random_between (struct fleet *fleet, int low, int high)
 {
 	return g_rand_int_range (fleet->rng, low, high + 1);
 }
@@ -42,7 +42,7 @@
 }
 
 static void
-calm_process (struct fleet *fleet, int index)
+end_disturbance (struct fleet *fleet, int index)
 {
 	fleet->processes[index].disturbed = false;
 }
@@ -51,14 +51,14 @@
 start_process (struct fleet *fleet, int index)
 {
 	fleet_start (&fleet->processes[index].name);
-	fleet_repair_later (fleet, STARTING_MS, calm_process, index);
+	fleet_repair_later (fleet, STARTING_MS, end_disturbance, index);
 }
 
 static void
 continue_process (struct fleet *fleet, int index)
 {
 	fleet_signal (&fleet->processes[index].name, "CONT");
-	calm_process (fleet, index);
+	end_disturbance (fleet, index);
 }
 
 static void
@@ -69,14 +69,14 @@
 }
 
 static void
-mend_worker (struct fleet *fleet, int index)
+clear_worker_faults (struct fleet *fleet, int index)
 {
 	fleet_post_faults (fleet, &fleet->workers[index].address, "{}");
 	fleet->workers[index].disturbed = false;
 }
 
 static void
-mend_store (struct fleet *fleet, int unused)
+clear_store_faults (struct fleet *fleet, int unused)
 {
 	(void)unused;
 	fleet_post_faults (fleet, &fleet->options.platform, "{}");
@@ -85,7 +85,8 @@
 static int
 pick_process (struct fleet *fleet, bool holder)
 {
-	int index = holder ? fleet_holder (fleet) : between (fleet, 0, fleet->n_processes - 1);
+	int index =
+		holder ? fleet_holder (fleet) : random_between (fleet, 0, fleet->n_processes - 1);
 	if (index < 0 || fleet->processes[index].disturbed ||
 	    n_disturbed (fleet) >= PROCESSES_DISTURBED_MAX)
 		return -1;
@@ -100,7 +101,7 @@
 	if (index < 0)
 		return false;
 	fleet_signal (&fleet->processes[index].name, "KILL");
-	fleet_repair_later (fleet, between (fleet, 100, 1500), start_process, index);
+	fleet_repair_later (fleet, random_between (fleet, 100, 1500), start_process, index);
 	return true;
 }
 
@@ -110,7 +111,8 @@
 	int index = pick_process (fleet, holder);
 	if (index < 0)
 		return false;
-	int pause_ms = holder ? between (fleet, 3500, 6000) : between (fleet, 300, 6000);
+	int pause_ms =
+		holder ? random_between (fleet, 3500, 6000) : random_between (fleet, 300, 6000);
 	fleet_signal (&fleet->processes[index].name, "STOP");
 	fleet_repair_later (fleet, pause_ms, continue_process, index);
 	return true;
@@ -119,27 +121,30 @@
 static char *
 store_faults (struct fleet *fleet)
 {
-	switch (between (fleet, 0, 7)) {
+	switch (random_between (fleet, 0, 7)) {
 	case 0:
-		return g_strdup_printf ("{\"outage_ms\":%d}", between (fleet, 200, 2500));
+		return g_strdup_printf ("{\"outage_ms\":%d}", random_between (fleet, 200, 2500));
 	case 1:
-		return g_strdup_printf ("{\"silent_ms\":%d}", between (fleet, 200, 1500));
+		return g_strdup_printf ("{\"silent_ms\":%d}", random_between (fleet, 200, 1500));
 	case 2:
 		return g_strdup_printf ("{\"delay_min_ms\":10,\"delay_max_ms\":%d}",
-					between (fleet, 20, 400));
+					random_between (fleet, 20, 400));
 	case 3:
-		return g_strdup_printf ("{\"lose_answers\":%d}", between (fleet, 1, 4));
+		return g_strdup_printf ("{\"lose_answers\":%d}", random_between (fleet, 1, 4));
 	case 4:
-		return g_strdup_printf ("{\"lost_writes\":%d}", between (fleet, 1, 4));
+		return g_strdup_printf ("{\"lost_writes\":%d}", random_between (fleet, 1, 4));
 	case 5:
 		return g_strdup_printf ("{\"late_writes\":%d,\"late_ms\":%d}",
-					between (fleet, 1, 4), between (fleet, 50, 2000));
+					random_between (fleet, 1, 4),
+					random_between (fleet, 50, 2000));
 	case 6:
 		return g_strdup_printf ("{\"lose_permille\":%d,\"unavailable_permille\":%d}",
-					between (fleet, 50, 400), between (fleet, 0, 200));
+					random_between (fleet, 50, 400),
+					random_between (fleet, 0, 200));
 	default:
 		return g_strdup_printf ("{\"late_permille\":%d,\"late_ms\":%d}",
-					between (fleet, 50, 400), between (fleet, 50, 1500));
+					random_between (fleet, 50, 400),
+					random_between (fleet, 50, 1500));
 	}
 }
 
@@ -148,29 +153,29 @@
 {
 	g_autofree char *faults = store_faults (fleet);
 	fleet_post_faults (fleet, &fleet->options.platform, faults);
-	fleet_repair_later (fleet, between (fleet, 300, 2500), mend_store, 0);
+	fleet_repair_later (fleet, random_between (fleet, 300, 2500), clear_store_faults, 0);
 	return true;
 }
 
 static char *
 worker_faults (struct fleet *fleet)
 {
-	switch (between (fleet, 0, 3)) {
+	switch (random_between (fleet, 0, 3)) {
 	case 0:
 		return g_strdup ("{\"silent\":true}");
 	case 1:
 		return g_strdup ("{\"silence_open\":true}");
 	case 2:
-		return g_strdup_printf ("{\"slow_ms\":%d}", between (fleet, 50, 1500));
+		return g_strdup_printf ("{\"slow_ms\":%d}", random_between (fleet, 50, 1500));
 	default:
-		return g_strdup_printf ("{\"lose_answers\":%d}", between (fleet, 1, 6));
+		return g_strdup_printf ("{\"lose_answers\":%d}", random_between (fleet, 1, 6));
 	}
 }
 
 static bool
 disturb_worker (struct fleet *fleet, bool dies)
 {
-	int index = between (fleet, 0, fleet->n_workers - 1);
+	int index = random_between (fleet, 0, fleet->n_workers - 1);
 	struct fleet_worker *worker = &fleet->workers[index];
 	if (worker->disturbed || n_workers_disturbed (fleet) >= WORKERS_DISTURBED_MAX)
 		return false;
@@ -178,9 +183,10 @@
 	worker->disturbed = true;
 	fleet_post_faults (fleet, &worker->address, faults);
 	if (dies)
-		fleet_repair_later (fleet, between (fleet, 100, 2000), start_worker, index);
+		fleet_repair_later (fleet, random_between (fleet, 100, 2000), start_worker, index);
 	else
-		fleet_repair_later (fleet, between (fleet, 300, 4000), mend_worker, index);
+		fleet_repair_later (fleet, random_between (fleet, 300, 4000), clear_worker_faults,
+				    index);
 	return true;
 }
 
@@ -202,9 +208,9 @@
 }
 
 static enum fleet_fault
-draw (struct fleet *fleet)
+draw_fault (struct fleet *fleet)
 {
-	int at = between (fleet, 0, 99);
+	int at = random_between (fleet, 0, 99);
 	int fault = 0;
 	while (fault < FLEET_N_FAULTS - 1 && at >= weights[fault])
 		at -= weights[fault++];
@@ -216,9 +222,9 @@
 enum fleet_fault
 fleet_inject (struct fleet *fleet)
 {
-	enum fleet_fault fault = draw (fleet);
+	enum fleet_fault fault = draw_fault (fleet);
 	while (!inject (fleet, fault))
-		fault = draw (fleet);
+		fault = draw_fault (fleet);
 	return fault;
 }
 
@@ -233,6 +239,6 @@
 fleet_inject_end (struct fleet *fleet)
 {
 	fleet_wait (fleet, nothing_to_repair, 0, READY_TIMEOUT_MS);
-	mend_store (fleet, 0);
+	clear_store_faults (fleet, 0);
 	return fleet_wait (fleet, fleet_all_ready, 0, READY_TIMEOUT_MS);
 }
--- a/bench/fleet/load.c
+++ b/bench/fleet/load.c
@@ -34,7 +34,7 @@
 	int candidates[FLEET_PROCESSES_MAX];
 	int n_candidates = 0;
 	for (int i = 0; i < fleet->n_processes; i++) {
-		if (fleet->processes[i].balanced && i != avoid)
+		if (fleet->processes[i].in_rotation && i != avoid)
 			candidates[n_candidates++] = i;
 	}
 	if (n_candidates == 0)
@@ -53,18 +53,19 @@
 /* Jobs and requests with a key are repeated until their callers know: nobody may give up on a job
  * that may have been accepted. */
 static void
-come_back (struct fleet_caller *caller, int64_t delay_ms)
+retry_later (struct fleet_caller *caller, int64_t delay_ms)
 {
 	struct fleet_load *load = caller->load;
 	int64_t now_ms = fleet_now_ms (load->fleet);
-	bool impatient = !is_job (caller->kind) && now_ms - caller->begun_ms > load->patience_ms;
-	if (impatient || load->given_up) {
+	bool timed_out =
+		!is_job (caller->kind) && now_ms - caller->begun_ms > load->request_timeout_ms;
+	if (timed_out || load->retries_stopped) {
 		end_caller (caller, caller->kind == FLEET_ONCE ? FLEET_UNKNOWN : FLEET_FAILED);
 		fprintf (stderr, "fleet: %s: no answer within its patience, %d tries\n",
-			 caller->tag.data, caller->tries);
+			 caller->tag.data, caller->n_tries);
 		return;
 	}
-	load->moved++;
+	load->n_retries++;
 	caller->next_ms = now_ms + delay_ms;
 }
 
@@ -78,7 +79,7 @@
 }
 
 static void
-take_problem (struct fleet_caller *caller, const struct dff_http_response *response)
+handle_problem (struct fleet_caller *caller, const struct dff_http_response *response)
 {
 	json_t *problem = json_loadb (response->body.data, response->body.len, 0, NULL);
 	const char *outcome = json_string_value (json_object_get (problem, "outcome"));
@@ -93,7 +94,7 @@
 		 (g_strcmp0 (code, "upstream_lost") == 0 || g_strcmp0 (code, "attempt_lost") == 0))
 		end_caller (caller, FLEET_UNKNOWN);
 	else if (response->status >= 429 && response->status != 501)
-		come_back (caller, retry_after_ms (response));
+		retry_later (caller, retry_after_ms (response));
 	else {
 		fprintf (stderr, "fleet: %s: answer %d %s\n", caller->tag.data, response->status,
 			 code == NULL ? "" : code);
@@ -103,7 +104,7 @@
 }
 
 static void
-take_job (struct fleet_caller *caller, const struct dff_http_response *response)
+handle_job (struct fleet_caller *caller, const struct dff_http_response *response)
 {
 	json_t *job = json_loadb (response->body.data, response->body.len, 0, NULL);
 	const json_t *id = json_object_get (job, "id");
@@ -127,7 +128,7 @@
 }
 
 static void
-take_answer (struct fleet_caller *caller, const struct dff_http_response *response)
+handle_answer (struct fleet_caller *caller, const struct dff_http_response *response)
 {
 	bool own = is_own_answer (response);
 	if (!own)
@@ -141,13 +142,13 @@
 {
 	struct fleet_caller *caller = user;
 	if (response->outcome != DFF_HTTP_ANSWERED)
-		come_back (caller, RETRY_MS);
+		retry_later (caller, RETRY_MS);
 	else if (response->status >= 300)
-		take_problem (caller, response);
+		handle_problem (caller, response);
 	else if (is_job (caller->kind))
-		take_job (caller, response);
+		handle_job (caller, response);
 	else
-		take_answer (caller, response);
+		handle_answer (caller, response);
 }
 
 static char *
@@ -180,8 +181,8 @@
 	bool job = is_job (caller->kind);
 	g_autofree char *body = job ? job_body (caller) : request_body (caller);
 	caller->next_ms = 0;
-	caller->process = choose_process (fleet, caller->tries == 0 ? -1 : caller->process);
-	g_snprintf (attempt, sizeof (attempt), "%" PRId32, ++caller->tries);
+	caller->process = choose_process (fleet, caller->n_tries == 0 ? -1 : caller->process);
+	g_snprintf (attempt, sizeof (attempt), "%" PRId32, ++caller->n_tries);
 	const struct dff_http_header headers[] = {
 		{"Authorization", dff_str_from ("Bearer fleet-token")},
 		{"Content-Type", dff_str_from ("application/json")},
@@ -246,13 +247,13 @@
 fleet_load_begin (struct fleet *fleet,
 		  const char *phase,
 		  const struct fleet_rates *rates,
-		  int64_t patience_ms)
+		  int64_t request_timeout_ms)
 {
 	struct fleet_load *load = g_new0 (struct fleet_load, 1);
 	load->fleet = fleet;
 	load->phase = phase;
 	load->rates = *rates;
-	load->patience_ms = patience_ms;
+	load->request_timeout_ms = request_timeout_ms;
 	load->begun_ms = fleet_now_ms (fleet);
 	load->callers = g_ptr_array_new_with_free_func (g_free);
 	fleet->load = load;
@@ -274,12 +275,12 @@
 		return;
 	fprintf (stderr, "fleet: %" PRId64 " callers do not know their outcome\n",
 		 load->in_progress);
-	load->given_up = true;
+	load->retries_stopped = true;
 	fleet_wait (fleet, all_ended, 0, INT32_MAX);
 }
 
 void
-fleet_load_drop (struct fleet *fleet)
+fleet_load_free (struct fleet *fleet)
 {
 	g_ptr_array_unref (fleet->load->callers);
 	g_clear_pointer (&fleet->load, g_free);
--- a/bench/fleet/load.h
+++ b/bench/fleet/load.h
@@ -38,7 +38,7 @@
 	struct dff_name tag;
 	/** Process that it speaks to. */
 	int process;
-	int32_t tries;
+	int32_t n_tries;
 	int64_t begun_ms;
 	int64_t ended_ms;
 	/** When it goes on; 0: it waits for an answer. */
@@ -62,14 +62,14 @@
 	struct fleet *fleet;
 	const char *phase;
 	struct fleet_rates rates;
-	int64_t patience_ms;
+	int64_t request_timeout_ms;
 	int64_t begun_ms;
 	bool stopped;
 	/** Callers do not come back any more. */
-	bool given_up;
+	bool retries_stopped;
 	int64_t sent[4];
 	int64_t in_progress;
-	int64_t moved;
+	int64_t n_retries;
 	/** Elements: struct fleet_caller *. */
 	GPtrArray *callers;
 };
@@ -78,13 +78,13 @@
 void fleet_load_begin (struct fleet *fleet,
 		       const char *phase,
 		       const struct fleet_rates *rates,
-		       int64_t patience_ms);
+		       int64_t request_timeout_ms);
 
 /** Starts no more callers and waits until all know what became of their work. */
 void fleet_load_end (struct fleet *fleet);
 
 /** Frees the load. */
-void fleet_load_drop (struct fleet *fleet);
+void fleet_load_free (struct fleet *fleet);
 
 /** Called by the loop. */
 void fleet_load_tick (struct fleet_load *load);
--- a/bench/fleet/main.c
+++ b/bench/fleet/main.c
@@ -50,7 +50,7 @@
 };
 
 static bool
-take_instance (const char *text, struct dff_name *name, struct dff_name *address)
+parse_instance (const char *text, struct dff_name *name, struct dff_name *address)
 {
 	const char *equals = strchr (text, '=');
 	if (equals == NULL)
@@ -60,25 +60,25 @@
 }
 
 static bool
-take_process (struct arguments *arguments)
+parse_process (struct arguments *arguments)
 {
 	if (arguments->n_processes == FLEET_PROCESSES_MAX)
 		return false;
 	struct fleet_process *process = &arguments->processes[arguments->n_processes++];
-	return take_instance (optarg, &process->name, &process->address);
+	return parse_instance (optarg, &process->name, &process->address);
 }
 
 static bool
-take_worker (struct arguments *arguments)
+parse_worker (struct arguments *arguments)
 {
 	if (arguments->n_workers == FLEET_WORKERS_MAX)
 		return false;
 	struct fleet_worker *worker = &arguments->workers[arguments->n_workers++];
-	return take_instance (optarg, &worker->name, &worker->address);
+	return parse_instance (optarg, &worker->name, &worker->address);
 }
 
 static bool
-take_option (struct arguments *arguments, int option)
+parse_option (struct arguments *arguments, int option)
 {
 	switch (option) {
 	case 'p':
@@ -93,9 +93,9 @@
 		arguments->options.run_log = optarg;
 		return true;
 	case 'e':
-		return take_process (arguments);
+		return parse_process (arguments);
 	case 'w':
-		return take_worker (arguments);
+		return parse_worker (arguments);
 	case 'P':
 		arguments->phases = optarg;
 		return true;
@@ -115,7 +115,7 @@
 {
 	int option;
 	while ((option = getopt_long (argc, argv, "", long_options, NULL)) != -1) {
-		if (!take_option (arguments, option))
+		if (!parse_option (arguments, option))
 			return false;
 	}
 	return optind == argc && arguments->n_processes > 0 && arguments->n_workers > 0 &&
--- a/bench/fleet/pool.c
+++ b/bench/fleet/pool.c
@@ -10,10 +10,10 @@
 #define N_APPLIES 200
 #define N_APPLIES_QUICK 60
 #define POLL_MS 15
-#define IN_FORCE_TIMEOUT_MS 20000
+#define APPLY_TIMEOUT_MS 20000
 #define READY_TIMEOUT_MS 30000
 #define BAR_MS 3000
-#define PATIENCE_MS 15000
+#define REQUEST_TIMEOUT_MS 15000
 #define PAUSE_MAX_MS 200
 #define N_WEIGHTS 7
 
@@ -52,7 +52,7 @@
 		fprintf (stderr, "fleet: apply %d: %d %s\n", number, answer.status,
 			 answer.body->str);
 	fleet_answer_clear (&answer);
-	if (!accepted || !fleet_wait (fleet, fleet_in_force, base + 1, IN_FORCE_TIMEOUT_MS))
+	if (!accepted || !fleet_wait (fleet, fleet_all_applied, base + 1, APPLY_TIMEOUT_MS))
 		return -1;
 	return (double)(fleet_now_ms (fleet) - begun_ms);
 }
@@ -81,7 +81,7 @@
 	json_t *pool = json_load_file (fleet->options.pool_path, 0, NULL);
 	fleet->poll_ms = POLL_MS;
 	fleet_wait (fleet, fleet_all_ready, 0, READY_TIMEOUT_MS);
-	fleet_load_begin (fleet, phase, &rates, PATIENCE_MS);
+	fleet_load_begin (fleet, phase, &rates, REQUEST_TIMEOUT_MS);
 	int missed = apply_all (fleet, pool, n_applies, times);
 	fleet_load_end (fleet);
 	json_decref (pool);
@@ -89,6 +89,6 @@
 	fleet_report (fleet, phase, "refused or not in force everywhere", missed, 0);
 	fleet_report (fleet, phase, "in force, median, ms", fleet_quantile (times, 0.5), -1);
 	fleet_report (fleet, phase, "in force, worst, ms", fleet_quantile (times, 1), BAR_MS);
-	fleet_load_drop (fleet);
+	fleet_load_free (fleet);
 	fleet_print_phase (fleet, phase);
 }
--- a/bench/fleet/restart.c
+++ b/bench/fleet/restart.c
@@ -8,7 +8,7 @@
 #define POLL_MS 50
 #define STOP_TIMEOUT_MS 60000
 #define READY_TIMEOUT_MS 30000
-#define PATIENCE_MS 15000
+#define REQUEST_TIMEOUT_MS 15000
 /** The balancer has to see that the new process is ready. */
 #define SETTLE_MS 1500
 #define JOBS_TIMEOUT_MS 60000
@@ -42,7 +42,7 @@
 		lost++;
 		fprintf (stderr, "fleet: %s: lost, kind %d, verdict %d, at %s, after %d tries\n",
 			 caller->tag.data, caller->kind, caller->verdict,
-			 load->fleet->processes[caller->process].name.data, caller->tries);
+			 load->fleet->processes[caller->process].name.data, caller->n_tries);
 	}
 	return lost;
 }
@@ -54,7 +54,7 @@
 	int missed = 0;
 	fleet->poll_ms = POLL_MS;
 	fleet_wait (fleet, fleet_all_ready, 0, READY_TIMEOUT_MS);
-	fleet_load_begin (fleet, phase, &rates, PATIENCE_MS);
+	fleet_load_begin (fleet, phase, &rates, REQUEST_TIMEOUT_MS);
 	int64_t begun_ms = fleet_now_ms (fleet);
 	for (int i = 0; i < fleet->n_processes; i++)
 		missed += !restart (fleet, i);
@@ -66,10 +66,10 @@
 	fleet_report (fleet, phase, "not ready again", missed, 0);
 	fleet_report (fleet, phase, "whole restart, s", took_s, -1);
 	fleet_report (fleet, phase, "requests and jobs", (double)load->callers->len, -1);
-	fleet_report (fleet, phase, "sent again", (double)load->moved, -1);
+	fleet_report (fleet, phase, "sent again", (double)load->n_retries, -1);
 	fleet_report (fleet, phase, "slowest answer, ms", fleet_load_slowest (load), -1);
 	fleet_report (fleet, phase, "requests lost", (double)count_lost (load), 0);
 	fleet_report (fleet, phase, "accepted jobs not ended", (double)open, 0);
-	fleet_load_drop (fleet);
+	fleet_load_free (fleet);
 	fleet_print_phase (fleet, phase);
 }
--- a/bench/fleet/takeover.c
+++ b/bench/fleet/takeover.c
@@ -10,13 +10,13 @@
 #define POLL_MS 20
 #define READY_TIMEOUT_MS 30000
 #define TAKEOVER_TIMEOUT_MS 30000
-#define PATIENCE_MS 15000
+#define REQUEST_TIMEOUT_MS 15000
 #define REQUESTS_PER_S 60
 
 static const char phase[] = "takeover";
 
 static bool
-held_above (struct fleet *fleet, int64_t epoch)
+has_holder_above (struct fleet *fleet, int64_t epoch)
 {
 	int holder = fleet_holder (fleet);
 	return holder >= 0 && fleet->processes[holder].epoch > epoch;
@@ -34,7 +34,7 @@
 	int64_t begun_ms = fleet_now_ms (fleet);
 	int64_t epoch = killed->epoch;
 	fleet_signal (&killed->name, "KILL");
-	bool taken = fleet_wait (fleet, held_above, epoch, TAKEOVER_TIMEOUT_MS);
+	bool taken = fleet_wait (fleet, has_holder_above, epoch, TAKEOVER_TIMEOUT_MS);
 	*takeover_ms = (double)(fleet_now_ms (fleet) - begun_ms);
 	fleet_start (&killed->name);
 	return taken;
@@ -49,7 +49,7 @@
 	int missed = 0;
 	fleet->poll_ms = POLL_MS;
 	fleet_wait (fleet, fleet_all_ready, 0, READY_TIMEOUT_MS);
-	fleet_load_begin (fleet, phase, &rates, PATIENCE_MS);
+	fleet_load_begin (fleet, phase, &rates, REQUEST_TIMEOUT_MS);
 	for (int i = 0; i < n_kills; i++) {
 		double time_ms = 0;
 		if (kill_holder (fleet, &time_ms))
@@ -64,10 +64,10 @@
 	fleet_report (fleet, phase, "take-over, median, ms", fleet_quantile (times, 0.5), -1);
 	fleet_report (fleet, phase, "take-over, worst, ms", fleet_quantile (times, 1), -1);
 	fleet_report (fleet, phase, "requests", (double)load->callers->len, -1);
-	fleet_report (fleet, phase, "requests sent again", (double)load->moved, -1);
+	fleet_report (fleet, phase, "requests sent again", (double)load->n_retries, -1);
 	fleet_report (fleet, phase, "slowest request, ms", fleet_load_slowest (load), -1);
 	fleet_report (fleet, phase, "requests failed",
 		      (double)fleet_load_count (load, FLEET_IDEMPOTENT, FLEET_FAILED), 0);
-	fleet_load_drop (fleet);
+	fleet_load_free (fleet);
 	fleet_print_phase (fleet, phase);
 }
--- a/bench/fleet/watch.c
+++ b/bench/fleet/watch.c
@@ -7,7 +7,7 @@
 #define BALANCER_INTERVAL_MS 1000
 
 static void
-take_status (struct fleet_process *process, const json_t *status)
+parse_status (struct fleet_process *process, const json_t *status)
 {
 	const json_t *cell = json_object_get (status, "cell");
 	process->ready = json_is_true (json_object_get (status, "ready"));
@@ -17,7 +17,7 @@
 }
 
 static void
-polled (void *user, const struct dff_http_response *response)
+handle_status (void *user, const struct dff_http_response *response)
 {
 	struct fleet_process *process = user;
 	process->polling = false;
@@ -25,20 +25,20 @@
 	json_t *status = process->answers
 				 ? json_loadb (response->body.data, response->body.len, 0, NULL)
 				 : NULL;
-	take_status (process, status);
+	parse_status (process, status);
 	json_decref (status);
 }
 
 static void
-checked (void *user, const struct dff_http_response *response)
+handle_readyz (void *user, const struct dff_http_response *response)
 {
 	struct fleet_process *process = user;
 	process->checking = false;
-	process->balanced = response->outcome == DFF_HTTP_ANSWERED && response->status == 200;
+	process->in_rotation = response->outcome == DFF_HTTP_ANSWERED && response->status == 200;
 }
 
 static void
-ask (struct fleet *fleet, struct fleet_process *process, const char *path, dff_http_func done)
+send_get (struct fleet *fleet, struct fleet_process *process, const char *path, dff_http_func done)
 {
 	const struct dff_http_header header = {"Authorization",
 					       dff_str_from ("Bearer operator-token")};
@@ -63,12 +63,12 @@
 		    now_ms - process->polled_ms >= fleet->poll_ms) {
 			process->polling = true;
 			process->polled_ms = now_ms;
-			ask (fleet, process, "/v1/status", polled);
+			send_get (fleet, process, "/v1/status", handle_status);
 		}
 		if (!process->checking && now_ms - process->checked_ms >= BALANCER_INTERVAL_MS) {
 			process->checking = true;
 			process->checked_ms = now_ms;
-			ask (fleet, process, "/readyz", checked);
+			send_get (fleet, process, "/readyz", handle_readyz);
 		}
 	}
 }
@@ -98,7 +98,7 @@
 }
 
 bool
-fleet_in_force (struct fleet *fleet, int64_t generation)
+fleet_all_applied (struct fleet *fleet, int64_t generation)
 {
 	for (int i = 0; i < fleet->n_processes; i++) {
 		const struct fleet_process *process = &fleet->processes[i];
--- a/bench/generate.c
+++ b/bench/generate.c
@@ -311,7 +311,7 @@
 }
 
 static bool
-take_option (struct arguments *arguments, int option)
+parse_option (struct arguments *arguments, int option)
 {
 	double number = 0.0;
 	switch (option) {
@@ -353,7 +353,7 @@
 			fputs (usage, stdout);
 			exit (EXIT_SUCCESS);
 		}
-		if (!take_option (arguments, option))
+		if (!parse_option (arguments, option))
 			return false;
 	}
 	bool session = arguments->load > 0.0;
--- a/bench/hop.c
+++ b/bench/hop.c
@@ -338,7 +338,7 @@
 	"                --path PATH --token TOKEN [--connections N] [--rounds N] [--round-ms N]\n";
 
 static bool
-take_int (const char *text, int max, int *out)
+parse_int (const char *text, int max, int *out)
 {
 	guint64 value;
 	if (!g_ascii_string_to_unsigned (text, 10, 1, (guint64)max, &value, NULL))
@@ -348,17 +348,17 @@
 }
 
 static bool
-take_option (struct load_options *options, int option)
+parse_option (struct load_options *options, int option)
 {
 	switch (option) {
 	case DFF_OPTION_BARE:
 		return dff_name_parse (dff_str_from (optarg), &options->bare.address);
 	case DFF_OPTION_BARE_PID:
-		return take_int (optarg, G_MAXINT32, &options->bare.pid);
+		return parse_int (optarg, G_MAXINT32, &options->bare.pid);
 	case DFF_OPTION_PRODUCT:
 		return dff_name_parse (dff_str_from (optarg), &options->product.address);
 	case DFF_OPTION_PRODUCT_PID:
-		return take_int (optarg, G_MAXINT32, &options->product.pid);
+		return parse_int (optarg, G_MAXINT32, &options->product.pid);
 	case DFF_OPTION_PATH:
 		options->path = optarg;
 		return true;
@@ -366,11 +366,11 @@
 		options->token = optarg;
 		return true;
 	case DFF_OPTION_CONNECTIONS:
-		return take_int (optarg, MAX_CONNECTIONS, &options->connections);
+		return parse_int (optarg, MAX_CONNECTIONS, &options->connections);
 	case DFF_OPTION_ROUNDS:
-		return take_int (optarg, MAX_ROUNDS, &options->rounds);
+		return parse_int (optarg, MAX_ROUNDS, &options->rounds);
 	case DFF_OPTION_ROUND_MS:
-		return take_int (optarg, G_MAXINT16, &options->round_ms);
+		return parse_int (optarg, G_MAXINT16, &options->round_ms);
 	default:
 		return false;
 	}
@@ -381,7 +381,7 @@
 {
 	int option;
 	while ((option = getopt_long (argc, argv, "", long_options, NULL)) != -1) {
-		if (!take_option (options, option))
+		if (!parse_option (options, option))
 			return false;
 	}
 	return options->bare.pid > 0 && options->product.pid > 0 && options->path != NULL &&
--- a/bench/load/load.c
+++ b/bench/load/load.c
@@ -16,7 +16,7 @@
 #define STOP_MS 300
 #define BREAK_MS 180
 /** How much longer a gang that is bound to a rack takes on several. */
-#define FAR_TIMES 3
+#define CROSS_RACK_FACTOR 3
 /** Time that a run which goes on from what was saved needs first, ms. */
 #define RESTORE_MS 600
 /** Time between two reports of a run's progress, ms. */
@@ -37,8 +37,8 @@
 	int64_t saved_ms;
 	int32_t n_started;
 	/** How much longer than the job's run time the attempt takes where it is. */
-	double times;
-	bool far;
+	double slowdown;
+	bool across_racks;
 	bool running;
 	bool stopping;
 };
@@ -116,7 +116,7 @@
 }
 
 static void
-tell (struct play *play, const struct message *message, int32_t percent)
+report_event (struct play *play, const struct message *message, int32_t percent)
 {
 	struct dff_event event = {.type = message->type,
 				  .job = message->unit->name,
@@ -134,7 +134,8 @@
 	int64_t left_ms = unit->job->run_ms - unit->saved_ms;
 	if (unit->saved_ms > 0)
 		left_ms += RESTORE_MS;
-	return (int64_t)((double)left_ms * unit->times) * (unit->far ? FAR_TIMES : 1);
+	return (int64_t)((double)left_ms * unit->slowdown) *
+	       (unit->across_racks ? CROSS_RACK_FACTOR : 1);
 }
 
 static void
@@ -168,7 +169,7 @@
 static void
 handle_started (struct play *play, const struct message *message)
 {
-	tell (play, message, 0);
+	report_event (play, message, 0);
 	if (++message->unit->n_started == message->unit->width && !message->unit->stopping)
 		begin_run (play, message->unit);
 }
@@ -180,7 +181,7 @@
 	if (!unit->running || unit->stopping)
 		return;
 	unit->entry->failed_ms += play->now_ms - unit->begun_ms;
-	tell (play, message, 0);
+	report_event (play, message, 0);
 }
 
 static void
@@ -190,7 +191,7 @@
 	if (!unit->running || unit->stopping)
 		return;
 	play->figures->done_core_s += core_s (play, unit, play->now_ms - unit->begun_ms);
-	tell (play, message, 0);
+	report_event (play, message, 0);
 }
 
 static void
@@ -200,7 +201,7 @@
 	if (!unit->running || unit->stopping)
 		return;
 	int64_t ran_ms = play->now_ms - unit->begun_ms;
-	tell (play, message, (int32_t)(ran_ms * 100 / MAX (attempt_ms (unit), 1)));
+	report_event (play, message, (int32_t)(ran_ms * 100 / MAX (attempt_ms (unit), 1)));
 	send (play, message->unit, DFF_EVENT_TASK_PROGRESS, 0, REPORT_MS);
 }
 
@@ -223,7 +224,7 @@
 		handle_progress (play, message);
 		return;
 	default:
-		tell (play, message, 0);
+		report_event (play, message, 0);
 		return;
 	}
 }
@@ -235,7 +236,7 @@
 }
 
 static bool
-is_far (const struct unit *unit, const GArray *placements, int32_t per_rack)
+is_across_racks (const struct unit *unit, const GArray *placements, int32_t per_rack)
 {
 	int first = 0;
 	if (!unit->job->one_rack)
@@ -279,11 +280,12 @@
 		return;
 	int64_t ran_ms = play->now_ms - unit->begun_ms;
 	outcome_of (play, unit->job)->n_stopped++;
-	int64_t done_ms = (int64_t)((double)ran_ms / unit->times) / (unit->far ? FAR_TIMES : 1);
+	int64_t done_ms = (int64_t)((double)ran_ms / unit->slowdown) /
+			  (unit->across_racks ? CROSS_RACK_FACTOR : 1);
 	if (unit->job->checkpoint)
 		unit->saved_ms += done_ms;
 	else
-		play->figures->thrown_core_s += core_s (play, unit, ran_ms);
+		play->figures->wasted_core_s += core_s (play, unit, ran_ms);
 }
 
 static void
@@ -313,8 +315,9 @@
 	case DFF_COMMAND_RECORD_START:
 		unit->attempt = command->attempt;
 		unit->n_runs++;
-		unit->far = is_far (unit, command->placements, play->load->per_rack);
-		unit->times = slowest_member (play, unit, command->placements);
+		unit->across_racks =
+			is_across_racks (unit, command->placements, play->load->per_rack);
+		unit->slowdown = slowest_member (play, unit, command->placements);
 		end_run (unit);
 		send (play, unit, DFF_EVENT_ATTEMPT_RECORDED, 0, RECORD_MS);
 		return;
--- a/bench/load/load.h
+++ b/bench/load/load.h
@@ -89,7 +89,7 @@
 	struct dff_load_outcome classes[DFF_LOAD_CLASSES_MAX];
 	/** Work of runs that were stopped and not saved, and of those that completed, core-seconds;
 	 * an accelerator counts as its share of a worker's cores. */
-	double thrown_core_s;
+	double wasted_core_s;
 	double done_core_s;
 };
 
--- a/bench/load/main.c
+++ b/bench/load/main.c
@@ -30,13 +30,13 @@
 }
 
 static void
-without_patience (struct dff_core_options *options)
+without_headroom_wait (struct dff_core_options *options)
 {
 	options->headroom_wait_ratio = 0.0;
 }
 
 static void
-without_guards (struct dff_core_options *options)
+without_rack_reservations (struct dff_core_options *options)
 {
 	options->max_rack_reservations = 0;
 }
@@ -50,16 +50,16 @@
 static const struct variant variants[] = {
 	{"as it is", change_nothing},
 	{"no headroom", without_headroom},
-	{"bulk work waits for ever", without_patience},
+	{"bulk work waits for ever", without_headroom_wait},
 	{"any work thrown away", without_evict_bound},
-	{"no racks kept for gangs", without_guards},
+	{"no racks kept for gangs", without_rack_reservations},
 };
 
 struct sums {
 	double in_time[DFF_LOAD_MIXED_CLASSES];
 	double at_once;
 	double value;
-	double thrown;
+	double wasted;
 	double stopped;
 };
 
@@ -67,13 +67,13 @@
  * what one customer's managers have said. */
 static const double worth[DFF_LOAD_MIXED_CLASSES] = {4.0, 3.0, 1.0};
 static const double late_worth[DFF_LOAD_MIXED_CLASSES] = {0.8, 0.9, 0.3};
-#define THROWN_PRICE 0.002
+#define WASTED_PRICE 0.002
 
 /* Returns: the share that is earned of what all jobs are worth. */
 static double
 value_of (const struct dff_load_figures *figures)
 {
-	double earned = -THROWN_PRICE * figures->thrown_core_s;
+	double earned = -WASTED_PRICE * figures->wasted_core_s;
 	double owed = 0.0;
 	for (size_t i = 0; i < DFF_LOAD_MIXED_CLASSES; i++) {
 		const struct dff_load_outcome *at = &figures->classes[i];
@@ -93,7 +93,7 @@
 	const struct dff_load_outcome *urgent = &figures->classes[DFF_LOAD_URGENT];
 	sums->at_once += (double)urgent->n_at_once / MAX (urgent->n_jobs, 1);
 	sums->value += value_of (figures);
-	sums->thrown += figures->thrown_core_s / MAX (figures->done_core_s, 1.0);
+	sums->wasted += figures->wasted_core_s / MAX (figures->done_core_s, 1.0);
 }
 
 static void
@@ -115,7 +115,7 @@
 	printf ("%-26s %7.3f %7.3f %7.3f %8.3f %7.3f %8.0f %7.3f\n", variant->name,
 		sums.in_time[DFF_LOAD_URGENT] / n_seeds, sums.in_time[DFF_LOAD_GANGS] / n_seeds,
 		sums.in_time[DFF_LOAD_BULK] / n_seeds, sums.at_once / n_seeds,
-		sums.thrown / n_seeds, sums.stopped / n_seeds, sums.value / n_seeds);
+		sums.wasted / n_seeds, sums.stopped / n_seeds, sums.value / n_seeds);
 }
 
 static void
--- a/bench/peers.c
+++ b/bench/peers.c
@@ -23,7 +23,7 @@
 }
 
 static bool
-everybody_knows_death (struct fake_network *network, int32_t dead)
+all_peers_detected_death (struct fake_network *network, int32_t dead)
 {
 	for (int32_t i = 0; i < network->n_nodes; i++) {
 		struct fake_node *node = &network->nodes[i];
@@ -36,7 +36,7 @@
 }
 
 static bool
-everybody_has (const struct fake_network *network, int64_t generation)
+all_peers_have (const struct fake_network *network, int64_t generation)
 {
 	for (int32_t i = 0; i < network->n_nodes; i++) {
 		if (network->nodes[i].peer != NULL && network->nodes[i].generation != generation)
@@ -57,12 +57,12 @@
 	for (int32_t i = 1; i <= n_deaths; i++) {
 		int64_t from_ms = network->clock.now_ms;
 		fake_node_apply (&network->nodes[i], i);
-		while (!everybody_has (network, i))
+		while (!all_peers_have (network, i))
 			fake_network_run (network, TICK_MS);
 		worst_pool_ms = MAX (worst_pool_ms, network->clock.now_ms - from_ms);
 		from_ms = network->clock.now_ms;
 		fake_node_kill (&network->nodes[i]);
-		while (!everybody_knows_death (network, i))
+		while (!all_peers_detected_death (network, i))
 			fake_network_run (network, TICK_MS);
 		worst_death_ms = MAX (worst_death_ms, network->clock.now_ms - from_ms);
 	}
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -43,7 +43,7 @@
 }
 
 static bool
-take_option (struct arguments *arguments, int option)
+parse_option (struct arguments *arguments, int option)
 {
 	switch (option) {
 	case 'p':
@@ -83,7 +83,7 @@
 			fputs (usage, stdout);
 			exit (EXIT_SUCCESS);
 		}
-		if (!take_option (arguments, option))
+		if (!parse_option (arguments, option))
 			return false;
 	}
 	return arguments->pool != NULL && arguments->session != NULL && arguments->policy != NULL &&
--- a/bench/rings.c
+++ b/bench/rings.c
@@ -15,7 +15,7 @@
 #define MAX_KEYS 4096
 #define MAX_CENTRES 8
 #define VIRTUAL_NODES 100
-#define NOBODY (-1)
+#define NO_MEMBER (-1)
 
 /** Worlds that each figure is averaged over: other names, so other hashes. */
 #define N_WORLDS 20
@@ -48,12 +48,12 @@
 static int32_t
 rendezvous_owner (const struct world *world, int32_t key)
 {
-	int32_t owner = NOBODY;
+	int32_t owner = NO_MEMBER;
 	uint64_t best = 0;
 	for (int32_t i = 0; i < world->n_members; i++) {
 		uint64_t weight =
 			dff_rendezvous_weight (str_of (&world->keys[key]), &world->members[i]);
-		if (!world->live[i] || (owner != NOBODY && weight <= best))
+		if (!world->live[i] || (owner != NO_MEMBER && weight <= best))
 			continue;
 		owner = i;
 		best = weight;
@@ -68,15 +68,15 @@
 {
 	uint64_t place = XXH3_64bits (world->keys[key].data, world->keys[key].len);
 	uint64_t nearest = UINT64_MAX;
-	int32_t owner = NOBODY;
+	int32_t owner = NO_MEMBER;
 	for (int32_t i = 0; i < world->n_members; i++) {
-		if (!world->live[i] || (centre != NOBODY && world->centres[i] != centre))
+		if (!world->live[i] || (centre != NO_MEMBER && world->centres[i] != centre))
 			continue;
 		for (uint64_t node = 0; node < VIRTUAL_NODES; node++) {
 			uint64_t position = XXH3_64bits_withSeed (world->members[i].data,
 								  world->members[i].len, node);
 			uint64_t distance = position - place;
-			if (owner != NOBODY && distance >= nearest)
+			if (owner != NO_MEMBER && distance >= nearest)
 				continue;
 			owner = i;
 			nearest = distance;
@@ -88,7 +88,7 @@
 static int32_t
 one_ring_owner (const struct world *world, int32_t key)
 {
-	return ring_owner (world, key, NOBODY);
+	return ring_owner (world, key, NO_MEMBER);
 }
 
 /* The next ring that has a member: the keys of a lost data centre move, and no others. */
@@ -97,10 +97,10 @@
 {
 	for (int32_t i = 0; i < world->n_centres; i++) {
 		int32_t owner = ring_owner (world, key, (first + i) % world->n_centres);
-		if (owner != NOBODY)
+		if (owner != NO_MEMBER)
 			return owner;
 	}
-	return NOBODY;
+	return NO_MEMBER;
 }
 
 /* As in the paper: the key's hash chooses the ring. */
@@ -208,9 +208,9 @@
 	assign (world, owner, before);
 	figures->evenness += busiest_over_mean (world, before);
 	int32_t n = whole ? world->n_centres : world->n_members;
-	for (int32_t gone = 0; gone < n; gone++) {
+	for (int32_t removed = 0; removed < n; removed++) {
 		for (int32_t i = 0; i < world->n_members; i++)
-			world->live[i] = whole ? world->centres[i] != gone : i != gone;
+			world->live[i] = whole ? world->centres[i] != removed : i != removed;
 		assign (world, owner, after);
 		count_moves (world, before, after, figures);
 	}
--- a/bench/runner_tasks.c
+++ b/bench/runner_tasks.c
@@ -193,11 +193,11 @@
 }
 
 static void
-tell (struct dff_runner *runner,
-      const struct dff_answer *answer,
-      enum dff_event_type type,
-      int32_t member,
-      bool ran)
+send_event (struct dff_runner *runner,
+	    const struct dff_answer *answer,
+	    enum dff_event_type type,
+	    int32_t member,
+	    bool ran)
 {
 	struct dff_event event = {
 		.type = type,
@@ -223,7 +223,7 @@
 	member->state = DFF_MEMBER_RUN_ENDED;
 	dff_runner_job_break (job, answer->time_ms);
 	member_release_lease (runner, member);
-	tell (runner, answer, type, answer->member, ran);
+	send_event (runner, answer, type, answer->member, ran);
 }
 
 static void
@@ -236,7 +236,7 @@
 	member->state = DFF_MEMBER_RUN_HELD;
 	if (job->spec.gang == 1)
 		member_run (runner, answer->job, answer->member, answer->time_ms);
-	tell (runner, answer, DFF_EVENT_TASK_STARTED, answer->member, false);
+	send_event (runner, answer, DFF_EVENT_TASK_STARTED, answer->member, false);
 }
 
 static void
@@ -251,7 +251,7 @@
 	/* A gang resumes from a checkpoint that all its members wrote. */
 	if (job->n_checkpointed == job->spec.gang && job->broken_ms < 0)
 		job->saved_ms = job_progress_ms (job, answer->time_ms);
-	tell (runner, answer, DFF_EVENT_TASK_CHECKPOINTED, answer->member, true);
+	send_event (runner, answer, DFF_EVENT_TASK_CHECKPOINTED, answer->member, true);
 }
 
 static void
@@ -263,7 +263,7 @@
 	for (int32_t i = 0; i < job->spec.gang; i++) {
 		job->members[i].state = DFF_MEMBER_RUN_ENDED;
 		member_release_lease (runner, &job->members[i]);
-		tell (runner, answer, DFF_EVENT_TASK_COMPLETED, i, true);
+		send_event (runner, answer, DFF_EVENT_TASK_COMPLETED, i, true);
 	}
 }
 
@@ -276,7 +276,7 @@
 	job->ended_ms = answer->time_ms;
 	runner->n_open--;
 	dff_claims_ended (runner->claims, answer->job, answer->time_ms);
-	tell (runner, answer, DFF_EVENT_OUTCOME_RECORDED, 0, false);
+	send_event (runner, answer, DFF_EVENT_OUTCOME_RECORDED, 0, false);
 }
 
 static void
@@ -318,7 +318,7 @@
 	if (job->members == NULL || job->attempt != answer.attempt)
 		return;
 	if (answer.type == DFF_ANSWER_RECORDED)
-		tell (runner, &answer, DFF_EVENT_ATTEMPT_RECORDED, 0, false);
+		send_event (runner, &answer, DFF_EVENT_ATTEMPT_RECORDED, 0, false);
 	else
 		answer_member (runner, &answer);
 }
--- a/bench/slopes/core.c
+++ b/bench/slopes/core.c
@@ -80,7 +80,7 @@
 
 /** Every accelerator is leased to work of the teams' own, so that queued jobs stay queued. */
 static void
-take_accelerators (struct core_load *load)
+occupy_accelerators (struct core_load *load)
 {
 	int n_gangs = (int)load->pool->racks->len * 2;
 	for (int i = 0; i < n_gangs; i++) {
@@ -110,7 +110,7 @@
 		dff_pool_free (load->pool);
 		slopes_add (slopes, &axes.bytes, sizes[i], (double)(slopes_heap_bytes () - before));
 		load->pool = core_load_pool (&size);
-		take_accelerators (load);
+		occupy_accelerators (load);
 		queue_jobs (load, BASE_QUEUED);
 		add_times (slopes, &axes, load, sizes[i]);
 	}
@@ -127,7 +127,7 @@
 		int64_t before = slopes_heap_bytes ();
 		int n_tasks = core_load_run_tasks (load, sizes[i]);
 		slopes_add (slopes, &axes.bytes, n_tasks, (double)(slopes_heap_bytes () - before));
-		take_accelerators (load);
+		occupy_accelerators (load);
 		queue_jobs (load, BASE_QUEUED);
 		add_times (slopes, &axes, load, n_tasks);
 	}
@@ -143,7 +143,7 @@
 		int64_t before = slopes_heap_bytes ();
 		DFF_AUTO (core_load) load = core_load_new (&size);
 		slopes_add (slopes, &axes.bytes, sizes[i], (double)(slopes_heap_bytes () - before));
-		take_accelerators (load);
+		occupy_accelerators (load);
 		queue_jobs (load, BASE_QUEUED);
 		add_times (slopes, &axes, load, sizes[i]);
 	}
@@ -158,7 +158,7 @@
 		struct core_load_size size = {BASE_WORKERS, BASE_TEAMS, 1};
 		DFF_AUTO (core_load) load = core_load_new (&size);
 		core_load_run_tasks (load, BASE_TASKS);
-		take_accelerators (load);
+		occupy_accelerators (load);
 		int64_t before = slopes_heap_bytes ();
 		queue_jobs (load, sizes[i]);
 		slopes_add (slopes, &axes.bytes, sizes[i], (double)(slopes_heap_bytes () - before));
@@ -199,9 +199,9 @@
 		struct core_load_size size = {BASE_WORKERS, BASE_TEAMS, 1};
 		DFF_AUTO (core_load) load = core_load_new (&size);
 		core_load_run_tasks (load, BASE_TASKS);
-		take_accelerators (load);
+		occupy_accelerators (load);
 		double before = slopes_cpu_us ();
-		core_load_lose_workers (load, sizes[i]);
+		core_load_fail_workers (load, sizes[i]);
 		core_load_settle (load);
 		slopes_add (slopes, &axes, sizes[i], slopes_cpu_us () - before);
 	}
--- a/bench/slopes/core_load.c
+++ b/bench/slopes/core_load.c
@@ -90,7 +90,7 @@
 
 /** Tells the core about the first @n workers. */
 static void
-tell_workers (struct core_load *load, int n, enum dff_worker_state state)
+report_workers (struct core_load *load, int n, enum dff_worker_state state)
 {
 	for (guint i = 0; i < load->pool->racks->len; i++) {
 		const struct dff_rack *rack =
@@ -107,9 +107,9 @@
 }
 
 void
-core_load_lose_workers (struct core_load *load, int n)
+core_load_fail_workers (struct core_load *load, int n)
 {
-	tell_workers (load, n, DFF_WORKER_DOWN);
+	report_workers (load, n, DFF_WORKER_DOWN);
 }
 
 struct core_load *
@@ -124,7 +124,7 @@
 	dff_core_options_init (&options);
 	load->core = dff_core_new (&options);
 	dff_core_set_pool (load->core, load->pool, load->now_ms);
-	tell_workers (load, size->workers, DFF_WORKER_UP);
+	report_workers (load, size->workers, DFF_WORKER_UP);
 	core_load_settle (load);
 	return load;
 }
--- a/bench/slopes/core_load.h
+++ b/bench/slopes/core_load.h
@@ -56,6 +56,6 @@
 int core_load_run_tasks (struct core_load *load, int n_tasks);
 
 /** The first @n workers go down. */
-void core_load_lose_workers (struct core_load *load, int n);
+void core_load_fail_workers (struct core_load *load, int n);
 
 #endif
--- a/bench/slopes/main.c
+++ b/bench/slopes/main.c
@@ -21,7 +21,7 @@
 };
 
 static bool
-is_asked_for (const char *name, char **names, int n_names)
+is_selected (const char *name, char **names, int n_names)
 {
 	for (int i = 0; i < n_names; i++) {
 		if (strcmp (name, names[i]) == 0)
@@ -35,7 +35,7 @@
 {
 	for (int run = 0; run < runs; run++) {
 		for (size_t i = 0; i < G_N_ELEMENTS (chapters); i++) {
-			if (!is_asked_for (chapters[i].name, names, n_names))
+			if (!is_selected (chapters[i].name, names, n_names))
 				continue;
 			double before = slopes_cpu_us ();
 			chapters[i].measure (slopes);
--- a/bench/slopes/relay.c
+++ b/bench/slopes/relay.c
@@ -47,7 +47,7 @@
 }
 
 static void
-pass_on (struct bufferevent *from, void *user)
+forward (struct bufferevent *from, void *user)
 {
 	struct link *link = user;
 	struct bufferevent *to = link->halves[from == link->halves[0]];
@@ -83,7 +83,7 @@
 	relay->counts.connections++;
 	g_hash_table_add (relay->links, link);
 	for (int i = 0; i < 2; i++) {
-		bufferevent_setcb (link->halves[i], pass_on, NULL, closed, link);
+		bufferevent_setcb (link->halves[i], forward, NULL, closed, link);
 		bufferevent_enable (link->halves[i], EV_READ | EV_WRITE);
 	}
 	bufferevent_socket_connect (link->halves[1], (struct sockaddr *)&relay->target,
--- a/bench/slopes/site.c
+++ b/bench/slopes/site.c
@@ -55,7 +55,7 @@
 GString *
 site_pool_text (const struct site *site)
 {
-	int workers = site->options.workers + site->options.far_workers;
+	int workers = site->options.workers + site->options.remote_workers;
 	struct core_load_size size = {MAX (workers, 1), site->options.teams, 1};
 	return core_load_pool_text (&size);
 }
@@ -126,7 +126,7 @@
 list_workers (struct site *site, const struct dff_pool *pool)
 {
 	int n = 0;
-	int n_workers = site->options.workers + site->options.far_workers;
+	int n_workers = site->options.workers + site->options.remote_workers;
 	for (guint i = 0; i < pool->racks->len; i++) {
 		const struct dff_rack *rack = &g_array_index (pool->racks, struct dff_rack, i);
 		for (guint j = 0; j < rack->workers->len && n < n_workers; j++, n++) {
--- a/bench/slopes/site.h
+++ b/bench/slopes/site.h
@@ -22,7 +22,7 @@
 	/** Stand-in workers of the daemons' region. */
 	int workers;
 	/** Workers of another region: listed and in the pool, and that is all. */
-	int far_workers;
+	int remote_workers;
 	int teams;
 };
 
--- a/bench/slopes/store.c
+++ b/bench/slopes/store.c
@@ -200,7 +200,7 @@
 
 /** Does @n pieces of work, the first of which is number @first. */
 static void
-do_work (struct slopes *slopes, struct site *site, const struct work *work, int first, int n)
+send_work (struct slopes *slopes, struct site *site, const struct work *work, int first, int n)
 {
 	struct usage before = usage_now (site);
 	int64_t start_us = g_get_monotonic_time ();
@@ -260,7 +260,7 @@
 		site_run (site, SETTLE_MS);
 		int first = 0;
 		for (size_t j = 0; j < G_N_ELEMENTS (sizes); j++) {
-			do_work (slopes, site, &works[i], first, sizes[j]);
+			send_work (slopes, site, &works[i], first, sizes[j]);
 			first += sizes[j];
 		}
 	}
--- a/bench/slopes/watching.c
+++ b/bench/slopes/watching.c
@@ -38,7 +38,7 @@
 };
 
 static void
-ignore_sighting (void *ctx, const struct dff_worker_report *sighting)
+ignore_worker_report (void *ctx, const struct dff_worker_report *sighting)
 {
 	(void)ctx;
 	(void)sighting;
@@ -97,7 +97,7 @@
 	options.clock = dff_clock_system ();
 	options.metrics = watch->metrics;
 	options.seed = 1;
-	options.report = ignore_sighting;
+	options.report = ignore_worker_report;
 	watch->watcher = dff_watcher_new (&options);
 }
 
--- a/tests/bench/test-load.c
+++ b/tests/bench/test-load.c
@@ -20,7 +20,7 @@
 	/** Share of the urgent jobs that begin at once. */
 	double at_once;
 	/** Work thrown away for each core-second of work done. */
-	double thrown;
+	double wasted;
 };
 
 typedef void (*change_func) (struct dff_core_options *options);
@@ -43,7 +43,7 @@
 		dff_load_play (&load, &options, &figures);
 		const struct dff_load_outcome *urgent = &figures.classes[DFF_LOAD_URGENT];
 		means.at_once += (double)urgent->n_at_once / urgent->n_jobs / N_SEEDS;
-		means.thrown += figures.thrown_core_s / figures.done_core_s / N_SEEDS;
+		means.wasted += figures.wasted_core_s / figures.done_core_s / N_SEEDS;
 		for (size_t i = 0; i < DFF_LOAD_MIXED_CLASSES; i++)
 			means.in_time[i] += dff_load_in_time (&figures, i) / N_SEEDS;
 	}
@@ -66,12 +66,12 @@
 	struct means without = play (1.0, without_headroom);
 	assert_true (with.at_once > without.at_once + 0.15);
 	assert_true (with.in_time[DFF_LOAD_URGENT] > without.in_time[DFF_LOAD_URGENT] + 0.02);
-	assert_true (with.thrown < 0.8 * without.thrown);
+	assert_true (with.wasted < 0.8 * without.wasted);
 }
 
 /* Pattern: the pool is a quarter full. Headroom must cost nobody anything. */
 static void
-test_headroom_on_a_calm_day (void **state)
+test_headroom_under_low_load (void **state)
 {
 	(void)state;
 	struct means with = play (0.3, NULL);
@@ -82,7 +82,7 @@
 }
 
 static void
-without_patience (struct dff_core_options *options)
+without_headroom_wait (struct dff_core_options *options)
 {
 	options->headroom_wait_ratio = 0.0;
 }
@@ -95,10 +95,10 @@
 {
 	(void)state;
 	struct means with = play (1.0, NULL);
-	struct means without = play (1.0, without_patience);
+	struct means without = play (1.0, without_headroom_wait);
 	assert_true (with.in_time[DFF_LOAD_BULK] > without.in_time[DFF_LOAD_BULK] + 0.12);
 	assert_true (with.in_time[DFF_LOAD_URGENT] > without.in_time[DFF_LOAD_URGENT] - 0.02);
-	assert_true (with.thrown < 1.1 * without.thrown);
+	assert_true (with.wasted < 1.1 * without.wasted);
 }
 
 static void
@@ -115,7 +115,7 @@
 	(void)state;
 	struct means with = play (1.0, NULL);
 	struct means without = play (1.0, without_evict_bound);
-	assert_true (with.thrown < 0.6 * without.thrown);
+	assert_true (with.wasted < 0.6 * without.wasted);
 	for (size_t i = 0; i < DFF_LOAD_MIXED_CLASSES; i++)
 		assert_true (with.in_time[i] > without.in_time[i] - 0.04);
 }
@@ -125,7 +125,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test (test_headroom_under_load),
-		cmocka_unit_test (test_headroom_on_a_calm_day),
+		cmocka_unit_test (test_headroom_under_low_load),
 		cmocka_unit_test (test_bulk_under_load),
 		cmocka_unit_test (test_bounded_evictions),
 	};
