--- a/backing/http_instance_list.c
+++ b/backing/http_instance_list.c
@@ -98,8 +98,7 @@
 {
 	struct dff_http_call *call = user;
 	if (response->outcome != DFF_HTTP_ANSWERED || response->status != 200)
-		dff_log (DFF_LOG_PLATFORM, DFF_LOG_WARNING,
-			 "Announcing this instance to the platform failed. status=%d",
+		dff_log (DFF_LOG_PLATFORM, DFF_LOG_WARNING, "Announcing instance failed. status=%d",
 			 response->status);
 	dff_http_call_end (call);
 }
--- a/backing/memory.c
+++ b/backing/memory.c
@@ -189,8 +189,7 @@
 			left--;
 			g_sequence_remove (iter);
 			run_event (memory, event);
-			/* The callback may have made calls, which changes the sequence: start over.
-			 */
+			/* The callback may have made calls, which change the sequence: restart. */
 			next = g_sequence_get_begin_iter (memory->events);
 		}
 		iter = next;
