--- a/bench/backfill.c
+++ b/bench/backfill.c
@@ -1,13 +1,13 @@
 #include "bench/baseline.h"
 
-/* EASY backfill: the head of the queue gets one reservation at the earliest time that it can start
- * by the declared times of what runs. A job behind it may start when it is declared to end by then,
- * or when it leaves the reserved room alone. */
+/* EASY backfill: the head of the queue gets a reservation at the earliest time at which it can
+ * start by the declared run times of the running jobs. A later job may start when its declared end
+ * is not after that time, or when it uses no reserved capacity. */
 
 struct reservation {
-	/** When the head is expected to start; INT64_MAX: not foreseeable, workers are down. */
+	/** Expected start of the head, ms; INT64_MAX: unknown, as workers are down. */
 	int64_t start_ms;
-	/** Room at that time, once the head has started. Elements: struct dff_resources. */
+	/** Capacity left at start_ms, the head started. Elements: struct dff_resources. */
 	GArray *left;
 };
 
@@ -21,7 +21,7 @@
 	return one->sequence < other->sequence ? -1 : 1;
 }
 
-/* Jobs that hold room, in the order in which they are declared to end. */
+/* Returns: jobs that hold leases, by expected end. */
 static GPtrArray *
 jobs_by_expected_end (struct dff_baseline *baseline, int64_t now_ms)
 {
@@ -76,14 +76,14 @@
 	for (guint i = 0; i < sorted->len; i++) {
 		const struct dff_baseline_job *job = g_ptr_array_index (sorted, i);
 		release_job (reservation.left, job);
-		/* Jobs that end together are released together. */
+		/* Jobs with the same expected end are released together. */
 		const struct dff_baseline_job *next =
 			i + 1 < sorted->len ? g_ptr_array_index (sorted, i + 1) : NULL;
 		if (next != NULL && next->expected_end_ms == job->expected_end_ms)
 			continue;
 		if (!reserve_on (baseline, head, &reservation))
 			continue;
-		/* A job that outlived its declared time is expected to end at once. */
+		/* A job that has exceeded its declared time is expected to end now. */
 		reservation.start_ms = MAX (job->expected_end_ms, now_ms);
 		return reservation;
 	}
--- a/bench/baseline.h
+++ b/bench/baseline.h
@@ -4,8 +4,8 @@
 #include "bench/cluster.h"
 #include "bench/policy.h"
 
-/* What both baselines share: the life of an attempt, with the same commands and answers as the
- * decision core's, and the queue. They differ in which queued jobs they start. */
+/* Common to both baseline policies: the queue, and the states of an attempt, with the commands and
+ * answers of the decision core. The policies differ in the queued jobs that they start. */
 
 enum dff_baseline_state {
 	DFF_BASELINE_QUEUED,
@@ -28,7 +28,7 @@
 	struct dff_job_spec spec;
 	/** Order of submission. */
 	int64_t sequence;
-	/** The class it is queued in, or was. */
+	/** Class of the queue that the job is or was in. */
 	struct dff_baseline_class *queue;
 	enum dff_baseline_state state;
 	bool cancelled;
@@ -42,19 +42,19 @@
 	GArray *placements;
 	int32_t n_open;
 	int32_t n_started;
-	/** By its declared time; while it runs. */
+	/** Expected end by the declared run time, ms; valid while the job runs. */
 	int64_t expected_end_ms;
 	GList link;
 };
 
-/** Queued jobs that are alike to placement, in order. */
+/** Queued jobs with the same placement requirements, in order. */
 struct dff_baseline_class {
 	GQueue jobs;
-	/** For the pass in progress: nothing like it can be placed. */
+	/** In the current pass: no job of the class can be placed. */
 	bool closed;
-	/** For the pass in progress: nothing like it can be placed beside the reservation. */
+	/** In the current pass: no job of the class can be placed beside the reservation. */
 	bool limited;
-	/** For the pass in progress: the next job to look at. */
+	/** In the current pass: the next job to examine. */
 	GList *next;
 };
 
@@ -65,7 +65,7 @@
 	GHashTable *jobs;
 	/** GBytes * to struct dff_baseline_class *. */
 	GHashTable *classes;
-	/** Classes that the pass in progress has not done with. */
+	/** Classes with jobs that the current pass has yet to examine. */
 	GPtrArray *open_classes;
 	GArray *pending; /**< Elements: struct dff_command. */
 	bool dirty;
@@ -73,12 +73,12 @@
 	void (*schedule) (struct dff_baseline *baseline, int64_t now_ms);
 };
 
-/** Sets up @policy over a baseline that starts jobs by @schedule. */
+/** Initialises @policy with a baseline whose jobs are started by @schedule. */
 void dff_baseline_init (struct dff_policy *policy,
 			const struct dff_pool *pool,
 			void (*schedule) (struct dff_baseline *baseline, int64_t now_ms));
 
-/** Leases the workers and asks for the attempt to be recorded. */
+/** Leases the workers and requests the record of the attempt. */
 void dff_baseline_start (struct dff_baseline *baseline,
 			 struct dff_baseline_job *job,
 			 const int32_t *workers);
@@ -92,8 +92,8 @@
 /** Starts a pass over the queue. */
 void dff_baseline_pass_begin (struct dff_baseline *baseline);
 
-/** Returns: (nullable): the first job not looked at yet whose class is not closed. Urgent jobs come
- * first, then guaranteed ones, then by submission. */
+/** Returns: (nullable): the next job to examine whose class is not closed: urgent jobs first, then
+ * guaranteed jobs, then by submission. */
 struct dff_baseline_job *dff_baseline_pass_next (struct dff_baseline *baseline);
 
 /* fifo.c, backfill.c */
--- a/bench/baseline_queue.c
+++ b/bench/baseline_queue.c
@@ -2,7 +2,7 @@
 
 #include "bench/baseline.h"
 
-/* Compared bytewise: zeroed before filled. */
+/* Compared bytewise, so the padding must be zeroed. */
 struct class_key {
 	struct dff_name region;
 	struct dff_resources per_task;
--- a/bench/bound.c
+++ b/bench/bound.c
@@ -5,25 +5,25 @@
 #include "bench/session.h"
 
 /*
- * Bounds on the mean completion time of a session, whatever the policy.
+ * Bounds on the mean completion time of a session under any policy.
  *
- * Bound: the pool as one machine that may give any job any part of itself at any time. A job's
- * completion is at least its mean busy time and half its actual time, and the sum of mean busy
- * times is least when the smallest job present always has the whole machine (Goemans, 1997).
+ * Bound: the pool is one machine that may give any share of itself to any job at any time. A job's
+ * completion time is at least its mean busy time plus half its actual run time. The sum of mean
+ * busy times is least when the smallest job present always has the whole machine (Goemans, 1997).
  *
- * Reference, not a bound: a list schedule that knows every run time, preempts at no cost and knows
- * no racks, but gives each job all its accelerators or none.
+ * Reference, not a bound: a list schedule with known run times and free preemption that ignores
+ * racks, but gives each job all its accelerators or none.
  */
 
 #define DFF_EXIT_USAGE 2
-/* Less work than this is none: the rounding of sums. */
+/* Remaining work below this is a rounding error and counts as none. */
 #define DFF_EPSILON_S 1e-9
 
 struct work {
 	double submitted_s;
 	double actual_s;
 	double accelerators;
-	/** Accelerator-seconds over the pool's accelerators. */
+	/** Accelerator-seconds of the job over the accelerators of the pool. */
 	double size_s;
 	double left_s;
 	double key;
@@ -35,7 +35,7 @@
 	return g_hash_table_contains (cancelled, &event->subject);
 }
 
-/* Jobs that ask for accelerators the pool has and that nobody cancels. */
+/* Returns: jobs with accelerators that fit the pool and are not cancelled. */
 static GArray *
 load_works (const struct dff_session *session, double accelerators)
 {
@@ -72,7 +72,7 @@
 	return next < works->len ? g_array_index (works, struct work, next).submitted_s : INFINITY;
 }
 
-/* Keeps @active sorted by key, least first. */
+/* Inserts @work into @active, sorted by key, ascending. */
 static void
 insert (GPtrArray *active, struct work *work)
 {
@@ -121,7 +121,7 @@
 	return work->left_s * pow (work->accelerators, power);
 }
 
-/* The jobs that run next: in order of key, each that still fits. Returns: time until one ends. */
+/* Chooses the running jobs: by key, each that still fits. Returns: time until the first ends. */
 static double
 choose (const GPtrArray *active, double accelerators, GPtrArray *running)
 {
--- a/bench/claims.c
+++ b/bench/claims.c
@@ -1,6 +1,6 @@
 #include "bench/claims.h"
 
-/* Reclaimed capacity has to be running the claim's work within this time of the claim. */
+/* Time limit from a claim until its work runs on the reclaimed capacity. */
 #define DFF_CLAIM_LIMIT_MS 4300
 
 struct claim_shape {
@@ -13,7 +13,7 @@
 	guint team;
 	int64_t accelerators;
 	struct dff_name region;
-	/** Index of the shape that it has room in; -1: none yet. */
+	/** Index of the shape that covers the claim; -1: none yet. */
 	int shape;
 	int64_t covered_ms;
 	bool started;
@@ -27,7 +27,7 @@
 
 struct dff_claims {
 	GArray *teams; /**< Elements: struct claim_team. */
-	/** Job's index to struct claim *. */
+	/** Index of the job to struct claim *. */
 	GHashTable *open;
 	struct dff_claims_verdict verdict;
 };
@@ -90,7 +90,7 @@
 	return dff_name_is_empty (one) || dff_name_is_empty (other) || dff_name_equal (one, other);
 }
 
-/* Gives the claim room in the tightest shape that has enough. */
+/* Covers the claim with the smallest shape that has enough free accelerators. */
 static bool
 claim_cover (struct claim_team *team, struct claim *claim, int64_t now_ms)
 {
--- a/bench/claims.h
+++ b/bench/claims.h
@@ -7,9 +7,9 @@
 #include "pool/pool.h"
 
 /*
- * Judges guarantees from outside the policy. Each guaranteed job that has not ended claims room in
- * one of its team's shapes, the tightest that holds it; from then on its start may take no longer
- * than the limit. Jobs beyond the guarantee claim when room comes free, oldest first.
+ * Checks guarantees independently of the policy. Each guaranteed job that has not ended claims
+ * capacity in one of its team's shapes, the smallest that can hold the job, and must then start
+ * within the limit. Jobs beyond the guarantee claim when capacity is released, oldest first.
  */
 
 struct dff_claims;
@@ -20,16 +20,16 @@
 
 DFF_DEFINE_CLEANUP (dff_claims, dff_claims_free);
 
-/** A guaranteed job was accepted. @job is the index by which it is known from now on. */
+/** Adds an accepted guaranteed job. @job is its index in later calls. */
 void dff_claims_submitted (struct dff_claims *claims,
 			   uint32_t job,
 			   const struct dff_job_spec *spec,
 			   int64_t now_ms);
 
-/** All tasks of the job run. */
+/** Reports that all tasks of the job run. */
 void dff_claims_started (struct dff_claims *claims, uint32_t job, int64_t now_ms);
 
-/** The job ended, started or not. */
+/** Reports the end of the job, whether it had started or not. */
 void dff_claims_ended (struct dff_claims *claims, uint32_t job, int64_t now_ms);
 
 struct dff_claims_verdict {
--- a/bench/cluster.c
+++ b/bench/cluster.c
@@ -63,7 +63,7 @@
 	cluster->racks = g_array_new (FALSE, FALSE, sizeof (struct dff_cluster_rack));
 	cluster->available = g_array_new (FALSE, FALSE, sizeof (struct dff_resources));
 	cluster->index = g_hash_table_new_full (dff_name_hash, dff_name_equal_func, g_free, NULL);
-	/* Region by region, so that neighbours stand next to each other. */
+	/* By region, so that neighbouring racks have consecutive indices. */
 	for (int32_t region = 0; region < (int32_t)pool->racks->len; region++) {
 		for (guint i = 0; i < pool->racks->len; i++) {
 			const struct dff_rack *rack =
@@ -129,7 +129,7 @@
 	       dff_name_equal (&rack->region_name, &spec->region);
 }
 
-/* Fills racks @first to @last in order. Returns: tasks placed. */
+/* Places tasks on racks @first to @last, in order. Returns: number of tasks placed. */
 static int32_t
 fill_racks (const struct dff_cluster *cluster,
 	    const struct dff_cluster_view *view,
--- a/bench/cluster.h
+++ b/bench/cluster.h
@@ -5,7 +5,7 @@
 
 #include "core/core.h"
 
-/* Workers and racks as the baselines see them, and first-fit placement. */
+/* Workers and racks of the baseline policies, and first-fit placement. */
 
 struct dff_cluster_worker {
 	struct dff_name name;
@@ -27,16 +27,16 @@
 	GArray *workers; /**< Elements: struct dff_cluster_worker. */
 	GArray *racks;   /**< Elements: struct dff_cluster_rack. */
 	GHashTable *index;
-	/** Elements: struct dff_resources, one a worker: what is free now. */
+	/** Free capacity per worker. Elements: struct dff_resources. */
 	GArray *available;
 };
 
-/** What a placement may use of each worker. Elements of both: struct dff_resources. */
+/** Capacity of each worker that a placement may use. Elements of both: struct dff_resources. */
 struct dff_cluster_view {
 	const GArray *available;
-	/** (nullable): a second bound, what may be held beyond a reservation. */
+	/** (nullable): a second limit: capacity not reserved. */
 	const GArray *limit;
-	/** Whether workers that are down count as well. */
+	/** Whether workers that are down may be used too. */
 	bool ignore_state;
 };
 
@@ -44,16 +44,16 @@
 
 void dff_cluster_clear (struct dff_cluster *cluster);
 
-/** Returns: index of a worker, -1 when there is none of that name. */
+/** Returns: index of the worker; -1: unknown name. */
 int32_t dff_cluster_find (const struct dff_cluster *cluster, const struct dff_name *name);
 
 /**
  * dff_cluster_place:
- * @workers: (out): room for spec->gang indices
+ * @workers: (out): array of spec->gang indices
  *
- * First fit in the order of the pool file. Adjacent jobs go into one rack when they would fit an
- * empty one, else into the shortest run of neighbouring racks of a region; others anywhere in one
- * region.
+ * Places a job by first fit in the order of the pool file. An adjacent job is placed in one rack if
+ * an empty rack could hold it, else in the shortest run of neighbouring racks of a region; other
+ * jobs anywhere in one region.
  */
 bool dff_cluster_place (const struct dff_cluster *cluster,
 			const struct dff_cluster_view *view,
@@ -63,7 +63,7 @@
 /** Whether the job would fit if every worker were up and empty. */
 bool dff_cluster_place_ever (const struct dff_cluster *cluster, const struct dff_job_spec *spec);
 
-/** Adds @times times @amount to one element of a table of struct dff_resources. */
+/** Adds @times times @amount to the capacity of one worker. */
 void dff_capacity_add (GArray *available,
 		       int32_t worker,
 		       const struct dff_resources *amount,
--- a/bench/core_policy.h
+++ b/bench/core_policy.h
@@ -3,7 +3,7 @@
 
 #include "bench/policy.h"
 
-/** Sets up @policy over the decision core. */
+/** Initialises @policy with the decision core. */
 void dff_core_policy_init (struct dff_policy *policy, const struct dff_pool *pool, uint64_t seed);
 
 #endif
--- a/bench/events.h
+++ b/bench/events.h
@@ -5,7 +5,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Answers that are on their way, in order of time and, within one time, of being sent. */
+/* Queue of pending answers, by time, then by the order in which they were sent. */
 
 enum dff_answer_type {
 	DFF_ANSWER_RECORDED,
@@ -39,7 +39,7 @@
 /** Returns: time of the next answer, INT64_MAX: none. */
 int64_t dff_answer_queue_next_ms (const struct dff_answer_queue *queue);
 
-/** Takes the next answer. The queue is not empty. */
+/** Removes and returns the next answer. The queue must not be empty. */
 struct dff_answer dff_answer_queue_pop (struct dff_answer_queue *queue);
 
 #endif
--- a/bench/fifo.c
+++ b/bench/fifo.c
@@ -1,6 +1,6 @@
 #include "bench/baseline.h"
 
-/* First come, first served: the first job that does not fit holds back all behind it. */
+/* First come, first served: the first job that does not fit blocks all later jobs. */
 
 void
 dff_fifo_schedule (struct dff_baseline *baseline, G_GNUC_UNUSED int64_t now_ms)
--- a/bench/fleet/audit.c
+++ b/bench/fleet/audit.c
@@ -2,16 +2,17 @@
 
 #include <stdio.h>
 
-/** What the run log says of one tag. */
+/** Runs with one tag in the run log. */
 struct runs {
 	int64_t n_runs;
-	/** Most runs of one member of the gang, over all attempts and jobs; of a request: all. */
+	/** Runs of the member that ran most often, over all attempts and jobs; of a request: all
+	 * runs. */
 	int64_t per_member;
-	/** Runs of a member in one attempt beyond the first. */
+	/** Runs of members beyond the first in an attempt. */
 	int64_t repeated;
 };
 
-/** Runs by tag, and counters by member and by member and attempt. */
+/** Runs by tag, and run counts by member and by member and attempt. */
 struct run_table {
 	/** char * to struct runs. */
 	GHashTable *tags;
@@ -38,7 +39,7 @@
 	return runs;
 }
 
-/* "request ID TAG" or "task JOB ATTEMPT MEMBER TAG". */
+/* Counts one line: "request ID TAG" or "task JOB ATTEMPT MEMBER TAG". */
 static void
 count_line (struct run_table *table, const char *line)
 {
--- a/bench/fleet/audit.h
+++ b/bench/fleet/audit.h
@@ -3,22 +3,23 @@
 
 #include "bench/fleet/load.h"
 
-/* What callers were told against what workers ran. */
+/* Compares the results that callers received with the runs that workers logged. */
 
 struct fleet_audit {
-	/** Work that must run at most once and ran more often. */
+	/** Requests and jobs that must run at most once and ran more than once. */
 	int64_t duplicates;
-	/** Work that ran although its caller, or its job, says not_run. */
+	/** Requests and jobs that ran although their outcome is not_run. */
 	int64_t false_not_run;
-	/** Callers with an answer, or jobs that completed, without a run. */
+	/** Answered requests and completed jobs without a run. */
 	int64_t answered_without_run;
-	/** Attempts of idempotent jobs that a worker began twice. */
+	/** Second starts of a member within one attempt of an idempotent job. */
 	int64_t repeated_attempts;
-	/** Things that began to run. */
+	/** Runs of requests and of members of jobs. */
 	int64_t runs;
 };
 
-/** Reads the run log and compares; prints each fault. Returns: false when it cannot be read. */
+/** Compares @load with the run log and prints each fault. Returns: false when the log cannot be
+ * read. */
 bool
 fleet_audit_run (const struct fleet_load *load, const char *run_log, struct fleet_audit *audit);
 
--- a/bench/fleet/cost.c
+++ b/bench/fleet/cost.c
@@ -8,8 +8,8 @@
 #include "bench/fleet/fleet.h"
 #include "bench/fleet/load.h"
 
-/* The store's calls under a load, and what a process costs while there is nothing to do: processor
- * time, bytes of its own connections to peers, workers and platform, resident memory. */
+/* Measures the store's calls under load, and the cost of an idle process: processor time, bytes on
+ * its connections to peers, workers and platform, resident memory. */
 
 #define LOADED_MS 30000
 #define LOADED_MS_QUICK 15000
@@ -34,7 +34,7 @@
 struct store_calls {
 	double writes;
 	double reads;
-	/** What the processes' budgets of writes count. */
+	/** Calls that count against the processes' write budgets. */
 	double budgeted;
 };
 
@@ -64,7 +64,7 @@
 	return calls;
 }
 
-/** What one process has used up so far. */
+/** Resources that one process has used since its start. */
 struct usage {
 	double cpu_ms;
 	double bytes;
@@ -170,8 +170,8 @@
 	fleet_load_free (fleet);
 }
 
-/* More work than the budget of writes lets through: what is too much is refused, and the table must
- * not notice. */
+/* Sends more work than the write budget admits: the excess must be refused, and the table's write
+ * rate must stay within the limit. */
 static void
 measure_overload (struct fleet *fleet)
 {
@@ -201,7 +201,7 @@
 	fleet_load_free (fleet);
 }
 
-/* The highest of all processes: the holder is one of them. */
+/* Reports the highest value of all processes, the holder included. */
 static void
 report_idle (struct fleet *fleet,
 	     const struct usage *before,
--- a/bench/fleet/faults.c
+++ b/bench/fleet/faults.c
@@ -3,8 +3,8 @@
 #include "bench/fleet/audit.h"
 #include "bench/fleet/inject.h"
 
-/* Random faults under a mix of work that may be repeated and work that must not be; then what
- * callers were told is compared with what workers ran. */
+/* Injects random faults under a mix of idempotent and at-most-once work, then compares the results
+ * that callers received with the runs that workers logged. */
 
 #define N_FAULTS 1000
 #define N_FAULTS_QUICK 200
--- a/bench/fleet/fleet.h
+++ b/bench/fleet/fleet.h
@@ -12,9 +12,10 @@
 #include "common/str.h"
 
 /*
- * Nine real processes, a stand-in platform and stand-in workers as the driver sees them: addresses,
- * what each said last, and calls. The driver starts and signals nothing: it prints "!signal NAME
- * SIGNAL" and "!start NAME" for the script that started it (bench/fleet.sh).
+ * The driver's state of nine real processes, a stand-in platform and stand-in workers: addresses,
+ * the last status of each, and calls. The driver does not start or signal processes itself: it
+ * prints
+ * "!signal NAME SIGNAL" and "!start NAME", which bench/fleet.sh carries out.
  */
 
 #define FLEET_PROCESSES_MAX 16
@@ -24,20 +25,20 @@
 struct fleet_process {
 	struct dff_name name;
 	struct dff_name address;
-	/** As polled last: it answered; then what it said. */
+	/** Result of the last poll: whether the process answered, and its status. */
 	bool answers;
 	bool ready;
 	bool holder;
 	int64_t epoch;
 	int64_t generation;
-	/** A poll is on its way. */
+	/** A poll is pending. */
 	bool polling;
 	int64_t polled_ms;
-	/** The balancer sends to it, and when it looked last. */
+	/** The balancer routes to the process; a check of /readyz is pending; time of the last. */
 	bool in_rotation;
 	bool checking;
 	int64_t checked_ms;
-	/** It is stopped, paused or starting by the driver's doing. */
+	/** Stopped, paused or being started by the driver. */
 	bool disturbed;
 };
 
@@ -80,19 +81,19 @@
 	GArray *rows;
 };
 
-/** Undoes a fault once its time has come. */
+/** Undoes a fault at a given time. */
 struct fleet_repair {
 	int64_t due_ms;
 	void (*func) (struct fleet *fleet, int index);
 	int index;
 };
 
-/** One line of the table at the end. */
+/** One line of the final table. */
 struct fleet_row {
 	const char *phase;
 	const char *what;
 	double value;
-	/** Highest value that passes; negative: no bar. */
+	/** Highest value that passes; negative: not limited. */
 	double bar;
 };
 
@@ -102,35 +103,35 @@
 
 int64_t fleet_now_ms (const struct fleet *fleet);
 
-/** Lets the loop run for @ms. */
+/** Runs the loop for @ms. */
 void fleet_sleep (struct fleet *fleet, int64_t ms);
 
-/** Lets the loop run until @condition holds. Returns: false when it did not within @timeout_ms. */
+/** Runs the loop until @condition holds. Returns: false when @timeout_ms passed before. */
 bool fleet_wait (struct fleet *fleet,
 		 bool (*condition) (struct fleet *fleet, int64_t argument),
 		 int64_t argument,
 		 int64_t timeout_ms);
 
-/** Repairs what is due in @delay_ms. */
+/** Calls @func after @delay_ms. */
 void fleet_repair_later (struct fleet *fleet,
 			 int64_t delay_ms,
 			 void (*func) (struct fleet *fleet, int index),
 			 int index);
 
-/** Asks the script to send a signal ("KILL", "STOP", "CONT", "TERM"). */
+/** Requests the script to send a signal ("KILL", "STOP", "CONT", "TERM"). */
 void fleet_signal (const struct dff_name *name, const char *signal);
 
-/** Asks the script to wait for the end of a process and to start it anew. */
+/** Requests the script to wait for the end of a process and to restart it. */
 void fleet_start (const struct dff_name *name);
 
-/** A whole answer, or none. */
+/** Result of a call; without a complete answer the body is empty. */
 struct fleet_answer {
 	enum dff_http_outcome outcome;
 	int status;
 	GString *body;
 };
 
-/** Calls and lets the loop run until the answer; not to be used in callbacks. */
+/** Sends a call and runs the loop until the answer; not to be used in callbacks. */
 struct fleet_answer fleet_call (struct fleet *fleet,
 				const struct dff_name *address,
 				enum evhttp_cmd_type method,
@@ -140,10 +141,11 @@
 
 void fleet_answer_clear (struct fleet_answer *answer);
 
-/** Sends faults to a stand-in and does not wait. */
+/** Sets the faults of a stand-in without waiting for the answer. */
 void fleet_post_faults (struct fleet *fleet, const struct dff_name *address, const char *faults);
 
-/** Returns: the index of the one process that holds the cell, as polled last; -1: none. */
+/** Returns: index of the process that holds the cell by the last polls, that of the highest epoch;
+ * -1: none. */
 int fleet_holder (const struct fleet *fleet);
 
 /** Conditions for fleet_wait(). */
@@ -152,7 +154,7 @@
 bool fleet_process_ready (struct fleet *fleet, int64_t index);
 bool fleet_process_gone (struct fleet *fleet, int64_t index);
 
-/** Polls due processes and the balancer's looks; called by the loop. */
+/** Sends the polls and the balancer's checks that are due; called by the loop. */
 void fleet_watch_tick (struct fleet *fleet);
 
 /** Adds a line to the table. */
--- a/bench/fleet/follow.c
+++ b/bench/fleet/follow.c
@@ -2,12 +2,12 @@
 
 #include "bench/fleet/load.h"
 
-/* What becomes of accepted jobs. */
+/* Queries accepted jobs until they have ended. */
 
 #define ROUND_PAUSE_MS 300
 #define CALL_TIMEOUT_MS 3000
 
-/** Jobs asked for and not answered yet. */
+/** Queries that are pending. */
 struct follow {
 	struct fleet *fleet;
 	int64_t waiting;
@@ -63,7 +63,7 @@
 	return caller->verdict == FLEET_ACCEPTED && dff_name_is_empty (&caller->job_outcome);
 }
 
-/* Asks for every job that has not ended. Returns how many there are. */
+/* Queries every job that has not ended. Returns: the number that still have not. */
 static int64_t
 query_round (struct fleet *fleet)
 {
--- a/bench/fleet/inject.c
+++ b/bench/fleet/inject.c
@@ -2,10 +2,10 @@
 
 #include <stdio.h>
 
-/** As many processes and workers are disturbed at once at the most. */
+/** Most processes and workers with a fault at one time. */
 #define PROCESSES_DISTURBED_MAX 3
 #define WORKERS_DISTURBED_MAX 8
-/** After a start, until the process may be chosen again, ms. */
+/** Time after a start until the process may get another fault, ms. */
 #define STARTING_MS 1500
 #define READY_TIMEOUT_MS 60000
 
@@ -14,7 +14,7 @@
 	"store faults",     "workers killed", "worker faults",
 };
 
-/** Of a hundred. */
+/** Probability of each fault, percent. */
 static const int weights[FLEET_N_FAULTS] = {9, 4, 5, 4, 28, 12, 38};
 
 static int
@@ -217,8 +217,8 @@
 	return (enum fleet_fault)fault;
 }
 
-/* A fault that cannot be had now, as its victims are disturbed, is drawn again; the store's always
- * can. */
+/* Draws again while the fault cannot be injected because its targets already have one; faults of
+ * the store can always be injected. */
 enum fleet_fault
 fleet_inject (struct fleet *fleet)
 {
--- a/bench/fleet/inject.h
+++ b/bench/fleet/inject.h
@@ -3,14 +3,14 @@
 
 #include "bench/fleet/fleet.h"
 
-/* Faults of processes, the platform and workers, drawn from the fleet's seed; each is undone by the
- * loop after its time. */
+/* Injects faults of processes, the platform and workers, chosen by the fleet's seed; the loop
+ * undoes each after its duration. */
 
 enum fleet_fault {
 	FLEET_FAULT_KILL,
 	FLEET_FAULT_KILL_HOLDER,
 	FLEET_FAULT_PAUSE,
-	/** Past its lease. */
+	/** For longer than the lease of the cell. */
 	FLEET_FAULT_PAUSE_HOLDER,
 	FLEET_FAULT_STORE,
 	FLEET_FAULT_WORKER_DIES,
@@ -21,10 +21,10 @@
 /** Names of the faults, for the report. */
 extern const char *const fleet_fault_names[FLEET_N_FAULTS];
 
-/** Injects one fault. Returns: which. */
+/** Injects one fault. Returns: its type. */
 enum fleet_fault fleet_inject (struct fleet *fleet);
 
-/** Undoes what is left and waits until every process is ready. Returns: whether they are. */
+/** Waits until all faults are undone and every process is ready. Returns: whether all are. */
 bool fleet_inject_end (struct fleet *fleet);
 
 #endif
--- a/bench/fleet/load.c
+++ b/bench/fleet/load.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #define ANSWER_BYTES 200
-/** A caller waits so long for an answer before it takes the connection for lost, ms. */
+/** Time without an answer after which a caller treats the connection as lost, ms. */
 #define ANSWER_TIMEOUT_MS 4000
 #define MS_PER_S 1000
 #define RETRY_MS 100
@@ -50,8 +50,8 @@
 	caller->load->in_progress--;
 }
 
-/* Jobs and requests with a key are repeated until their callers know: nobody may give up on a job
- * that may have been accepted. */
+/* Jobs have no timeout, as a caller may not give up on a job that may have been accepted. Requests
+ * are retried until the request timeout. */
 static void
 retry_later (struct fleet_caller *caller, int64_t delay_ms)
 {
@@ -114,8 +114,8 @@
 	json_decref (job);
 }
 
-/* Workers begin an answer with the id of the request that they ran, which the answer's header must
- * name too: an answer cut short, or somebody else's, shows. */
+/* Workers begin an answer with the id of the request that they ran. The Request-Id header must name
+ * the same id: this detects a truncated answer and the answer to another request. */
 static bool
 is_own_answer (const struct dff_http_response *response)
 {
@@ -188,7 +188,7 @@
 		{"Content-Type", dff_str_from ("application/json")},
 		{"Attempt", dff_str_from (attempt)},
 		{"Idempotent", dff_str_from (caller->kind == FLEET_ONCE ? "false" : "true")},
-		/* Last, as an idempotent short request has none. */
+		/* Must be last: left out for an idempotent short request. */
 		{"Idempotency-Key", dff_str_from (caller->tag.data)},
 	};
 	const struct dff_http_request request = {
--- a/bench/fleet/load.h
+++ b/bench/fleet/load.h
@@ -4,9 +4,9 @@
 #include "bench/fleet/fleet.h"
 
 /*
- * Callers at a steady rate. Each has one piece of work, goes to a process that the balancer calls
- * ready, and comes back elsewhere when the work was not sent, or was lost and may be repeated (it
- * is idempotent, or carries its Idempotency-Key), or when it was told when to come back.
+ * Callers that arrive at a constant rate. Each sends one request or job to a process that the
+ * balancer routes to. It retries at another process when the call was not sent, when the call was
+ * lost and may be repeated (idempotent, or with an Idempotency-Key), or after a Retry-After.
  */
 
 enum fleet_kind {
@@ -18,39 +18,39 @@
 	FLEET_JOB_ONCE,
 };
 
-/** What a caller knows in the end. */
+/** The result that a caller ends with. */
 enum fleet_verdict {
 	FLEET_OPEN,
-	/** It has its whole answer. */
+	/** The complete answer arrived. */
 	FLEET_ANSWERED,
-	/** Its job is accepted. */
+	/** The job was accepted. */
 	FLEET_ACCEPTED,
 	FLEET_NOT_RUN,
 	FLEET_UNKNOWN,
-	/** No answer within its patience, or a wrong one. */
+	/** No answer within the request timeout, or a wrong answer. */
 	FLEET_FAILED,
 };
 
 struct fleet_caller {
 	struct fleet_load *load;
 	enum fleet_kind kind;
-	/** "PHASE-NUMBER", its key, and what the run log calls it. */
+	/** "PHASE-SEED-NUMBER": the idempotency key, and the tag in the run log. */
 	struct dff_name tag;
-	/** Process that it speaks to. */
+	/** Index of the process that the last call was sent to. */
 	int process;
 	int32_t n_tries;
 	int64_t begun_ms;
 	int64_t ended_ms;
-	/** When it goes on; 0: it waits for an answer. */
+	/** Time of the next retry; 0: an answer is pending. */
 	int64_t next_ms;
 	enum fleet_verdict verdict;
-	/** Once accepted. */
+	/** Id of the job, once accepted. */
 	struct dff_name job;
-	/** Outcome of its job, once that has ended. */
+	/** Outcome of the job, once ended. */
 	struct dff_name job_outcome;
 };
 
-/** Calls a second of each kind. */
+/** Callers per second of each kind. */
 struct fleet_rates {
 	double idempotent;
 	double once;
@@ -65,7 +65,7 @@
 	int64_t request_timeout_ms;
 	int64_t begun_ms;
 	bool stopped;
-	/** Callers do not come back any more. */
+	/** Callers no longer retry. */
 	bool retries_stopped;
 	int64_t sent[4];
 	int64_t in_progress;
@@ -74,13 +74,13 @@
 	GPtrArray *callers;
 };
 
-/** Begins a load; the fleet's loop drives it. */
+/** Starts a load, driven by the fleet's loop. */
 void fleet_load_begin (struct fleet *fleet,
 		       const char *phase,
 		       const struct fleet_rates *rates,
 		       int64_t request_timeout_ms);
 
-/** Starts no more callers and waits until all know what became of their work. */
+/** Starts no more callers and waits until each has a verdict. */
 void fleet_load_end (struct fleet *fleet);
 
 /** Frees the load. */
@@ -89,14 +89,14 @@
 /** Called by the loop. */
 void fleet_load_tick (struct fleet_load *load);
 
-/** Returns: callers of @kind with @verdict. */
+/** Returns: the number of callers of @kind with @verdict. */
 int64_t
 fleet_load_count (const struct fleet_load *load, enum fleet_kind kind, enum fleet_verdict verdict);
 
 /** Returns: the longest time until an answer, ms. */
 double fleet_load_slowest (const struct fleet_load *load);
 
-/** Waits until every accepted job has ended. Returns: how many have not. */
+/** Waits until every accepted job has ended. Returns: the number that have not ended. */
 int64_t fleet_load_follow_jobs (struct fleet *fleet, int64_t timeout_ms);
 
 #endif
--- a/bench/fleet/main.c
+++ b/bench/fleet/main.c
@@ -1,7 +1,7 @@
 /*
- * Measures a fleet of processes on loopback: take-over, configuration, rolling restart, faults,
- * cost (docs/FLEET.md). Started by bench/fleet.sh, which starts the processes and carries out the
- * lines of standard output that begin with "!".
+ * Measures a fleet of processes on loopback: takeover, configuration, rolling restart, faults, cost
+ * (docs/FLEET.md). Started by bench/fleet.sh, which starts the processes and executes the lines of
+ * standard output that begin with "!".
  */
 
 #include <getopt.h>
@@ -39,7 +39,7 @@
 	"             --process NAME=IP:PORT... --worker NAME=IP:PORT...\n"
 	"             [--phases takeover,pool,restart,faults,cost] [--seed N] [--quick]\n";
 
-/** What the command line says. */
+/** Parsed command line. */
 struct arguments {
 	struct fleet_options options;
 	const char *phases;
--- a/bench/fleet/pool.c
+++ b/bench/fleet/pool.c
@@ -4,8 +4,8 @@
 #include "bench/fleet/fleet.h"
 #include "bench/fleet/load.h"
 
-/* A pool file is applied through one process after another; time from the call to the moment at
- * which every process has said that it is in force. */
+/* Applies pool files through one process after another and measures the time from the call until
+ * every process reports the new generation. */
 
 #define N_APPLIES 200
 #define N_APPLIES_QUICK 60
@@ -19,7 +19,7 @@
 
 static const char phase[] = "pool";
 
-/** The pool file with one setting that differs from one application to the next. */
+/** Returns: the pool file with a weight that differs from that of the last application. */
 static char *
 pool_text (json_t *pool, int number)
 {
@@ -37,7 +37,7 @@
 	return newest;
 }
 
-/* Returns the time in ms, or a negative number when the file was refused or is not in force. */
+/* Returns: the time, ms; negative: the file was refused, or some process does not report it. */
 static double
 apply (struct fleet *fleet, json_t *pool, int number)
 {
--- a/bench/fleet/restart.c
+++ b/bench/fleet/restart.c
@@ -3,13 +3,13 @@
 #include "bench/fleet/fleet.h"
 #include "bench/fleet/load.h"
 
-/* Every process is stopped with SIGTERM and started anew, one after another, under load. */
+/* Restarts every process with SIGTERM, one after another, under load. */
 
 #define POLL_MS 50
 #define STOP_TIMEOUT_MS 60000
 #define READY_TIMEOUT_MS 30000
 #define REQUEST_TIMEOUT_MS 15000
-/** The balancer has to see that the new process is ready. */
+/** Time in which the balancer detects that the new process is ready, ms. */
 #define SETTLE_MS 1500
 #define JOBS_TIMEOUT_MS 60000
 
--- a/bench/fleet/takeover.c
+++ b/bench/fleet/takeover.c
@@ -3,7 +3,7 @@
 #include "bench/fleet/fleet.h"
 #include "bench/fleet/load.h"
 
-/* The holder is killed without a word, again and again, while callers send short requests. */
+/* Kills the holder with SIGKILL, repeatedly, while callers send short requests. */
 
 #define N_KILLS 30
 #define N_KILLS_QUICK 8
@@ -22,7 +22,8 @@
 	return holder >= 0 && fleet->processes[holder].epoch > epoch;
 }
 
-/* Returns the time until another process holds the cell and has rebuilt its tables. */
+/* Measures the time until another process holds the cell and has rebuilt its tables. Returns: false
+ * when none does within the timeout. */
 static bool
 kill_holder (struct fleet *fleet, double *takeover_ms)
 {
--- a/bench/fleet/watch.c
+++ b/bench/fleet/watch.c
@@ -1,7 +1,7 @@
 #include "bench/fleet/fleet.h"
 
-/* What the processes say of themselves, and the balancer: it asks /readyz each second and sends to
- * those that said yes. */
+/* Polls the status of the processes, and acts as the balancer: checks /readyz each second and
+ * routes to the processes that are ready. */
 
 #define POLL_TIMEOUT_MS 1000
 #define BALANCER_INTERVAL_MS 1000
--- a/bench/fragmentation.h
+++ b/bench/fragmentation.h
@@ -4,7 +4,7 @@
 #include <glib.h>
 #include <stdint.h>
 
-/* Follows the free accelerators of each rack, and averages over time the share of them that the
+/* Tracks the free accelerators of each rack, and averages over time the share of them that the
  * largest adjacent shape cannot use. */
 
 struct dff_fragmentation {
@@ -15,7 +15,7 @@
 	/** Sum over racks of whole units, in accelerators. */
 	int64_t usable;
 	int64_t last_ms;
-	/** Time from which nothing is counted any more. */
+	/** End of the measured time, ms. */
 	int64_t until_ms;
 	double weighted_ms;
 	double counted_ms;
@@ -34,7 +34,7 @@
 /** Changes the free accelerators of a rack, as of the last advance. */
 void dff_fragmentation_add (struct dff_fragmentation *fragmentation, guint rack, int32_t delta);
 
-/** Returns: the mean over the time in which a unit's worth was free anywhere; 0: never. */
+/** Returns: the mean over the time in which at least one unit was free; 0: never. */
 double dff_fragmentation_mean (const struct dff_fragmentation *fragmentation);
 
 #endif
--- a/bench/generate.c
+++ b/bench/generate.c
@@ -12,7 +12,7 @@
 
 #define DFF_EXIT_USAGE 2
 #define DFF_HOUR_S 3600.0
-/* Work by day: from 7 to 19 o'clock; the rest of the day gets a sixth of an hour's worth. */
+/* Working hours are 7 to 19 o'clock; other hours get a sixth of the arrivals of a working hour. */
 #define DFF_DAY_FIRST_HOUR 7
 #define DFF_DAY_LAST_HOUR 19
 #define DFF_NIGHT_DENSITY (1.0 / 6.0)
@@ -21,7 +21,7 @@
 #define DFF_BURSTS_A_NIGHT 3
 #define DFF_BURST_S 600.0
 #define DFF_ACTUAL_MIN_S 5.0
-/* Longest run, as a multiple of the median: one freak must not be a class's whole share. */
+/* Longest run, as a multiple of the median: one extreme job must not be a class's whole share. */
 #define DFF_ACTUAL_MAX_MEDIANS 20.0
 /* Share of jobs that were declared with a round default instead of a guess. */
 #define DFF_DEFAULT_DECLARED 0.1
@@ -131,7 +131,7 @@
 		return g_array_index (generator->bursts, double, burst) +
 		       DFF_BURST_S * uniform (generator);
 	}
-	/* A short session may hold no hour that the class arrives in: then any will do. */
+	/* A short session may contain no hour in which the class arrives: then any time is used. */
 	for (int i = 0; i < 1000; i++) {
 		double time_s = generator->span_s * uniform (generator);
 		if (chance (generator, density (generator, arrivals, time_s)))
@@ -180,7 +180,7 @@
 	return MAX (round (actual_s * class->declared_bias * spread), 1.0);
 }
 
-/* Returns: the accelerator (or, without any, slot) seconds of the job. */
+/* Returns: the accelerator-seconds of the job; slot-seconds for a job without accelerators. */
 static double
 add_job (struct generator *generator, const struct dff_profile_class *class)
 {
@@ -212,7 +212,7 @@
 	return gang * MAX (accelerators, 1) * actual_s;
 }
 
-/* Adds jobs until the class has its share of what is offered. */
+/* Adds jobs until the class has its share of the offered load. */
 static void
 add_class (struct generator *generator, const struct dff_profile_class *class, double load)
 {
--- a/bench/hop.c
+++ b/bench/hop.c
@@ -1,7 +1,7 @@
 /*
- * What one hop costs: a bare evhttp server answering 200 bytes against the product's path for a
- * short request (caller, entry, stand-in worker, back), in one run on one machine. Starts no
- * process: bench/hop.sh starts them and passes addresses and process ids.
+ * Measures the cost of one hop: a bare evhttp server that answers 200 bytes, against the product's
+ * path of a short request (caller, entry, stand-in worker, back), in one run on one machine.
+ * bench/hop.sh starts the processes and passes addresses and process ids.
  *
  *   hop bare                       serves 200 bytes, prints "listening IP:PORT"
  *   hop load [options]             measures both in alternating rounds
@@ -51,7 +51,7 @@
 	int round_ms;
 };
 
-/** What one round gave. */
+/** Results of one round. */
 struct measure {
 	int64_t requests;
 	int64_t failures;
@@ -69,7 +69,7 @@
 	int in_progress;
 };
 
-/** A connection's place in the load. */
+/** A connection of the load, by index. */
 struct lane {
 	struct load *load;
 	int index;
@@ -277,7 +277,7 @@
 	return values[n_values / 2];
 }
 
-/* In turns, so that what else the machine does falls on both alike. */
+/* Alternates the rounds, so that other activity of the machine affects both servers equally. */
 static int
 run_load (const struct load_options *options)
 {
--- a/bench/job_run.h
+++ b/bench/job_run.h
@@ -6,21 +6,21 @@
 
 #include "core/core.h"
 
-/* One job of a session, as it really goes. */
+/* The simulated run of one job of a session. */
 
 enum dff_member_run_state {
 	DFF_MEMBER_RUN_ENDED,
-	/** A start is on its way. */
+	/** A start is pending. */
 	DFF_MEMBER_RUN_STARTING,
 	DFF_MEMBER_RUN_HELD,
 	DFF_MEMBER_RUN_RUNNING,
-	/** Its worker died; nobody has noticed yet. */
+	/** The worker died; its death has not been reported yet. */
 	DFF_MEMBER_RUN_DEAD,
 };
 
 struct dff_member_run {
 	enum dff_member_run_state state;
-	/** Whether the attempt still holds its accelerators. */
+	/** Whether the attempt still leases the member's accelerators. */
 	bool leased;
 	bool checkpointed;
 	int32_t worker;
@@ -31,24 +31,24 @@
 	struct dff_job_spec spec;
 	int64_t actual_ms;
 	int64_t submitted_ms;
-	/** First time that all its tasks ran; -1: never. */
+	/** First time at which all tasks ran, ms; -1: never. */
 	int64_t first_start_ms;
-	/** When its outcome was on record; -1: not yet. */
+	/** Time at which the outcome was recorded, ms; -1: not yet. */
 	int64_t ended_ms;
 	enum dff_outcome outcome;
 	bool refused;
 	int32_t attempt;
-	/** (nullable): one a member, while an attempt exists. */
+	/** (nullable): one per member, while an attempt exists. */
 	struct dff_member_run *members;
 	int32_t n_running;
 	int32_t n_checkpointed;
-	/** When all members of the attempt ran; -1: not yet. */
+	/** Time since which all members of the attempt run, ms; -1: not yet. */
 	int64_t running_since_ms;
-	/** When the first member of the attempt stopped or died; -1: none did. */
+	/** Time at which the first member of the attempt stopped or died, ms; -1: none. */
 	int64_t broken_ms;
-	/** Work that need not be done again. */
+	/** Work saved by checkpoints, ms of run time. */
 	int64_t saved_ms;
-	/** Work saved when the attempt began. */
+	/** Saved work at the start of the attempt, ms of run time. */
 	int64_t resumed_from_ms;
 };
 
--- a/bench/load/classes.h
+++ b/bench/load/classes.h
@@ -3,18 +3,18 @@
 
 #include "bench/load/load.h"
 
-/** Three classes that share a pool: urgent checks that somebody waits for, gangs that take seconds,
- * and bulk work of many single tasks. The figures are those of a scoring service for fifty workers
- * of eight accelerators: together they need three quarters of them. */
+/** Three classes that share a pool: urgent checks with a waiting caller, gangs that take seconds,
+ * and bulk work of many single tasks. The values are those of a scoring service on fifty workers
+ * with eight accelerators each; together the classes need three quarters of the accelerators. */
 #define DFF_LOAD_URGENT 0
 #define DFF_LOAD_GANGS 1
 #define DFF_LOAD_BULK 2
 #define DFF_LOAD_MIXED_CLASSES 3
 
-/** Fills @classes with them, each as often as @times says of its usual rate. */
+/** Fills @classes with the three classes, at @times their usual arrival rate. */
 void dff_load_mixed_classes (struct dff_load_class classes[DFF_LOAD_MIXED_CLASSES], double times);
 
-/** Returns: a pool of eight racks with six workers, and a minute of @classes. */
+/** Returns: a load of one minute of @classes on eight racks with six workers each. */
 struct dff_load dff_load_mixed (const struct dff_load_class classes[DFF_LOAD_MIXED_CLASSES],
 				uint32_t seed);
 
--- a/bench/load/jobs.h
+++ b/bench/load/jobs.h
@@ -3,7 +3,7 @@
 
 #include "bench/load/load.h"
 
-/* Jobs of a load: what arrives when, by seed alone. */
+/* Jobs of a load with their arrival times, determined by the seed alone. */
 
 struct load_job {
 	size_t class_index;
@@ -14,7 +14,7 @@
 	int64_t declared_ms;
 	bool one_rack;
 	bool checkpoint;
-	/** Runs up to this number fail, after this share of their time. */
+	/** The first @failing_runs runs fail, after the share @fails_after of their run time. */
 	int32_t failing_runs;
 	double fails_after;
 };
--- a/bench/load/load.c
+++ b/bench/load/load.c
@@ -8,23 +8,23 @@
 
 /** Step of the clock, ms. */
 #define STEP_MS 5
-/** From a decision to its record, and from a start to the worker's word, ms. */
+/** Time from a decision to its record, and from a start to the worker's confirmation, ms. */
 #define RECORD_MS 10
 #define START_MS 5
-/** From a stop until the worker lists the end, ms; how long after a member's end the others of its
- * gang are known to be over. */
+/** Time from a stop until the worker reports the end, and time after a member's end until the ends
+ * of the other members of its gang are reported, ms. */
 #define STOP_MS 300
 #define BREAK_MS 180
-/** How much longer a gang that is bound to a rack takes on several. */
+/** Slowdown of a gang that needs one rack and is placed on several. */
 #define CROSS_RACK_FACTOR 3
-/** Time that a run which goes on from what was saved needs first, ms. */
+/** Time to restore a checkpoint before a run resumes, ms. */
 #define RESTORE_MS 600
 /** Time between two reports of a run's progress, ms. */
 #define REPORT_MS 1000
-/** A job that begins so soon waits for nobody, ms. */
+/** A job that starts within this time counts as started at once, ms. */
 #define AT_ONCE_MS 100
 
-/** A unit of a job, as the core knows it: a gang, or one task. */
+/** A unit of a job in the core: a gang, or one task. */
 struct unit {
 	struct dff_name name;
 	const struct load_job *job;
@@ -33,10 +33,10 @@
 	int32_t width;
 	int32_t n_runs;
 	int64_t begun_ms;
-	/** Work that is saved, ms of run time. */
+	/** Work saved by checkpoints, ms of run time. */
 	int64_t saved_ms;
 	int32_t n_started;
-	/** How much longer than the job's run time the attempt takes where it is. */
+	/** Run time of the attempt on its workers over the job's run time. */
 	double slowdown;
 	bool across_racks;
 	bool running;
@@ -52,7 +52,7 @@
 	int64_t failed_ms;
 };
 
-/** Something that a worker or the store will say. */
+/** A future event from a worker or the store. */
 struct message {
 	int64_t at_ms;
 	enum dff_event_type type;
@@ -127,7 +127,7 @@
 	dff_core_handle_event (play->core, &event, play->now_ms);
 }
 
-/* Run time of the attempt in progress from its begin to its end. */
+/* Returns: run time of the current attempt, from start to end. */
 static int64_t
 attempt_ms (const struct unit *unit)
 {
@@ -252,8 +252,8 @@
 	return false;
 }
 
-/* A gang takes as long as its slowest member. What a worker's speed is and how much a task has to
- * do are the same each time. */
+/* Returns: the slowdown of the slowest member, which determines the gang's run time. The speed of a
+ * worker and the work of a task are the same in every attempt. */
 static double
 slowest_member (const struct play *play, const struct unit *unit, const GArray *placements)
 {
@@ -269,7 +269,7 @@
 	return longest;
 }
 
-/* A run that is stopped saves first where its tasks save. */
+/* A stopped run first writes a checkpoint if its job has them; otherwise its work is lost. */
 static void
 stop_run (struct play *play, struct unit *unit, const char *reason)
 {
--- a/bench/load/main.c
+++ b/bench/load/main.c
@@ -6,10 +6,11 @@
 #include "bench/load/classes.h"
 #include "holder/policy.h"
 
-/* Plays loads with the holder's policy and with one of its mechanisms switched off, and prints what
- * is served in time: an ablation without a network. */
+/* Simulates loads with the holder's policy and with each of its mechanisms switched off, and prints
+ * the shares of jobs that end in time: an ablation without a network. */
 
-/** Wait of a gang's members for each other, ms, and for a whole rack: what a platform sets. */
+/** Time that gang members wait for each other, and that a gang waits for a whole rack, as a
+ * platform sets them, ms. */
 #define GANG_WAIT_MS 3000
 #define RACK_WAIT_MS 15000
 
@@ -63,13 +64,13 @@
 	double stopped;
 };
 
-/** What a job of a class is worth in time and late, by its priority, and a core-second thrown away:
- * what one customer's managers have said. */
+/** Value of a job by class, in time and late, and price of a wasted core-second, as one customer
+ * states them. */
 static const double worth[DFF_LOAD_MIXED_CLASSES] = {4.0, 3.0, 1.0};
 static const double late_worth[DFF_LOAD_MIXED_CLASSES] = {0.8, 0.9, 0.3};
 #define WASTED_PRICE 0.002
 
-/* Returns: the share that is earned of what all jobs are worth. */
+/* Returns: the value earned, less the price of wasted work, over the value of all jobs. */
 static double
 value_of (const struct dff_load_figures *figures)
 {
--- a/bench/load_pool.h
+++ b/bench/load_pool.h
@@ -3,8 +3,8 @@
 
 #include "pool/pool.h"
 
-/** Reads a pool file; faults go to standard error. Returns: (transfer full) (nullable): the pool.
- */
+/** Reads a pool file and prints errors to standard error. Returns: (transfer full) (nullable): the
+ * pool. */
 struct dff_pool *dff_load_pool (const char *path);
 
 #endif
--- a/bench/measure.c
+++ b/bench/measure.c
@@ -4,7 +4,7 @@
 
 #include "bench/percentile.h"
 
-/* Jobs shorter than this count as this long in slowdown, so that tiny jobs do not rule it. */
+/* Lower bound of the run time in the slowdown, so that very short jobs do not dominate it. */
 #define DFF_SLOWDOWN_MIN_MS 10000
 
 int64_t
--- a/bench/measure.h
+++ b/bench/measure.h
@@ -6,7 +6,7 @@
 
 #include "bench/job_run.h"
 
-/* What a replay is judged by. docs/SESSIONS.md defines every figure. */
+/* Figures of a replay. docs/SESSIONS.md defines each. */
 
 struct dff_measure_input {
 	const GArray *jobs; /**< Elements: struct dff_job_run. */
@@ -14,11 +14,11 @@
 	int64_t accelerators;
 	/** Mean fragmentation over the time in which a whole unit was free. */
 	double fragmentation;
-	/** Work done and thrown away, accelerator-milliseconds. */
+	/** Work done and lost, accelerator-milliseconds. */
 	int64_t lost_work_ms;
 	int64_t guarantee_wait_max_ms;
 	int64_t guarantee_violations;
-	/** Accelerators leased twice, members run alone: broken rules of the policy. */
+	/** Violations by the policy: accelerators leased twice, members run alone. */
 	int64_t rule_violations;
 	const GArray *tick_us; /**< Elements: double. */
 	int64_t decisions;
--- a/bench/peer_traffic.c
+++ b/bench/peer_traffic.c
@@ -7,8 +7,8 @@
 #define GRANT_INTERVAL_S 2
 #define GRANT_VALID_MS 10000
 
-/** What a message costs beyond its payload on a CURVE connection over TCP and IP, in bytes: CURVE's
- * message frame 33, ZMTP 2, TCP and IP with time stamps 52, and as much for an acknowledgement. */
+/** Overhead of a message on a CURVE connection over TCP and IP, in bytes: CURVE message frame 33,
+ * ZMTP 2, TCP and IP headers with time stamps 52, and 52 for an acknowledgement. */
 #define OVERHEAD (33 + 2 + 52 + 52)
 
 struct traffic {
--- a/bench/peer_traffic.h
+++ b/bench/peer_traffic.h
@@ -6,36 +6,35 @@
 
 #include "tests/peer/fake_transport.h"
 
-/* Traffic of membership and the pool file, counted in a network in memory under a virtual clock. */
+/* Traffic of membership and the pool file in an in-memory network under a virtual clock. */
 
-/** Per process and second, sent and received together; means over all processes. */
+/** Traffic per process and second, sent and received together; mean over all processes. */
 struct peer_traffic {
 	double messages;
-	/** Of payload. */
+	/** Payload bytes. */
 	double bytes;
-	/** With what CURVE, ZMTP, TCP and IP add. */
+	/** Bytes including the overhead of CURVE, ZMTP, TCP and IP. */
 	double wire_bytes;
-	/** The busiest process's. */
+	/** Wire bytes of the process with the most traffic. */
 	double wire_bytes_worst;
 };
 
-/** Returns: (transfer full): a network of that many processes that know each other and of which the
- * first holds the cell. */
+/** Returns: (transfer full): a network of @n_nodes peers; the first holds the cell. */
 struct fake_network *peer_traffic_network (int32_t n_nodes);
 
 /**
  * peer_traffic_measure:
- * @n_changes: pool files applied, spread over the time
- * @seconds: of virtual time
+ * @n_changes: number of pool files applied, spread over the time
+ * @seconds: length, virtual time
  */
 struct peer_traffic
 peer_traffic_measure (struct fake_network *network, int32_t n_changes, int32_t seconds);
 
 /**
  * peer_traffic_grants:
- * @n_workers: in the set of each member, which does not change
+ * @n_workers: number of workers in the unchanged set of each member
  *
- * Sends every other process its grants in the daemon's interval.
+ * Sends grants to every other process at the daemon's interval.
  *
  * Returns: wire bytes/s that the holder sends for grants.
  */
--- a/bench/peers.c
+++ b/bench/peers.c
@@ -1,13 +1,14 @@
-/* Traffic of membership and the pool file against the number of processes, and how long a death and
- * a pool file take to be known everywhere. Peers of all processes run in this one over a network in
- * memory under a virtual clock, so the figures are counts and the same in every run. Writes CSV. */
+/* Traffic of membership and the pool file against the number of processes, and the time until all
+ * processes have detected a death or received a pool file. The peers of all processes run in this
+ * process over an in-memory network under a virtual clock, so the figures are the same in every
+ * run. Writes CSV. */
 
 #include <stdio.h>
 
 #include "bench/peer_traffic.h"
 
 #define MEASURE_S 60
-/** One each 28 s or less, as at the size to design for. */
+/** Changes per measurement: at least one every 28 s, as at the design size. */
 #define N_CHANGES 3
 #define N_DEATHS 10
 #define TICK_MS 50
@@ -45,7 +46,7 @@
 	return true;
 }
 
-/* Worst of several deaths and pool files, in ms of virtual time. */
+/* Measures the longest time over several deaths and pool files, ms of virtual time. */
 static void
 measure_times (int32_t n_nodes, int32_t loss)
 {
--- a/bench/percentile.h
+++ b/bench/percentile.h
@@ -8,7 +8,7 @@
  * @values: elements: double; sorted by this call
  * @share: 0 to 1
  *
- * Returns: the value of nearest rank, 0 where there is none.
+ * Returns: the value of nearest rank; 0: no values.
  */
 double dff_percentile (GArray *values, double share);
 
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -7,7 +7,7 @@
 #include "bench/policy.h"
 #include "bench/replay.h"
 
-/* Replays a session through a policy and prints the figures. */
+/* Replays a session with a policy and prints the figures. */
 
 #define DFF_EXIT_USAGE 2
 
--- a/bench/policy.h
+++ b/bench/policy.h
@@ -6,7 +6,7 @@
 
 #include "core/core.h"
 
-/* A policy as the replay sees it: the decision core's interface, as callbacks. */
+/* Interface of a policy in the replay: the functions of the decision core as callbacks. */
 
 struct dff_policy {
 	bool (*admit) (void *ctx, const struct dff_job_spec *spec);
@@ -14,7 +14,8 @@
 	/** Empties @commands (struct dff_command), then fills it. */
 	void (*tick) (void *ctx, int64_t now_ms, GArray *commands);
 	int64_t (*next_wake_ms) (void *ctx);
-	/** (nullable): the first broken invariant in words, to be freed with g_free(). */
+	/** (nullable): returns a description of the first violated invariant, to be freed with
+	 * g_free(). */
 	char *(*check) (void *ctx);
 	void (*free) (void *ctx);
 	void *ctx;
--- a/bench/profile.c
+++ b/bench/profile.c
@@ -5,8 +5,8 @@
 
 #include "bench/profile_pool.h"
 
-/* Drafting by day, with an assistant waiting for part of it; petition summaries as gangs; archived
- * cases overnight. */
+/* Drafting by day, partly with a waiting assistant; petition summaries as gangs; archived cases
+ * overnight. */
 static const struct dff_profile_class tatrinvest_classes[] = {
 	{
 		.service = "casework",
@@ -182,7 +182,7 @@
 	},
 };
 
-/* Many tasks that hold a slot and no accelerator, and fewer, larger jobs with accelerators. */
+/* Many tasks that use a slot and no accelerator, and fewer, larger jobs with accelerators. */
 static const struct dff_profile_class design_classes[] = {
 	{
 		.service = "batch",
--- a/bench/profile.h
+++ b/bench/profile.h
@@ -10,7 +10,7 @@
 enum dff_arrivals {
 	/** Working hours, with a little at night. */
 	DFF_ARRIVALS_DAY,
-	/** Any hour alike. */
+	/** All hours equally. */
 	DFF_ARRIVALS_EVEN,
 	/** Over the night, evenly. */
 	DFF_ARRIVALS_EVENING,
@@ -25,21 +25,21 @@
 /** A kind of job. */
 struct dff_profile_class {
 	const char *service;
-	/** Index of the first team and number of teams that submit it, in equal parts. */
+	/** Index of the first team and number of teams that submit the class, in equal parts. */
 	int first_team, n_teams;
 	/** Share of the offered accelerator time; for classes without accelerators, of the slots
-	 * that the profile wants busy. */
+	 * that the profile keeps busy. */
 	double share;
 	enum dff_arrivals arrivals;
-	/** Numbers of tasks, each as likely, ended by 0. */
+	/** Possible numbers of tasks, equally likely, ended by 0. */
 	int gangs[DFF_PROFILE_SIZES_MAX + 1];
-	/** Accelerators of a task, each as likely, ended by -1. */
+	/** Possible numbers of accelerators per task, equally likely, ended by -1. */
 	int accelerators[DFF_PROFILE_SIZES_MAX + 1];
 	int cores, memory_gb;
 	bool adjacent;
 	/** Actual run time: log-normal. */
 	double median_s, sigma;
-	/** Declared over actual: a constant of the class, and its spread (log-normal). */
+	/** Declared over actual run time: log-normal, with the class's bias and spread. */
 	double declared_bias, declared_sigma;
 	double urgent, guaranteed, checkpoint, idempotent, cancelled;
 };
--- a/bench/profile_pool.c
+++ b/bench/profile_pool.c
@@ -3,13 +3,13 @@
 #include <glib.h>
 #include <stdbool.h>
 
-/* Both deployments of today: six racks of eight workers and one of two, eight accelerators each. */
+/* Both present deployments: six racks of eight workers and one of two, eight accelerators each. */
 #define DFF_TODAY_RACKS 7
 #define DFF_TODAY_RACK_WORKERS 8
 #define DFF_TODAY_LAST_WORKERS 2
 
-/* The size to design for: racks of eight workers with one accelerator each but for a few with two;
- * the last rack has four of each: 1,800 workers, 1,900 accelerators. */
+/* The design size: racks of eight workers with one accelerator each, in a few racks two; the last
+ * rack has four workers of each: 1,800 workers, 1,900 accelerators. */
 #define DFF_DESIGN_RACKS 225
 #define DFF_DESIGN_REGIONS 5
 #define DFF_DESIGN_DATA_CENTRES 18
@@ -34,7 +34,7 @@
 		 rack->memory_gb, rack->accelerators, last ? "" : ",");
 }
 
-/* A token for the examples is "NAME-example-token". */
+/* Writes the digest of the example token "NAME-example-token". */
 static void
 write_digest (FILE *out, const char *name)
 {
@@ -181,7 +181,8 @@
 	}
 }
 
-/* Two thirds of the teams own a rack's worth, the rest half a rack; the first owns a large gang. */
+/* Guarantees are a rack's capacity for two thirds of the teams and half a rack for the rest; the
+ * first team is guaranteed a large gang. */
 void
 dff_profile_write_design (FILE *out)
 {
--- a/bench/replay.c
+++ b/bench/replay.c
@@ -7,8 +7,8 @@
 
 /* Jobs that have not ended this long after the session's last line count as unfinished. */
 #define DFF_REPLAY_TAIL_MS (INT64_C (30) * 24 * 3600 * 1000)
-/* A policy may look again and again at a job that no worker is left for: the replay ends when
- * nothing has come of it for this long. */
+/* A policy may re-evaluate a job without any worker for ever: the replay ends when nothing has
+ * happened for this long. */
 #define DFF_REPLAY_QUIET_MS (INT64_C (24) * 3600 * 1000)
 
 static double
@@ -28,7 +28,7 @@
 	return &g_array_index (events, struct dff_session_event, replay->next_event);
 }
 
-/* Lets everything up to @until_ms happen, answers before lines of the same time. */
+/* Delivers answers and session lines up to @until_ms; at the same time, answers first. */
 static void
 deliver (struct dff_replay *replay, int64_t until_ms)
 {
@@ -100,7 +100,8 @@
 	return false;
 }
 
-/* Whether only the policy's own wakes are left, and have been for long. */
+/* Whether only wakes of the policy have happened for DFF_REPLAY_QUIET_MS, and nothing else is
+ * pending. */
 static bool
 is_quiet (const struct dff_replay *replay, int64_t tick_ms)
 {
--- a/bench/replay.h
+++ b/bench/replay.h
@@ -7,16 +7,16 @@
 #include "bench/runner.h"
 #include "bench/session.h"
 
-/** Ticks happen at whole multiples of this, when there is something to do, ms. */
+/** Tick interval, ms: ticks are at multiples of it, when something is due. */
 #define DFF_TICK_MS 100
 
 struct dff_replay_options {
 	const struct dff_pool *pool;
 	const struct dff_session *session;
 	struct dff_policy *policy;
-	/** Checks the policy's own invariants at every tick. */
+	/** Whether to check the policy's invariants at every tick. */
 	bool check;
-	/** (nullable): gets one line of comma-separated values a job. */
+	/** (nullable): receives one line of comma-separated values per job. */
 	FILE *jobs_file;
 };
 
@@ -30,7 +30,7 @@
 	guint next_event;
 	int64_t last_tick_ms;
 	int64_t last_line_ms;
-	/** Last tick that something happened at, or that had commands. */
+	/** Last tick with an event or a command, ms. */
 	int64_t last_active_ms;
 	double policy_seconds;
 };
@@ -40,7 +40,7 @@
 
 void dff_replay_clear (struct dff_replay *replay);
 
-/** Lets everything up to @now_ms happen, ticks once and carries the commands out. */
+/** Delivers the events up to @now_ms, ticks once and executes the commands. */
 void dff_replay_tick (struct dff_replay *replay, int64_t now_ms);
 
 /**
@@ -49,7 +49,7 @@
  * Replays up to @until_ms, or until every accepted job has ended or nothing has happened for a
  * day.
  *
- * Returns: false with @error when an invariant of the policy broke.
+ * Returns: false with @error when the policy violated an invariant.
  */
 bool dff_replay_advance (struct dff_replay *replay, int64_t until_ms, GError **error);
 
@@ -59,8 +59,8 @@
  * Replays a session to its end: until every accepted job has ended, or nothing has happened for a
  * day, or DFF_REPLAY_TAIL_MS after the last line.
  *
- * Returns: (transfer full) (nullable): the JSON object with the figures; NULL with @error when an
- * invariant of the policy broke.
+ * Returns: (transfer full) (nullable): the JSON object with the figures; NULL with @error when the
+ * policy violated an invariant.
  */
 json_t *dff_replay_run (const struct dff_replay_options *options, GError **error);
 
--- a/bench/rings.c
+++ b/bench/rings.c
@@ -1,7 +1,7 @@
-/* How to share out watching (and request slots) over processes: rendezvous hashing against
- * consistent hashing on one ring and on one ring for each data centre, by the assignments that a
- * change moves and by how even the shares are. Everything is hashing, so the figures are the same
- * in every run. Writes CSV. */
+/* Compares ways to distribute the watching of workers (and request slots) over processes:
+ * rendezvous hashing, consistent hashing on one ring, and on one ring per data centre, by the
+ * number of assignments that a change moves and by the evenness of the shares. All figures depend
+ * on hashes only and are the same in every run. Writes CSV. */
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,7 +17,7 @@
 #define VIRTUAL_NODES 100
 #define NO_MEMBER (-1)
 
-/** Worlds that each figure is averaged over: other names, so other hashes. */
+/** Sets of names, and thus of hashes, that each figure is averaged over. */
 #define N_WORLDS 20
 
 struct point {
@@ -61,8 +61,9 @@
 	return owner;
 }
 
-/* The first virtual node at or after the key's place, over the live members of @centre, or of all
- * for NOBODY. */
+/* Returns: owner of the first virtual node at or after the key's position, among the live members
+ * of
+ * @centre; NO_MEMBER: of all centres. */
 static int32_t
 ring_owner (const struct world *world, int32_t key, int32_t centre)
 {
@@ -91,7 +92,8 @@
 	return ring_owner (world, key, NO_MEMBER);
 }
 
-/* The next ring that has a member: the keys of a lost data centre move, and no others. */
+/* Returns: the owner on the first ring from @first that has a live member, so that only the keys of
+ * a lost data centre move. */
 static int32_t
 ring_from (const struct world *world, int32_t key, int32_t first)
 {
@@ -103,7 +105,7 @@
 	return NO_MEMBER;
 }
 
-/* As in the paper: the key's hash chooses the ring. */
+/* The key's hash selects the ring, as in the paper. */
 static int32_t
 rings_by_hash_owner (const struct world *world, int32_t key)
 {
@@ -111,7 +113,7 @@
 	return ring_from (world, key, (int32_t)(hash % (uint64_t)world->n_centres));
 }
 
-/* The worker's own data centre chooses the ring. */
+/* The worker's data centre selects the ring. */
 static int32_t
 rings_by_place_owner (const struct world *world, int32_t key)
 {
@@ -165,7 +167,7 @@
 struct figures {
 	double moved;
 	double least;
-	/** To another data centre than before. */
+	/** Moves to another data centre. */
 	double across;
 	double evenness;
 };
@@ -198,8 +200,8 @@
 	return (double)busiest * world->n_members / world->n_keys;
 }
 
-/* Takes away each member (or, for @whole, each data centre) in turn. A join moves what the leave of
- * the same member moves. */
+/* Removes each member (for @whole, each data centre) in turn. A join moves the same keys as the
+ * leave of the same member. */
 static int32_t
 leave_in_turn (struct world *world, owner_func owner, bool whole, struct figures *figures)
 {
@@ -263,7 +265,7 @@
 	figures->workers_reached += share->len;
 }
 
-/* Slots of 50 workers with 8 each over 9 members in three data centres. */
+/* Distributes the slots of 50 workers with 8 each over 9 members in three data centres. */
 static void
 share_slots (bool prefer)
 {
--- a/bench/routing.c
+++ b/bench/routing.c
@@ -1,8 +1,8 @@
 /*
- * What choosing a worker costs, and how evenly the choices load the workers, for three ways to
- * choose: any worker with a free slot, the less loaded of two, the least loaded of all. Half of the
- * slots are in use all the time; each step frees a slot at random and takes another. Prints one
- * JSON line for each way and number of workers. Usage: routing [SEED]
+ * Measures the cost of choosing a worker, and how evenly the workers are loaded, for three methods:
+ * any worker with a free slot, the less loaded of two, the least loaded of all. Half of the slots
+ * are always in use; each step releases a random slot and acquires another. Prints one JSON line
+ * for each method and number of workers. Usage: routing [SEED]
  */
 
 #include <glib.h>
@@ -18,12 +18,12 @@
 #define NEVER_MS INT64_MAX
 #define NS_PER_US 1000.0
 
-/** One process's view of the workers under one way to choose. */
+/** State of the workers in one process, for one method. */
 struct view {
 	int32_t n_workers;
 	int32_t *in_use;
 	GRand *rng;
-	struct dff_slots *slots; /**< Of the product's own way; else NULL. */
+	struct dff_slots *slots; /**< Of the product's method; else NULL. */
 };
 
 typedef int32_t (*choose_func) (struct view *view);
--- a/bench/runner.c
+++ b/bench/runner.c
@@ -4,7 +4,7 @@
 
 #include "bench/runner_private.h"
 
-/* The runner's tables and the events of the session. */
+/* Tables of the runner, and events of the session. */
 
 static void
 add_worker (struct dff_runner *runner,
@@ -163,7 +163,7 @@
 	g_autofree gpointer *keys = NULL;
 	guint n_keys = 0;
 	keys = g_hash_table_get_keys_as_array (runner->active, &n_keys);
-	/* A hash table's order is no part of a session. */
+	/* Sorted, as results must not depend on the order of the hash table. */
 	qsort (keys, n_keys, sizeof (gpointer), compare_indices);
 	for (guint i = 0; i < n_keys; i++)
 		job_lose_members (runner, GPOINTER_TO_UINT (keys[i]), index, now_ms);
@@ -242,7 +242,7 @@
 static void
 cancel (struct dff_runner *runner, const struct dff_session_event *session_event)
 {
-	/* Of a job that was refused or never submitted: nothing to do. */
+	/* The job was refused or never submitted. */
 	if (!g_hash_table_contains (runner->job_index, &session_event->subject))
 		return;
 	struct dff_event event = {
--- a/bench/runner.h
+++ b/bench/runner.h
@@ -8,17 +8,17 @@
 #include "bench/policy.h"
 #include "bench/session.h"
 
-/* Stands in for store and workers: carries a policy's commands out, answers each after a constant
- * time, and ends a task after its actual time. */
+/* Simulates store and workers: executes a policy's commands, answers each after a constant time,
+ * and ends a task after its actual run time. */
 
 /** Latencies, the same for every policy, ms. */
 #define DFF_RECORD_MS 50
 #define DFF_START_MS 200
 #define DFF_STOP_MS 100
 #define DFF_CHECKPOINT_MS 1000
-/** From a worker's death until its tasks' leases have lapsed. */
+/** Time from a worker's death until the leases of its tasks have expired. */
 #define DFF_TASK_LEASE_MS 5000
-/** From a start until the failure, on a worker that fails everything. */
+/** Time from a start until the failure, on a worker that fails every task. */
 #define DFF_FAILURE_MS 1000
 
 struct dff_runner_worker {
@@ -29,7 +29,7 @@
 	bool fails_everything;
 	int32_t accelerators;
 	uint64_t leased;
-	/** What fragmentation counts as free. */
+	/** Accelerators that fragmentation counts as free. */
 	int32_t counted_free;
 };
 
@@ -60,16 +60,16 @@
 
 void dff_runner_clear (struct dff_runner *runner);
 
-/** Tells the policy that every worker is up. */
+/** Reports every worker as up to the policy. */
 void dff_runner_start (struct dff_runner *runner, int64_t now_ms);
 
-/** Lets an event of the session happen. */
+/** Applies an event of the session. */
 void dff_runner_session_event (struct dff_runner *runner, const struct dff_session_event *event);
 
-/** Takes the next answer, which is due, to the policy. */
+/** Delivers the next answer, which must be due, to the policy. */
 void dff_runner_answer_next (struct dff_runner *runner);
 
-/** Carries out one command of the policy. */
+/** Executes one command of the policy. */
 void
 dff_runner_command (struct dff_runner *runner, const struct dff_command *command, int64_t now_ms);
 
--- a/bench/runner_private.h
+++ b/bench/runner_private.h
@@ -15,20 +15,21 @@
 	return &g_array_index (runner->jobs, struct dff_job_run, index);
 }
 
-/** Returns: index of a worker, -1 when there is none of that name. */
+/** Returns: index of the worker; -1: unknown name. */
 int32_t dff_runner_find_worker (const struct dff_runner *runner, const struct dff_name *name);
 
-/** Brings the fragmentation's count of a worker up to date. */
+/** Updates the worker's free accelerators in the fragmentation. */
 void dff_runner_count_worker (struct dff_runner *runner, struct dff_runner_worker *worker);
 
-/** Sends an answer about a member or, with member 0, about the attempt. */
+/** Queues an answer about a member or, with member 0, about the attempt. */
 void dff_runner_answer (struct dff_runner *runner,
 			enum dff_answer_type type,
 			uint32_t job,
 			int32_t member,
 			int64_t time_ms);
 
-/** The attempt's members do not advance together any more: work since then is for nothing. */
+/** Marks the attempt as broken: its members no longer advance together, and work from now on is
+ * lost. */
 void dff_runner_job_break (struct dff_job_run *job, int64_t now_ms);
 
 #endif
--- a/bench/runner_tasks.c
+++ b/bench/runner_tasks.c
@@ -1,7 +1,7 @@
 #include "bench/runner.h"
 #include "bench/runner_private.h"
 
-/* The runner's side of the commands: tasks that start, run, save their work and stop. */
+/* Execution of commands: tasks start, run, write checkpoints and stop. */
 
 void
 dff_runner_job_break (struct dff_job_run *job, int64_t now_ms)
@@ -73,7 +73,7 @@
 	g_hash_table_add (runner->active, GUINT_TO_POINTER (index));
 }
 
-/* What the attempt did beyond what is saved is lost, unless the caller wanted it gone. */
+/* Counts the work of the attempt since its last checkpoint as lost; not for cancelled jobs. */
 static void
 count_lost_work (struct dff_runner *runner, const struct dff_job_run *job, int64_t now_ms)
 {
@@ -108,7 +108,7 @@
 command_start (struct dff_runner *runner, uint32_t index, int32_t member_index, int64_t now_ms)
 {
 	struct dff_member_run *member = &dff_runner_job_at (runner, index)->members[member_index];
-	/* A worker that is gone cannot prove that the start did not arrive. */
+	/* A dead worker cannot prove that the start did not arrive. */
 	if (!dff_runner_worker_at (runner, member->worker)->alive) {
 		member->state = DFF_MEMBER_RUN_DEAD;
 		dff_runner_job_break (dff_runner_job_at (runner, index), now_ms);
@@ -248,7 +248,7 @@
 		return;
 	member->checkpointed = true;
 	job->n_checkpointed++;
-	/* A gang resumes from a checkpoint that all its members wrote. */
+	/* A gang resumes only from a checkpoint that all its members have written. */
 	if (job->n_checkpointed == job->spec.gang && job->broken_ms < 0)
 		job->saved_ms = job_progress_ms (job, answer->time_ms);
 	send_event (runner, answer, DFF_EVENT_TASK_CHECKPOINTED, answer->member, true);
@@ -314,7 +314,7 @@
 		answer_outcome_recorded (runner, &answer);
 		return;
 	}
-	/* The attempt that it is about may be over. */
+	/* The attempt of the answer may have ended. */
 	if (job->members == NULL || job->attempt != answer.attempt)
 		return;
 	if (answer.type == DFF_ANSWER_RECORDED)
--- a/bench/session.c
+++ b/bench/session.c
@@ -6,10 +6,10 @@
 
 #define DFF_SECONDS_MAX 1e9
 #define DFF_RESOURCE_MAX 1000000
-/* Tries that a job gets when it may be repeated. */
+/* Largest number of attempts of an idempotent job. */
 #define DFF_SESSION_ATTEMPTS 3
 
-/* Reads the fields of one line; the first fault is kept. */
+/* Reads the fields of one line and keeps the first error. */
 struct line_reader {
 	const char *source;
 	int line;
@@ -129,7 +129,7 @@
 struct event_kind {
 	const char *name;
 	enum dff_session_event_type type;
-	/** Key that names what the event is about. */
+	/** Key of the job, worker or rack of the event. */
 	const char *subject;
 };
 
--- a/bench/session.h
+++ b/bench/session.h
@@ -7,7 +7,7 @@
 #include "common/cleanup.h"
 #include "core/job.h"
 
-/* Sessions: what happens to a pool, in time order, one JSON object a line (docs/SESSIONS.md). */
+/* Sessions: events of a pool by time, one JSON object per line (docs/SESSIONS.md). */
 
 enum dff_session_event_type {
 	DFF_SESSION_SUBMIT,
@@ -22,15 +22,15 @@
 
 struct dff_session_event {
 	enum dff_session_event_type type;
-	/** Since the start of the session. */
+	/** Time since the start of the session, ms. */
 	int64_t time_ms;
-	/** Line of the file, from 1. */
+	/** Line number in the file, from 1. */
 	int line;
 	/** Job, worker or rack. */
 	struct dff_name subject;
-	/** For a submission. The gang may be larger than DFF_JOB_GANG_MAX. */
+	/** Job of a submission. The gang may be larger than DFF_JOB_GANG_MAX. */
 	struct dff_job_spec spec;
-	/** Time that the job really runs. */
+	/** Actual run time of the job, ms. */
 	int64_t actual_ms;
 };
 
@@ -47,7 +47,7 @@
  */
 struct dff_session *dff_session_load (const char *path, GError **error);
 
-/** Like dff_session_load(), for text that is in memory; @source names it in messages. */
+/** Like dff_session_load(), from memory; @source names the text in messages. */
 struct dff_session *dff_session_parse (struct dff_str text, const char *source, GError **error);
 
 void dff_session_free (struct dff_session *session);
--- a/bench/slopes/connections.c
+++ b/bench/slopes/connections.c
@@ -9,9 +9,9 @@
 #include "bench/slopes/slopes.h"
 #include "common/event_loop.h"
 
-/* Memory and processor time for each open caller of a daemon, and for each connection to an
- * upstream. The other ends are bare sockets without memory of their own; the kernel's buffers are
- * not counted. */
+/* Measures memory and processor time for each open caller connection of a daemon, and for each
+ * connection to an upstream. The remote ends are plain sockets without memory of their own; kernel
+ * buffers are not counted. */
 
 #define SETTLE_MS 300
 #define MEASURE_MS 1000
@@ -39,7 +39,7 @@
 	return fd;
 }
 
-/** A caller that has been answered once and stays. */
+/** Opens connections up to @n in all; each sends one request and stays open. */
 static void
 open_callers (struct site *site, GArray *fds, guint n)
 {
@@ -114,7 +114,7 @@
 	*(guint *)user += 1;
 }
 
-/** Takes in what has connected, and answers everything that was asked. */
+/** Accepts the pending connections and answers all requests received. */
 static void
 serve (int listener, GArray *fds)
 {
--- a/bench/slopes/core.c
+++ b/bench/slopes/core.c
@@ -1,9 +1,9 @@
 #include "bench/slopes/core_load.h"
 #include "bench/slopes/slopes.h"
 
-/* The decision core: bytes of state and time of a tick against each of its tables. A quiet tick is
- * one in which nothing happened; an event tick is one after a job was submitted that can be placed
- * nowhere; a review is the look at the whole queue that each second brings. */
+/* The decision core: bytes of state and time of a tick against the size of each table. A quiet tick
+ * has no event; an event tick follows the submission of a job that cannot be placed; a review is
+ * the evaluation of the whole queue, once per second. */
 
 #define QUIET_TICKS 2000
 #define EVENTS 40
@@ -78,7 +78,7 @@
 	core_load_settle (load);
 }
 
-/** Every accelerator is leased to work of the teams' own, so that queued jobs stay queued. */
+/** Leases every accelerator to jobs of the teams, so that queued jobs stay queued. */
 static void
 occupy_accelerators (struct core_load *load)
 {
@@ -166,7 +166,7 @@
 	}
 }
 
-/** A gang of whole accelerators is submitted to an empty region and placed. */
+/** Measures the placement of a gang of whole accelerators in an empty region. */
 static void
 by_gang (struct slopes *slopes)
 {
@@ -188,7 +188,7 @@
 	}
 }
 
-/** Workers of a full region go down at once: a data centre has about 100. */
+/** Measures the loss of several workers of a full region at once; a data centre has about 100. */
 static void
 by_lost_workers (struct slopes *slopes)
 {
--- a/bench/slopes/core_load.c
+++ b/bench/slopes/core_load.c
@@ -88,7 +88,7 @@
 	return pool;
 }
 
-/** Tells the core about the first @n workers. */
+/** Reports the state of the first @n workers to the core. */
 static void
 report_workers (struct core_load *load, int n, enum dff_worker_state state)
 {
@@ -163,7 +163,7 @@
 	dff_core_handle_event (load->core, &event, load->now_ms);
 }
 
-/** Returns: false for a command that waits for no answer. */
+/** Returns: false for a command without an answer. */
 static bool
 answer_type (enum dff_command_type command, enum dff_event_type *event)
 {
--- a/bench/slopes/core_load.h
+++ b/bench/slopes/core_load.h
@@ -4,8 +4,8 @@
 #include "core/core.h"
 
 /*
- * A core with a fleet of any size whose commands are all answered at once, as if store and workers
- * took no time: what is measured is the core alone.
+ * A core with a fleet of any size. Every command is answered immediately, as if store and workers
+ * took no time, so that only the core is measured.
  */
 
 struct core_load_size {
@@ -26,15 +26,15 @@
 /**
  * core_load_pool_text:
  *
- * Racks of 8 workers with 8 slots; one rack in 18 has two accelerators a worker, the others one, so
- * that 1,800 workers have 1,900. Each team is guaranteed a gang of up to 8, as far as six tenths of
- * the accelerators go.
+ * Racks of 8 workers with 8 slots. Workers have one accelerator, in one rack of 18 two, so that
+ * 1,800 workers have 1,900. Each team is guaranteed a gang of up to 8, up to six tenths of the
+ * accelerators in all.
  *
  * Returns: (transfer full): the pool file.
  */
 GString *core_load_pool_text (const struct core_load_size *size);
 
-/** Returns: (transfer full): the file, parsed. */
+/** Returns: (transfer full): the parsed pool file. */
 struct dff_pool *core_load_pool (const struct core_load_size *size);
 
 struct core_load *core_load_new (const struct core_load_size *size);
@@ -48,14 +48,14 @@
 
 void core_load_submit (struct core_load *load, const struct dff_job_spec *spec);
 
-/** Ticks and answers until nothing is left to do at this moment. */
+/** Ticks and answers until the core has no more commands at the current time. */
 void core_load_settle (struct core_load *load);
 
-/** Fills the fleet with gangs of 8 tasks that hold slots, one gang in eight also accelerators.
- * Returns: the number of tasks that run. */
+/** Starts gangs of 8 tasks that hold slots, one gang in eight also accelerators. Returns: the
+ * number of running tasks. */
 int core_load_run_tasks (struct core_load *load, int n_tasks);
 
-/** The first @n workers go down. */
+/** Reports the first @n workers as down. */
 void core_load_fail_workers (struct core_load *load, int n);
 
 #endif
--- a/bench/slopes/main.c
+++ b/bench/slopes/main.c
@@ -6,7 +6,7 @@
 #include "bench/slopes/slopes.h"
 #include "common/log.h"
 
-/* slopes --out DIRECTORY [--runs N] [CHAPTER...]: measures the slopes of docs/CAPACITY.md. */
+/* Measures the slopes of docs/CAPACITY.md: slopes --out DIRECTORY [--runs N] [CHAPTER...] */
 
 struct chapter {
 	const char *name;
--- a/bench/slopes/members.c
+++ b/bench/slopes/members.c
@@ -1,9 +1,9 @@
 #include "bench/peer_traffic.h"
 #include "bench/slopes/slopes.h"
 
-/* Traffic of a member against the number of members and the changes of the pool (whose file is a
- * few bytes here: its size is the pool chapter's), counted under a virtual clock; and the processor
- * time of a member, the network in memory included. */
+/* Traffic of a member against the number of members and the pool changes, counted under a virtual
+ * clock, and processor time of a member, the in-memory network included. The pool file has a few
+ * bytes here; the pool chapter measures its size. */
 
 #define MEASURE_S 60
 
--- a/bench/slopes/pool.c
+++ b/bench/slopes/pool.c
@@ -2,8 +2,8 @@
 #include "bench/slopes/slopes.h"
 #include "peer/message.h"
 
-/* The pool file of the whole fleet: its size, and the time to check and parse it and to put it in
- * force in a core, against teams and against workers. */
+/* The pool file of the whole fleet: its size, and the time to check, parse and apply it in a core,
+ * against the number of teams and of workers. */
 
 #define DESIGN_WORKERS 1800
 #define DESIGN_TEAMS 120
--- a/bench/slopes/recovery.c
+++ b/bench/slopes/recovery.c
@@ -5,9 +5,9 @@
 #include "cell/job_row.h"
 #include "standin/memory_workers.h"
 
-/* A take-over against the jobs on record: time under a virtual clock, with a store whose calls take
- * 10 to 30 ms; reads; processor time; and the new holder's memory. Half of a region's workers are
- * enough to see that asking them is one round, not one each. */
+/* A takeover against the number of recorded jobs: time under a virtual clock, with store calls of
+ * 10 to 30 ms; reads; processor time; memory of the new holder. Half of a region's workers suffice
+ * to show that the workers are queried in one round, not one after another. */
 
 #define WORKERS 360
 #define TEAMS 120
@@ -201,7 +201,7 @@
 	slopes_add (slopes, &axes->bytes, n_rows, (double)(slopes_heap_bytes () - heap));
 }
 
-/** Size of a job's row with an open attempt. */
+/** Measures the size of a job's row with an open attempt. */
 static void
 row_bytes (struct slopes *slopes, int gang)
 {
--- a/bench/slopes/relay.c
+++ b/bench/slopes/relay.c
@@ -22,7 +22,7 @@
 	GHashTable *links;
 };
 
-/** One connection: the caller's half and the target's. */
+/** A relayed connection: to the caller and to the target. */
 struct link {
 	struct relay *relay;
 	struct bufferevent *halves[2];
--- a/bench/slopes/relay.h
+++ b/bench/slopes/relay.h
@@ -7,17 +7,17 @@
 #include "common/cleanup.h"
 #include "common/str.h"
 
-/* Passes TCP connections on to an address and counts what goes through, both ways together. */
+/* Relays TCP connections to an address and counts the traffic, both directions together. */
 
 struct relay;
 
 struct relay_counts {
 	int64_t connections;
-	/** Reads that found something: about one a message. */
+	/** Reads that returned data: about one per message. */
 	int64_t messages;
 	/** Of payload, HTTP headers included. */
 	int64_t bytes;
-	/** With TCP and IP headers, of segments and of their acknowledgements. */
+	/** Bytes with the TCP and IP headers of segments and acknowledgements. */
 	int64_t wire_bytes;
 };
 
--- a/bench/slopes/site.c
+++ b/bench/slopes/site.c
@@ -16,7 +16,7 @@
 #define READY_STEP_MS 50
 #define CALL_TIMEOUT_MS 10000
 #define TOKEN_DIGEST_LEN 64
-/** Far below what is measured here. */
+/** Limit that is high enough not to affect the measurements. */
 #define UNBOUNDED "20000"
 
 struct site_daemon {
@@ -157,8 +157,8 @@
 	return settings;
 }
 
-/* The port is chosen while it starts, and others are to find it in the instance list only for
- * peers: callers get the port from here. */
+/* The daemon chooses its port at its start. The instance list gives the address to peers only;
+ * callers use daemon->address. */
 static void
 start_daemon (struct site *site, int index)
 {
--- a/bench/slopes/site.h
+++ b/bench/slopes/site.h
@@ -11,8 +11,8 @@
 #include "common/http_client.h"
 
 /*
- * A whole site in one process and on one loop: the stand-in platform behind a counting relay,
- * stand-in workers, and daemons wired as `dragonflyfold serve` wires them, on loopback.
+ * A whole site in one process and event loop, on loopback: the stand-in platform behind a counting
+ * relay, stand-in workers, and daemons set up as by `dragonflyfold serve`.
  */
 
 #define SITE_DAEMONS_MAX 16
@@ -21,27 +21,27 @@
 	int daemons;
 	/** Stand-in workers of the daemons' region. */
 	int workers;
-	/** Workers of another region: listed and in the pool, and that is all. */
+	/** Workers of another region: in the instance list and the pool, but not running. */
 	int remote_workers;
 	int teams;
 };
 
 struct site;
 
-/** Returns: once a holder holds the cell and every daemon has a pool. */
+/** Returns: the site, once a daemon holds the cell and every daemon has a pool. */
 struct site *site_new (const struct site_options *options);
 
 void site_free (struct site *site);
 
 DFF_DEFINE_CLEANUP (site, site_free);
 
-/** Lets the loop run for @ms. */
+/** Runs the loop for @ms. */
 void site_run (struct site *site, int ms);
 
-/** Calls and accesses that reached the platform so far. */
+/** Returns: calls that have reached the platform. */
 struct dff_memory_counts site_store_counts (const struct site *site);
 
-/** What went between the daemons and the platform. */
+/** Returns: traffic between the daemons and the platform. */
 struct relay_counts site_platform_traffic (const struct site *site);
 
 /** Returns: the address of daemon @index. */
@@ -49,7 +49,7 @@
 
 struct event_base *site_base (const struct site *site);
 
-/** Calls of the driver that were answered with a status below 300, and all that were answered. */
+/** Calls of the driver answered with a status below 300, and all answered calls. */
 struct site_answers {
 	int good;
 	int all;
@@ -60,11 +60,11 @@
 	const char *path;
 	/** (nullable) */
 	const char *body;
-	/** Also the bearer: "team-1", "operator". */
+	/** Bearer token: "team-1", "operator". */
 	const char *token;
 	/** (nullable) */
 	const char *idempotency_key;
-	/** (nullable): of If-Match. */
+	/** (nullable): value of If-Match. */
 	const char *generation;
 	bool idempotent;
 };
@@ -72,7 +72,7 @@
 /** Sends a call to the next daemon in turn. */
 void site_send (struct site *site, const struct site_call *call);
 
-/** Lets the loop run until all calls are answered. */
+/** Runs the loop until all calls are answered. */
 struct site_answers site_wait (struct site *site);
 
 /** Returns: (transfer full): the pool file. */
--- a/bench/slopes/slopes.c
+++ b/bench/slopes/slopes.c
@@ -35,7 +35,7 @@
 	guint n;
 	double intercept;
 	double slope;
-	/** Root of the mean squared distance from the line. */
+	/** Root mean square of the distances from the line. */
 	double residual;
 	/** Largest value measured. */
 	double largest;
@@ -103,7 +103,7 @@
 	return (left > right) - (left < right);
 }
 
-/** The values at one x, lowest first. */
+/** Returns: the values at one x, ascending. */
 static GArray *
 values_at (const struct series *series, double x)
 {
@@ -117,7 +117,7 @@
 	return values;
 }
 
-/** Elements: struct point: the median of the runs at each x of the first run. */
+/** Returns: the median of the runs at each x of the first run. Elements: struct point. */
 static GArray *
 medians (const struct series *series, double *spread)
 {
@@ -168,7 +168,7 @@
 	return fit;
 }
 
-/** Of a directory that the program makes. */
+/** Mode of the output directory. */
 #define DIRECTORY_MODE 0755
 
 static FILE *
@@ -203,7 +203,7 @@
 		 fit->spread);
 }
 
-/** Length of a chapter's name, which series begin with. */
+/** Returns: length of the chapter's name, with which the name of a series begins. */
 static size_t
 chapter_length (const struct series *series)
 {
@@ -217,7 +217,7 @@
 	return length == chapter_length (b) && strncmp (a->axes.name, b->axes.name, length) == 0;
 }
 
-/** Begins the drawing of a chapter's series, from @first on. */
+/** Begins the plot of a chapter, whose first series is @first. */
 static void
 begin_chapter (const struct slopes *slopes, guint first, FILE *out)
 {
--- a/bench/slopes/slopes.h
+++ b/bench/slopes/slopes.h
@@ -6,15 +6,15 @@
 #include <stdint.h>
 
 /*
- * Slopes: a quantity measured at several sizes of one dimension, several times over, with a line
- * fitted to it. docs/CAPACITY.md is worked out from them.
+ * Slopes: a quantity measured at several sizes of one dimension, in several runs, with a fitted
+ * line. docs/CAPACITY.md is derived from them.
  */
 
 struct slopes;
 
-/** What is drawn against what. Static strings. */
+/** Name and axis labels of a series. Static strings. */
 struct slope_axes {
-	/** Of the series; up to the first "_" the chapter, which is drawn as one file. */
+	/** Name of the series. The part before the first "_" is the chapter, drawn as one file. */
 	const char *name;
 	const char *x;
 	const char *y;
@@ -27,21 +27,21 @@
 /** Adds one measurement of the series @axes->name. */
 void slopes_add (struct slopes *slopes, const struct slope_axes *axes, double x, double y);
 
-/** From here on measurements are of the next run. */
+/** Starts the next run: later measurements belong to it. */
 void slopes_next_run (struct slopes *slopes);
 
 /**
  * slopes_write:
  *
- * Writes points.csv, fits.csv and plots.gp, from which gnuplot draws them, into @directory, and the
- * fits as a table to the standard output.
+ * Writes points.csv, fits.csv and the gnuplot script plots.gp into @directory, and prints the fits
+ * as a table.
  */
 void slopes_write (const struct slopes *slopes, const char *directory);
 
-/** Returns: bytes that malloc has handed out and that were not freed. */
+/** Returns: bytes allocated by malloc and not freed. */
 int64_t slopes_heap_bytes (void);
 
-/** Lets a loop run for @ms. */
+/** Runs a loop for @ms. */
 void slopes_run_loop (struct event_base *base, int ms);
 
 /** Returns: processor time of this process, in microseconds. */
--- a/bench/slopes/store.c
+++ b/bench/slopes/store.c
@@ -3,16 +3,16 @@
 #include "bench/slopes/site.h"
 #include "bench/slopes/slopes.h"
 
-/* What reaches the store, and how many bytes: idle daemons, jobs, short requests and changes of the
- * pool, through daemons wired as in `dragonflyfold serve`. The reads and writes of idle daemons are
- * subtracted from what work causes. Real time; so the reads vary a little between runs. */
+/* Store calls and bytes of idle daemons, jobs, short requests and pool changes, through daemons set
+ * up as by `dragonflyfold serve`. The reads and writes of idle daemons are subtracted from those
+ * under work. The clock is real, so the reads vary a little between runs. */
 
 #define IDLE_MS 2000
 #define WORKERS 8
 #define DAEMONS 3
 #define TEAMS 4
 #define SPACING_MS 20
-/* Longer than the interval at which daemons poll the pool's row. */
+/* Must be longer than the interval at which daemons poll the pool's row. */
 #define POOL_SPACING_MS 1200
 #define POOL_CHANGES 4
 #define POOL_TEAMS 120
@@ -22,7 +22,7 @@
 	double reads;
 	double commits;
 	double rows;
-	/** With TCP and IP headers, and without. */
+	/** Bytes with TCP and IP headers, and without. */
 	double wire_bytes;
 	double payload_bytes;
 };
@@ -54,7 +54,7 @@
 	};
 }
 
-/** Usage of @ms without work. */
+/** Returns: usage without work, scaled to @ms. */
 static struct usage
 usage_idle (struct site *site, double ms)
 {
@@ -90,7 +90,7 @@
 	}
 }
 
-/** Bytes of one idle daemon against what it has to follow. */
+/** Measures bytes of one idle daemon against the listed workers and the teams. */
 static void
 idle_bytes (struct slopes *slopes)
 {
@@ -169,7 +169,7 @@
 {
 	g_autoptr (GString) text = site_pool_text (site);
 	g_autofree char *generation = g_strdup_printf ("\"%d\"", index + 1);
-	/* Each file differs from the last: the same one again is the same application. */
+	/* Each file must differ: the same file again counts as the same application. */
 	for (int i = 0; i <= index; i++)
 		g_string_append_c (text, '\n');
 	struct site_call call = {
@@ -198,7 +198,7 @@
 	WORK ("pool_changes", "pool changes", send_pool),
 };
 
-/** Does @n pieces of work, the first of which is number @first. */
+/** Sends @n calls of @work, numbered from @first. */
 static void
 send_work (struct slopes *slopes, struct site *site, const struct work *work, int first, int n)
 {
@@ -221,7 +221,7 @@
 	slopes_add (slopes, &work->rows, n, all.rows - idle.rows);
 }
 
-/** Bytes of one change of a large pool, against the daemons that have to hear of it. */
+/** Measures bytes of one change of a large pool against the number of daemons. */
 static void
 pool_bytes (struct slopes *slopes)
 {
--- a/bench/slopes/watching.c
+++ b/bench/slopes/watching.c
@@ -13,8 +13,8 @@
 #include "upstream/worker_wire.h"
 
 /* Watching workers: messages, bytes and processor time against the number of workers, over HTTP and
- * a counting relay; sizes of the messages in which changes travel. One stand-in worker answers for
- * all, and its time and the relay's count as the watcher's: an upper bound. */
+ * a counting relay; sizes of the messages that carry changes. One stand-in worker answers for all.
+ * Its processor time and the relay's are included, so that the figures are upper bounds. */
 
 #define SETTLE_MS 1500
 #define MEASURE_MS 3750
@@ -188,7 +188,7 @@
 	slopes_add (slopes, &axes->cpu, n, spent_us / (MEASURE_MS * 1e3) * 100);
 }
 
-/** Tasks that completed, with everything a report can say. */
+/** Returns: @n reports of completed tasks with every field set. */
 static GArray *
 reports_new (int n)
 {
--- a/bench/store-writes.c
+++ b/bench/store-writes.c
@@ -5,10 +5,10 @@
 #include "backing/memory.h"
 #include "record/recorder.h"
 
-/* What group commit saves: jobs are accepted through the recorder into the in-memory table, whose
- * calls take 10 to 30 ms, under a virtual clock. Prints one line of Markdown for each case:
- * transactions and lookups for each job, the most of them in any second, and the time until a job
- * is durable. Deterministic. */
+/* Measures the savings of group commit: jobs are accepted through the recorder into the in-memory
+ * table, whose calls take 10 to 30 ms, under a virtual clock. Prints one line of Markdown per case:
+ * transactions and lookups per job, their highest number in any second, and the time until a job is
+ * durable. Deterministic. */
 
 #define SEED 1
 #define MAX_COMMITS_PER_S 30
@@ -39,7 +39,7 @@
 };
 
 struct bench_case {
-	/** Jobs a second; 0: all at once. */
+	/** Jobs per second; 0: all at once. */
 	int rate;
 	int rows_per_commit;
 	int lose_permille;
@@ -92,7 +92,7 @@
 	job->bench->n_durable++;
 }
 
-/* An accepted job: its row, and the row of its idempotency key, which must not exist. */
+/* Records a job: its row, and the row of its idempotency key, which must not exist yet. */
 static void
 accept_job (struct bench *bench)
 {
--- a/bench/tick.c
+++ b/bench/tick.c
@@ -9,14 +9,14 @@
 #include "bench/replay.h"
 
 /*
- * Times the decision core at a given size: a tick with nothing to do, and the decision to place a
- * gang of 128 on neighbouring racks, on the state that a session has reached after some hours.
+ * Measures the decision core at a given size, in the state of a session after some hours: a tick
+ * with nothing due, and the placement of a gang of 128 on neighbouring racks.
  */
 
 #define DFF_IDLE_TICKS 2000
 #define DFF_PLACEMENTS 200
 #define DFF_GANG 128
-/* Lets the cancelled gang be stopped before the next is submitted. */
+/* Time in which a cancelled gang is stopped before the next is submitted. */
 #define DFF_SETTLE_MS 2000
 #define DFF_EXIT_USAGE 2
 
@@ -28,7 +28,7 @@
 	return (double)time.tv_sec * 1e6 + (double)time.tv_nsec / 1e3;
 }
 
-/* Ticks at times between those of the replay, when nothing is due. */
+/* Measures ticks between those of the replay, with nothing due. */
 static GArray *
 time_idle_ticks (struct dff_policy *policy, int64_t now_ms)
 {
@@ -63,7 +63,7 @@
 	return event;
 }
 
-/* Whether the last tick began an attempt of the job. */
+/* Whether the last tick started an attempt of the job. */
 static bool
 was_placed (const struct dff_replay *replay, const struct dff_name *job)
 {
@@ -77,7 +77,7 @@
 	return false;
 }
 
-/* Submits a gang, times the tick that decides on it, and cancels it again. */
+/* Submits a gang, measures the tick that places it, and cancels the gang. */
 static bool
 time_placement (struct dff_replay *replay, int index, double *took_us)
 {
--- a/tests/bench/test-fleet-audit.c
+++ b/tests/bench/test-fleet-audit.c
@@ -8,7 +8,7 @@
 
 #include "bench/fleet/audit.h"
 
-/* The check that bench/fleet's bars rest on: it must find what it is for. */
+/* Tests the audit of bench/fleet: it must detect each kind of fault and report no others. */
 
 struct audit_case {
 	const char *name;
@@ -33,13 +33,13 @@
 	 "",
 	 "request r.1 t\nrequest r.2 t\n",
 	 {.runs = 2}},
-	{"said not to have run, and ran",
+	{"reported as not run, but ran",
 	 FLEET_ONCE,
 	 FLEET_NOT_RUN,
 	 "",
 	 "request r.1 t\n",
 	 {.false_not_run = 1, .runs = 1}},
-	{"said not to have run, and did not", FLEET_ONCE, FLEET_NOT_RUN, "", "", {.runs = 0}},
+	{"reported as not run, and did not run", FLEET_ONCE, FLEET_NOT_RUN, "", "", {.runs = 0}},
 	{"answered without a run",
 	 FLEET_ONCE,
 	 FLEET_ANSWERED,
--- a/tests/bench/test-load.c
+++ b/tests/bench/test-load.c
@@ -7,9 +7,9 @@
 #include "bench/load/classes.h"
 #include "holder/policy.h"
 
-/* Loads that the mechanisms of the core are there for, played with each and without: a minute of
- * urgent gangs that somebody waits for, gangs that take seconds, and bulk work, on fifty workers.
- * The figures asserted are about half of the differences measured over a hundred seeds. */
+/* Checks the effect of mechanisms of the core by simulating loads with and without each: a minute
+ * of urgent gangs with a waiting caller, gangs that take seconds, and bulk work, on fifty workers.
+ * The asserted figures are about half of the differences measured over a hundred seeds. */
 
 #define N_SEEDS 20
 #define GANG_WAIT_MS 3000
@@ -17,15 +17,16 @@
 
 struct means {
 	double in_time[DFF_LOAD_MIXED_CLASSES];
-	/** Share of the urgent jobs that begin at once. */
+	/** Share of the urgent jobs that start at once. */
 	double at_once;
-	/** Work thrown away for each core-second of work done. */
+	/** Wasted work per core-second of completed work. */
 	double wasted;
 };
 
 typedef void (*change_func) (struct dff_core_options *options);
 
-/* Returns: what some loads, at @times their usual rate, come to with a mechanism changed. */
+/* Returns: mean figures of N_SEEDS loads at @times their usual rate, with the options changed by
+ * @change. */
 static struct means
 play (double times, change_func change)
 {
@@ -56,8 +57,8 @@
 	options->headroom_decay_ms = 0;
 }
 
-/* Pattern: three quarters of the pool are in use, urgent gangs come in clusters, and bulk tasks
- * fill what is idle in between. Without headroom three runs in ten are stopped for room. */
+/* Load: three quarters of the pool are in use, urgent gangs arrive in clusters, and bulk tasks fill
+ * the idle capacity. Without headroom, three of ten runs are preempted. */
 static void
 test_headroom_under_load (void **state)
 {
@@ -69,7 +70,7 @@
 	assert_true (with.wasted < 0.8 * without.wasted);
 }
 
-/* Pattern: the pool is a quarter full. Headroom must cost nobody anything. */
+/* Load: a quarter of the pool is in use. Headroom must not delay any class. */
 static void
 test_headroom_under_low_load (void **state)
 {
@@ -87,9 +88,10 @@
 	options->headroom_wait_ratio = 0.0;
 }
 
-/* Pattern: the same; gangs queue for racks, and bulk work behind them is put off until its
- * objective has passed. With its patience half of it is in time, without a quarter; urgent work
- * loses one job in a hundred. */
+/* Load of test_headroom_under_load: gangs queue for racks, and headroom delays bulk work until it
+ * misses its objective. With headroom_wait_ratio, bulk work that has waited long leaves headroom
+ * for urgent work alone: half of the bulk work is in time, without it a quarter. One urgent job in
+ * a hundred is late because of it. */
 static void
 test_bulk_under_load (void **state)
 {
@@ -107,8 +109,8 @@
 	options->evict_work_ratio = 0.0;
 }
 
-/* Pattern: the same; small urgent jobs meet wide gangs that have run for seconds. Without a bound
- * as much work is thrown away as one job in fifteen does. */
+/* Load of test_headroom_under_load: small urgent jobs preempt wide gangs that have run for seconds.
+ * Without a limit on the preempted work, the wasted work equals that of one job in fifteen. */
 static void
 test_bounded_evictions (void **state)
 {
--- a/tests/bench/test-replay.c
+++ b/tests/bench/test-replay.c
@@ -89,23 +89,23 @@
 	double value;
 };
 
-/* A whole gang is held back by a long job; a short one behind it may only pass where it does no
- * harm: 8 accelerators, 4 busy for 100 s, then a gang of 8 for 10 s, then 4 for 50 s. */
+/* A gang waits for a long job; a short job behind the gang may only start first where it does not
+ * delay the gang: 8 accelerators, 4 busy for 100 s, then a gang of 8 for 10 s, then 4 for 50 s. */
 #define BLOCKED                                                                                    \
 	SUBMIT (0, "a", "\"accelerators\":4,\"actual_s\":100")                                     \
 	SUBMIT (1, "b", "\"gang\":2,\"accelerators\":4,\"adjacent\":true,\"actual_s\":10")         \
 	SUBMIT (2, "c", "\"accelerators\":4,\"actual_s\":50")
 
-/* Symptom: a worker dies and its work is lost. Sequence: a job of 10 s starts on the first worker
- * at 0.3 s, the worker dies at 5 s, its lease lapses at 10 s, the job starts on the
- * other worker. Cause: the machine. 4 accelerators x 4.7 s are lost. */
+/* Guards the count of work lost with a worker: a job of 10 s starts on the first worker at 0.3 s,
+ * the worker dies at 5 s, the lease expires at 10 s, and the job restarts on the other worker. The
+ * lost work is 4 accelerators x 4.7 s. */
 #define LOSS                                                                                       \
 	SUBMIT (0, "a", "\"accelerators\":4,\"actual_s\":10")                                      \
 	"{\"t\":5,\"event\":\"worker_down\",\"worker\":\"r-w1\"}\n"
 
-/* Symptom: a replay takes minutes and ends after a month of its own time. Sequence: the workers
- * die, a job comes, the policy looks for a place at every review. Cause: wakes were taken for
- * events. */
+/* Guards against counting wakes of the policy as events: all workers die, a job arrives, and the
+ * policy tries to place it at every review. The replay then takes minutes and ends only after a
+ * month of simulated time. */
 #define NOBODY_LEFT                                                                                \
 	"{\"t\":0,\"event\":\"rack_down\",\"rack\":\"r\"}\n" SUBMIT (1, "a", "\"actual_s\":1")
 
