--- a/script/loopback.sh
+++ b/script/loopback.sh
@@ -1,10 +1,10 @@
 # shellcheck shell=bash disable=SC2154
-# Functions of the scripts that start the programs on loopback; to be sourced by bash. Before the first
-# call the script sets `build`, `program`, `out` (an empty directory) and `bootstrap_token`.
+# Functions for scripts that start the programs on loopback; to be sourced by bash. Before the first call
+# the script must set `build`, `program`, `out` (an empty directory) and `bootstrap_token`.
 
 declare -A pid_of=()
-# Below the ports that outgoing connections get: one of those could be taken between the look and the
-# start of the process.
+# Below the range of ephemeral ports: an outgoing connection could take one of those between the check
+# and the start of the process.
 declare -i last_port=$((20000 + $$ % 12000))
 
 readonly READY_TIMEOUT_S=30
@@ -15,7 +15,7 @@
 	exit 1
 }
 
-# Starts a program under a name. What it prints is appended, as it may be a second start.
+# Starts a program under a name. Appends its output, so that a restart keeps the earlier output.
 start()
 {
 	local name=$1
@@ -25,7 +25,7 @@
 	echo "$!" > "$out/$name.pid"
 }
 
-# Sends a signal to what was started and nothing else, and waits for its end.
+# Sends a signal to the started processes only, and waits until they have exited.
 end_all()
 {
 	local signal=$1 name
@@ -42,7 +42,8 @@
 	give_up "$1 has ended"
 }
 
-# Runs a command until it succeeds, as long as the process that it waits for is there.
+# Repeats a command until it succeeds; fails when the awaited process has exited, or after
+# READY_TIMEOUT_S.
 wait_until()
 {
 	local what=$1 process=$2 deadline=$((SECONDS + READY_TIMEOUT_S))
@@ -57,7 +58,7 @@
 	done
 }
 
-# The address that a program prints once it listens.
+# Prints the address that a program reports when it listens.
 address_of()
 {
 	grep -m 1 -oE '127\.0\.0\.1:[0-9]+' "$out/$1.out"
@@ -68,7 +69,7 @@
 	! (exec 3<> "/dev/tcp/127.0.0.1/$1") 2>/dev/null
 }
 
-# Leaves a free port in last_port.
+# Sets last_port to a free port.
 choose_port()
 {
 	last_port+=1
@@ -77,7 +78,7 @@
 	done
 }
 
-# A token as pool and settings files hold it.
+# Prints the digest of a token, as in pool and settings files.
 digest()
 {
 	echo "sha256:$(printf %s "$1" | sha256sum | cut -d ' ' -f 1)"
