--- a/backing/http_instance_list.c
+++ b/backing/http_instance_list.c
@@ -44,8 +44,7 @@
 	list->tag = g_strdup (tag);
 }
 
-/* Returns: (nullable): the list in @response, or the cached one for 304 Not Modified; NULL when the
- * call failed. */
+/* Returns: (nullable): the list in @response, or the cached one for 304; NULL: the call failed. */
 static GArray *
 list_from_response (struct dff_http_instance_list *list, const struct dff_http_response *response)
 {
@@ -80,9 +79,8 @@
 	dff_http_call_end (call);
 }
 
-/* Sends the entity tag of the cached list, so that the service returns the list only when it has
- * changed. The list is polled each second, rarely changes, and for a region with 360 workers has
- * 90 KB. */
+/* Sends the entity tag of the cached list, so that the service returns only a changed list. The
+ * list is polled each second, rarely changes, and has 90 KB for a region with 360 workers. */
 static void
 list_instances (void *ctx, dff_instance_list_func done, void *user)
 {
--- a/bench/fleet/audit.h
+++ b/bench/fleet/audit.h
@@ -18,8 +18,7 @@
 	int64_t runs;
 };
 
-/** Compares @load with the run log and prints each fault. Returns: false when the log cannot be
- * read. */
+/** Compares @load with the run log and prints each fault. Returns: false: the log is unreadable. */
 bool
 fleet_audit_run (const struct fleet_load *load, const char *run_log, struct fleet_audit *audit);
 
--- a/bench/fleet/fleet.c
+++ b/bench/fleet/fleet.c
@@ -136,7 +136,7 @@
 	fflush (stdout);
 }
 
-/** A call that the main line waits for. */
+/** A call that fleet_call() waits for. */
 struct waiting_call {
 	struct fleet_answer answer;
 	bool done;
--- a/bench/fleet/fleet.h
+++ b/bench/fleet/fleet.h
@@ -144,8 +144,7 @@
 /** Sets the faults of a stand-in without waiting for the answer. */
 void fleet_post_faults (struct fleet *fleet, const struct dff_name *address, const char *faults);
 
-/** Returns: index of the process that holds the cell by the last polls, that of the highest epoch;
- * -1: none. */
+/** Returns: index of the process that holds the cell at the highest epoch, as polled; -1: none. */
 int fleet_holder (const struct fleet *fleet);
 
 /** Conditions for fleet_wait(). */
--- a/bench/fragmentation.h
+++ b/bench/fragmentation.h
@@ -10,7 +10,7 @@
 struct dff_fragmentation {
 	/** Accelerators of the shape. */
 	int32_t unit;
-	GArray *free; /**< Elements: int32_t, one a rack. */
+	GArray *free; /**< Elements: int32_t, one per rack. */
 	int64_t total;
 	/** Sum over racks of whole units, in accelerators. */
 	int64_t usable;
--- a/bench/load/load.c
+++ b/bench/load/load.c
@@ -65,7 +65,7 @@
 	const struct dff_load *load;
 	struct dff_core *core;
 	struct dff_load_figures *figures;
-	/** Elements: struct entry; one a job that arrives. */
+	/** Elements: struct entry, one per job. */
 	GArray *entries;
 	/** struct dff_name * (in the unit) to struct unit. */
 	GHashTable *units;
--- a/bench/load/main.c
+++ b/bench/load/main.c
@@ -64,8 +64,7 @@
 	double stopped;
 };
 
-/** Value of a job by class, in time and late, and price of a wasted core-second, as one customer
- * states them. */
+/** One customer's value of a job in time and late, by class, and price of a wasted core-second. */
 static const double worth[DFF_LOAD_MIXED_CLASSES] = {4.0, 3.0, 1.0};
 static const double late_worth[DFF_LOAD_MIXED_CLASSES] = {0.8, 0.9, 0.3};
 #define WASTED_PRICE 0.002
--- a/bench/load_pool.h
+++ b/bench/load_pool.h
@@ -3,8 +3,7 @@
 
 #include "pool/pool.h"
 
-/** Reads a pool file and prints errors to standard error. Returns: (transfer full) (nullable): the
- * pool. */
+/** Reads a pool file; prints errors to stderr. Returns: (transfer full) (nullable): the pool. */
 struct dff_pool *dff_load_pool (const char *path);
 
 #endif
--- a/bench/peers.c
+++ b/bench/peers.c
@@ -1,7 +1,6 @@
 /* Traffic of membership and the pool file against the number of processes, and the time until all
- * processes have detected a death or received a pool file. The peers of all processes run in this
- * process over an in-memory network under a virtual clock, so the figures are the same in every
- * run. Writes CSV. */
+ * processes have detected a death or received a pool file. All peers run in this process over an
+ * in-memory network under a virtual clock, so the figures are the same in every run. Writes CSV. */
 
 #include <stdio.h>
 
--- a/bench/policy.h
+++ b/bench/policy.h
@@ -14,8 +14,7 @@
 	/** Empties @commands (struct dff_command), then fills it. */
 	void (*tick) (void *ctx, int64_t now_ms, GArray *commands);
 	int64_t (*next_wake_ms) (void *ctx);
-	/** (nullable): returns a description of the first violated invariant, to be freed with
-	 * g_free(). */
+	/** (nullable): describes the first violated invariant; to be freed with g_free(). */
 	char *(*check) (void *ctx);
 	void (*free) (void *ctx);
 	void *ctx;
--- a/bench/profile.h
+++ b/bench/profile.h
@@ -8,7 +8,7 @@
 /* The deployments that sessions are generated for. */
 
 enum dff_arrivals {
-	/** Working hours, with a little at night. */
+	/** Working hours, and fewer at night. */
 	DFF_ARRIVALS_DAY,
 	/** All hours equally. */
 	DFF_ARRIVALS_EVEN,
--- a/bench/replay.c
+++ b/bench/replay.c
@@ -100,8 +100,7 @@
 	return false;
 }
 
-/* Whether only wakes of the policy have happened for DFF_REPLAY_QUIET_MS, and nothing else is
- * pending. */
+/* Whether nothing but wakes of the policy is pending or has happened for DFF_REPLAY_QUIET_MS. */
 static bool
 is_quiet (const struct dff_replay *replay, int64_t tick_ms)
 {
--- a/bench/runner_private.h
+++ b/bench/runner_private.h
@@ -28,8 +28,7 @@
 			int32_t member,
 			int64_t time_ms);
 
-/** Marks the attempt as broken: its members no longer advance together, and work from now on is
- * lost. */
+/** Marks the attempt as broken: members no longer advance together, and further work is lost. */
 void dff_runner_job_break (struct dff_job_run *job, int64_t now_ms);
 
 #endif
--- a/include/backing/instance_watch.h
+++ b/include/backing/instance_watch.h
@@ -16,8 +16,7 @@
 
 struct dff_instance_watch;
 
-/** Called when the list differs from that of the last call. @instances are ordered by id and valid
- * in the call only. */
+/** Called when the list has changed. @instances are ordered by id and valid in the call only. */
 typedef void (*dff_instances_changed_func) (void *ctx,
 					    const struct dff_instance *instances,
 					    size_t n_instances);
@@ -29,8 +28,7 @@
 	/** This process; announced three times per @ttl_ms. */
 	struct dff_instance self;
 	uint64_t seed;
-	/** Mean poll interval, ms; each varies by up to a quarter, so that polls of processes
-	 * spread out. */
+	/** Mean poll interval, ms; varies by up to a quarter, to spread polls of processes. */
 	int32_t poll_ms;
 	/** Time after which an announcement expires, ms. */
 	int32_t ttl_ms;
--- a/include/backing/object_store.h
+++ b/include/backing/object_store.h
@@ -5,8 +5,7 @@
 
 #include "common/str.h"
 
-/* The platform's object store: immutable byte objects by key. Calls are asynchronous, as those of
- * the table. */
+/* The platform's object store: immutable byte objects by key. Asynchronous like the table. */
 
 enum dff_object_outcome {
 	DFF_OBJECT_OK,
--- a/tests/backing/test-http-platform.c
+++ b/tests/backing/test-http-platform.c
@@ -10,8 +10,7 @@
 #include "backing/http.h"
 #include "standin/platform_server.h"
 
-/* Tests the HTTP clients of the platform against the stand-in server, both in this process, over
- * loopback. */
+/* Tests the platform's HTTP clients against the stand-in, both in this process, over loopback. */
 
 struct fixture {
 	struct event_base *base;
--- a/tests/backing/test-instance-watch.c
+++ b/tests/backing/test-instance-watch.c
@@ -175,8 +175,7 @@
 	struct dff_instance_watch *watch = dff_instance_watch_new (&options);
 	for (; time.now_ms < 1000 + 9 * POLL_MS; time.now_ms += 50)
 		dff_instance_watch_tick (watch);
-	/* Three announcements per time to live of 5 s, so that one may be lost; the clock advances
-	 * in steps of 50 ms. */
+	/* Three per time to live of 5 s, so that one may be lost; the clock steps by 50 ms. */
 	assert_int_equal (silent.n_announced, 6);
 	assert_int_equal (silent.longest_gap_ms, 1700);
 	dff_instance_watch_free (watch);
--- a/tests/bench/test-load.c
+++ b/tests/bench/test-load.c
@@ -25,8 +25,7 @@
 
 typedef void (*change_func) (struct dff_core_options *options);
 
-/* Returns: mean figures of N_SEEDS loads at @times their usual rate, with the options changed by
- * @change. */
+/* Returns: mean figures of N_SEEDS loads at @times their usual rate and options after @change. */
 static struct means
 play (double times, change_func change)
 {
