--- a/backing/http_instance_list.c
+++ b/backing/http_instance_list.c
@@ -5,17 +5,17 @@
 #define INSTANCES_PATH "/v1/instances"
 
 struct dff_http_instance_list {
-	/** First, so that a call's service leads back to the list. */
+	/** First member: list_of() casts a call's service to the list. */
 	struct dff_http_service service;
 	struct dff_instance_list interface;
-	/** (nullable): the list that was read last, and its entity tag. */
+	/** (nullable): the last list received, and its entity tag. */
 	GArray *instances;
 	char *tag;
 };
 
-/* Returns: (nullable): array of struct dff_instance; NULL when @body is not a list. */
+/* Returns: (nullable): array of struct dff_instance; NULL when @body is malformed. */
 static GArray *
-read_instances (struct dff_str body)
+parse_instances (struct dff_str body)
 {
 	json_t *root = json_loadb (body.data, body.len, 0, NULL);
 	const json_t *array = json_object_get (root, "instances");
@@ -29,13 +29,14 @@
 	json_decref (root);
 	if (valid)
 		return instances;
-	dff_log (DFF_LOG_PLATFORM, DFF_LOG_ERROR, "Instance list is malformed.");
+	dff_log (DFF_LOG_PLATFORM, DFF_LOG_ERROR,
+		 "Response of the instance list service is malformed.");
 	g_array_unref (instances);
 	return NULL;
 }
 
 static void
-keep_list (struct dff_http_instance_list *list, GArray *instances, const char *tag)
+cache_list (struct dff_http_instance_list *list, GArray *instances, const char *tag)
 {
 	g_clear_pointer (&list->instances, g_array_unref);
 	g_clear_pointer (&list->tag, g_free);
@@ -43,17 +44,17 @@
 	list->tag = g_strdup (tag);
 }
 
-/* Returns: (nullable): the list that @response stands for. */
+/* Returns: (nullable): the list in @response, or the cached one for 304; NULL: the call failed. */
 static GArray *
-take_response (struct dff_http_instance_list *list, const struct dff_http_response *response)
+list_from_response (struct dff_http_instance_list *list, const struct dff_http_response *response)
 {
 	if (response->outcome != DFF_HTTP_ANSWERED)
 		return NULL;
 	if (response->status == HTTP_NOTMODIFIED && list->instances != NULL)
 		return g_array_ref (list->instances);
-	GArray *instances = response->status == HTTP_OK ? read_instances (response->body) : NULL;
+	GArray *instances = response->status == HTTP_OK ? parse_instances (response->body) : NULL;
 	if (instances != NULL)
-		keep_list (list, instances, evhttp_find_header (response->headers, "ETag"));
+		cache_list (list, instances, evhttp_find_header (response->headers, "ETag"));
 	return instances;
 }
 
@@ -64,11 +65,11 @@
 }
 
 static void
-take_list (void *user, const struct dff_http_response *response)
+handle_list (void *user, const struct dff_http_response *response)
 {
 	struct dff_http_call *call = user;
 	struct dff_http_instance_list *list = list_of (call);
-	g_autoptr (GArray) instances = take_response (list, response);
+	g_autoptr (GArray) instances = list_from_response (list, response);
 	struct dff_instance_list_result result = {.ok = instances != NULL};
 	if (instances != NULL) {
 		result.instances = (const struct dff_instance *)instances->data;
@@ -78,8 +79,8 @@
 	dff_http_call_end (call);
 }
 
-/* The list is read each second, and of a region with 360 workers it is 90 KB long, while hardly
- * anything in it changes: only a changed one is sent. */
+/* Sends the entity tag of the cached list, so that the service returns only a changed list. The
+ * list is polled each second, rarely changes, and has 90 KB for a region with 360 workers. */
 static void
 list_instances (void *ctx, dff_instance_list_func done, void *user)
 {
@@ -87,15 +88,15 @@
 	struct dff_http_call *call = dff_http_call_begin (&list->service, DFF_HTTP_CALL_LIST, user);
 	call->list_done = done;
 	call->known_tag = list->tag;
-	dff_http_call_send (call, EVHTTP_REQ_GET, INSTANCES_PATH, (struct dff_str){0}, take_list);
+	dff_http_call_send (call, EVHTTP_REQ_GET, INSTANCES_PATH, (struct dff_str){0}, handle_list);
 }
 
 static void
-take_announced (void *user, const struct dff_http_response *response)
+handle_announced (void *user, const struct dff_http_response *response)
 {
 	struct dff_http_call *call = user;
 	if (response->outcome != DFF_HTTP_ANSWERED || response->status != 200)
-		dff_log (DFF_LOG_PLATFORM, DFF_LOG_WARNING, "Announcement failed. status=%d",
+		dff_log (DFF_LOG_PLATFORM, DFF_LOG_WARNING, "Announcing instance failed. status=%d",
 			 response->status);
 	dff_http_call_end (call);
 }
@@ -108,7 +109,7 @@
 		dff_http_call_begin (&list->service, DFF_HTTP_CALL_ANNOUNCE, NULL);
 	json_t *root = dff_instance_wire_to_json (instance);
 	json_object_set_new (root, "ttl_ms", json_integer (ttl_ms));
-	dff_http_call_send_json (call, INSTANCES_PATH, root, take_announced);
+	dff_http_call_send_json (call, INSTANCES_PATH, root, handle_announced);
 }
 
 struct dff_http_instance_list *
--- a/backing/http_table.c
+++ b/backing/http_table.c
@@ -7,9 +7,9 @@
 	struct dff_table interface;
 };
 
-/* Only what the service itself says proves that a commit was not written: an answer from something
- * in between (502, 504) may come after the service has been reached. Symptom otherwise: a caller is
- * told "not run", and the job runs. */
+/* Only statuses that the table service itself sends prove that a commit was not written. A proxy's
+ * 502 or 504 may come after the commit has reached the service: taken for a failure, it would have
+ * the caller receive "not run" for a job that runs. */
 static enum dff_table_outcome
 commit_outcome (const struct dff_http_response *response)
 {
@@ -45,7 +45,7 @@
 }
 
 static void
-take_response (void *user, const struct dff_http_response *response)
+handle_response (void *user, const struct dff_http_response *response)
 {
 	struct dff_http_call *call = user;
 	bool is_commit = call->kind == DFF_HTTP_CALL_COMMIT;
@@ -57,7 +57,8 @@
 		root = json_loadb (response->body.data, response->body.len, 0, NULL);
 		if (!dff_table_wire_result_from_json (root, rows, &result)) {
 			dff_log (DFF_LOG_PLATFORM, DFF_LOG_ERROR,
-				 "Table's answer is malformed. status=%d", response->status);
+				 "Response of the table service is malformed. status=%d",
+				 response->status);
 			result = (struct dff_table_result){0};
 			result.outcome = is_commit ? DFF_TABLE_UNCERTAIN : DFF_TABLE_UNAVAILABLE;
 		}
@@ -75,7 +76,7 @@
 	return call;
 }
 
-/* Ends a call that cannot be put into JSON, so that nothing was sent. */
+/* Ends a call whose arguments cannot be encoded as JSON; nothing has been sent. */
 static void
 refuse (struct dff_http_call *call)
 {
@@ -97,7 +98,7 @@
 	}
 	json_t *root = json_pack ("{s:o}", "keys", array);
 	if (valid) {
-		dff_http_call_send_json (call, "/v1/table/get", root, take_response);
+		dff_http_call_send_json (call, "/v1/table/get", root, handle_response);
 		return;
 	}
 	json_decref (root);
@@ -118,7 +119,7 @@
 	if (root == NULL)
 		refuse (call);
 	else
-		dff_http_call_send_json (call, "/v1/table/scan", root, take_response);
+		dff_http_call_send_json (call, "/v1/table/scan", root, handle_response);
 }
 
 static void
@@ -129,7 +130,7 @@
 	if (root == NULL)
 		refuse (call);
 	else
-		dff_http_call_send_json (call, "/v1/table/commit", root, take_response);
+		dff_http_call_send_json (call, "/v1/table/commit", root, handle_response);
 }
 
 static void
@@ -137,7 +138,7 @@
 {
 	struct dff_http_call *call = begin (ctx, DFF_HTTP_CALL_LOOKUP, done, user);
 	json_t *root = json_pack ("{s:s}", "write_id", write_id->data);
-	dff_http_call_send_json (call, "/v1/table/lookup", root, take_response);
+	dff_http_call_send_json (call, "/v1/table/lookup", root, handle_response);
 }
 
 struct dff_http_table *
--- a/backing/instance_watch.c
+++ b/backing/instance_watch.c
@@ -5,10 +5,12 @@
 
 #include "common/log.h"
 
-/* Covers a client that never calls back, so that polling cannot stop for good. */
-#define POLL_LOST_AFTER_MS 10000
+/* A poll without a callback for this long is abandoned, so that a client that never calls back does
+ * not stop polling for good. */
+#define POLL_TIMEOUT_MS 10000
 
-/** A lost announcement and a late one leave the process listed; more would only cost bytes. */
+/** The process stays listed if one announcement is lost and the next is late; more announcements
+ * would only add traffic. */
 #define ANNOUNCEMENTS_PER_TTL 3
 
 struct poll {
@@ -18,14 +20,14 @@
 struct dff_instance_watch {
 	struct dff_instance_watch_options options;
 	GRand *random;
-	/** Last list told, ordered by id. Elements: struct dff_instance. */
+	/** Last list passed to the changed callback, by id. Elements: struct dff_instance. */
 	GArray *instances;
 	struct poll *poll;
 	int64_t polled_ms;
 	int64_t next_poll_ms;
 	int64_t next_announce_ms;
 	int64_t answered_ms;
-	bool told;
+	bool delivered;
 	int64_t *failed;
 	int64_t *changes;
 };
@@ -87,18 +89,18 @@
 }
 
 static void
-take_list (struct dff_instance_watch *watch, const struct dff_instance_list_result *result)
+apply_list (struct dff_instance_watch *watch, const struct dff_instance_list_result *result)
 {
-	g_autoptr (GArray) fresh = g_array_new (FALSE, TRUE, sizeof (struct dff_instance));
+	g_autoptr (GArray) received = g_array_new (FALSE, TRUE, sizeof (struct dff_instance));
 	if (result->n_instances > 0)
-		g_array_append_vals (fresh, result->instances, (guint)result->n_instances);
-	g_array_sort (fresh, compare_instances);
-	if (watch->told && lists_equal (fresh, watch->instances))
+		g_array_append_vals (received, result->instances, (guint)result->n_instances);
+	g_array_sort (received, compare_instances);
+	if (watch->delivered && lists_equal (received, watch->instances))
 		return;
-	watch->told = true;
+	watch->delivered = true;
 	*watch->changes += 1;
 	g_array_unref (watch->instances);
-	watch->instances = g_steal_pointer (&fresh);
+	watch->instances = g_steal_pointer (&received);
 	watch->options.changed (watch->options.ctx,
 				(const struct dff_instance *)(void *)watch->instances->data,
 				watch->instances->len);
@@ -118,7 +120,7 @@
 		return;
 	}
 	watch->answered_ms = dff_clock_now_ms (watch->options.clock);
-	take_list (watch, result);
+	apply_list (watch, result);
 }
 
 static void
@@ -150,14 +152,14 @@
 dff_instance_watch_tick (struct dff_instance_watch *watch)
 {
 	int64_t now_ms = dff_clock_now_ms (watch->options.clock);
-	/* Not tied to the polls: one that is never answered would hold the announcement back past
-	 * its time to live, and a live process would drop out of the list. */
+	/* Announcements do not depend on polls: a poll that is never answered would delay them
+	 * beyond the time to live, and the list would drop a live process. */
 	if (now_ms >= watch->next_announce_ms) {
 		watch->next_announce_ms = now_ms + watch->options.ttl_ms / ANNOUNCEMENTS_PER_TTL;
 		announce (watch);
 	}
-	bool lost = watch->poll != NULL && now_ms - watch->polled_ms >= POLL_LOST_AFTER_MS;
-	if (now_ms < watch->next_poll_ms || (watch->poll != NULL && !lost))
+	bool timed_out = watch->poll != NULL && now_ms - watch->polled_ms >= POLL_TIMEOUT_MS;
+	if (now_ms < watch->next_poll_ms || (watch->poll != NULL && !timed_out))
 		return;
 	start_poll (watch, now_ms);
 }
--- a/bench/fifo.c
+++ b/bench/fifo.c
@@ -1,11 +1,11 @@
 #include "bench/baseline.h"
 
-/* First come, first served: the first job that does not fit holds back all behind it. */
+/* First come, first served: the first job that does not fit blocks all later jobs. */
 
 void
 dff_fifo_schedule (struct dff_baseline *baseline, G_GNUC_UNUSED int64_t now_ms)
 {
-	struct dff_cluster_view view = {.room = baseline->cluster.room};
+	struct dff_cluster_view view = {.available = baseline->cluster.available};
 	int32_t workers[DFF_JOB_GANG_MAX];
 	struct dff_baseline_job *job;
 	dff_baseline_pass_begin (baseline);
--- a/bench/hop.c
+++ b/bench/hop.c
@@ -1,7 +1,7 @@
 /*
- * What one hop costs: a bare evhttp server answering 200 bytes against the product's path for a
- * short request (caller, entry, stand-in worker, back), in one run on one machine. Starts no
- * process: bench/hop.sh starts them and passes addresses and process ids.
+ * Measures the cost of one hop: a bare evhttp server that answers 200 bytes, against the product's
+ * path of a short request (caller, entry, stand-in worker, back), in one run on one machine.
+ * bench/hop.sh starts the processes and passes addresses and process ids.
  *
  *   hop bare                       serves 200 bytes, prints "listening IP:PORT"
  *   hop load [options]             measures both in alternating rounds
@@ -51,7 +51,7 @@
 	int round_ms;
 };
 
-/** What one round gave. */
+/** Results of one round. */
 struct measure {
 	int64_t requests;
 	int64_t failures;
@@ -69,7 +69,7 @@
 	int in_progress;
 };
 
-/** A connection's place in the load. */
+/** A connection of the load, by index. */
 struct lane {
 	struct load *load;
 	int index;
@@ -277,7 +277,7 @@
 	return values[n_values / 2];
 }
 
-/* In turns, so that what else the machine does falls on both alike. */
+/* Alternates the rounds, so that other activity of the machine affects both servers equally. */
 static int
 run_load (const struct load_options *options)
 {
@@ -338,7 +338,7 @@
 	"                --path PATH --token TOKEN [--connections N] [--rounds N] [--round-ms N]\n";
 
 static bool
-take_int (const char *text, int max, int *out)
+parse_int (const char *text, int max, int *out)
 {
 	guint64 value;
 	if (!g_ascii_string_to_unsigned (text, 10, 1, (guint64)max, &value, NULL))
@@ -348,17 +348,17 @@
 }
 
 static bool
-take_option (struct load_options *options, int option)
+parse_option (struct load_options *options, int option)
 {
 	switch (option) {
 	case DFF_OPTION_BARE:
 		return dff_name_parse (dff_str_from (optarg), &options->bare.address);
 	case DFF_OPTION_BARE_PID:
-		return take_int (optarg, G_MAXINT32, &options->bare.pid);
+		return parse_int (optarg, G_MAXINT32, &options->bare.pid);
 	case DFF_OPTION_PRODUCT:
 		return dff_name_parse (dff_str_from (optarg), &options->product.address);
 	case DFF_OPTION_PRODUCT_PID:
-		return take_int (optarg, G_MAXINT32, &options->product.pid);
+		return parse_int (optarg, G_MAXINT32, &options->product.pid);
 	case DFF_OPTION_PATH:
 		options->path = optarg;
 		return true;
@@ -366,11 +366,11 @@
 		options->token = optarg;
 		return true;
 	case DFF_OPTION_CONNECTIONS:
-		return take_int (optarg, MAX_CONNECTIONS, &options->connections);
+		return parse_int (optarg, MAX_CONNECTIONS, &options->connections);
 	case DFF_OPTION_ROUNDS:
-		return take_int (optarg, MAX_ROUNDS, &options->rounds);
+		return parse_int (optarg, MAX_ROUNDS, &options->rounds);
 	case DFF_OPTION_ROUND_MS:
-		return take_int (optarg, G_MAXINT16, &options->round_ms);
+		return parse_int (optarg, G_MAXINT16, &options->round_ms);
 	default:
 		return false;
 	}
@@ -381,7 +381,7 @@
 {
 	int option;
 	while ((option = getopt_long (argc, argv, "", long_options, NULL)) != -1) {
-		if (!take_option (options, option))
+		if (!parse_option (options, option))
 			return false;
 	}
 	return options->bare.pid > 0 && options->product.pid > 0 && options->path != NULL &&
--- a/bench/peers.c
+++ b/bench/peers.c
@@ -1,13 +1,13 @@
-/* Traffic of membership and the pool file against the number of processes, and how long a death and
- * a pool file take to be known everywhere. Peers of all processes run in this one over a network in
- * memory under a virtual clock, so the figures are counts and the same in every run. Writes CSV. */
+/* Traffic of membership and the pool file against the number of processes, and the time until all
+ * processes have detected a death or received a pool file. All peers run in this process over an
+ * in-memory network under a virtual clock, so the figures are the same in every run. Writes CSV. */
 
 #include <stdio.h>
 
 #include "bench/peer_traffic.h"
 
 #define MEASURE_S 60
-/** One each 28 s or less, as at the size to design for. */
+/** Changes per measurement: at least one every 28 s, as at the design size. */
 #define N_CHANGES 3
 #define N_DEATHS 10
 #define TICK_MS 50
@@ -23,7 +23,7 @@
 }
 
 static bool
-everybody_knows_death (struct fake_network *network, int32_t dead)
+all_peers_detected_death (struct fake_network *network, int32_t dead)
 {
 	for (int32_t i = 0; i < network->n_nodes; i++) {
 		struct fake_node *node = &network->nodes[i];
@@ -36,7 +36,7 @@
 }
 
 static bool
-everybody_has (const struct fake_network *network, int64_t generation)
+all_peers_have (const struct fake_network *network, int64_t generation)
 {
 	for (int32_t i = 0; i < network->n_nodes; i++) {
 		if (network->nodes[i].peer != NULL && network->nodes[i].generation != generation)
@@ -45,7 +45,7 @@
 	return true;
 }
 
-/* Worst of several deaths and pool files, in ms of virtual time. */
+/* Measures the longest time over several deaths and pool files, ms of virtual time. */
 static void
 measure_times (int32_t n_nodes, int32_t loss)
 {
@@ -57,12 +57,12 @@
 	for (int32_t i = 1; i <= n_deaths; i++) {
 		int64_t from_ms = network->clock.now_ms;
 		fake_node_apply (&network->nodes[i], i);
-		while (!everybody_has (network, i))
+		while (!all_peers_have (network, i))
 			fake_network_run (network, TICK_MS);
 		worst_pool_ms = MAX (worst_pool_ms, network->clock.now_ms - from_ms);
 		from_ms = network->clock.now_ms;
 		fake_node_kill (&network->nodes[i]);
-		while (!everybody_knows_death (network, i))
+		while (!all_peers_detected_death (network, i))
 			fake_network_run (network, TICK_MS);
 		worst_death_ms = MAX (worst_death_ms, network->clock.now_ms - from_ms);
 	}
--- a/bench/slopes/watching.c
+++ b/bench/slopes/watching.c
@@ -13,8 +13,8 @@
 #include "upstream/worker_wire.h"
 
 /* Watching workers: messages, bytes and processor time against the number of workers, over HTTP and
- * a counting relay; sizes of the messages in which changes travel. One stand-in worker answers for
- * all, and its time and the relay's count as the watcher's: an upper bound. */
+ * a counting relay; sizes of the messages that carry changes. One stand-in worker answers for all.
+ * Its processor time and the relay's are included, so that the figures are upper bounds. */
 
 #define SETTLE_MS 1500
 #define MEASURE_MS 3750
@@ -38,7 +38,7 @@
 };
 
 static void
-ignore_sighting (void *ctx, const struct dff_worker_report *sighting)
+ignore_worker_report (void *ctx, const struct dff_worker_report *sighting)
 {
 	(void)ctx;
 	(void)sighting;
@@ -97,7 +97,7 @@
 	options.clock = dff_clock_system ();
 	options.metrics = watch->metrics;
 	options.seed = 1;
-	options.report = ignore_sighting;
+	options.report = ignore_worker_report;
 	watch->watcher = dff_watcher_new (&options);
 }
 
@@ -188,7 +188,7 @@
 	slopes_add (slopes, &axes->cpu, n, spent_us / (MEASURE_MS * 1e3) * 100);
 }
 
-/** Tasks that completed, with everything a report can say. */
+/** Returns: @n reports of completed tasks with every field set. */
 static GArray *
 reports_new (int n)
 {
--- a/tests/backing/test-instance-watch.c
+++ b/tests/backing/test-instance-watch.c
@@ -13,7 +13,7 @@
 struct fixture {
 	struct memory_fixture site;
 	struct dff_instance_watch *watch;
-	int n_told;
+	int n_changes;
 	size_t n_instances;
 	bool leaving;
 };
@@ -22,7 +22,7 @@
 handle_changed (void *ctx, const struct dff_instance *instances, size_t n_instances)
 {
 	struct fixture *fixture = ctx;
-	fixture->n_told++;
+	fixture->n_changes++;
 	fixture->n_instances = n_instances;
 	fixture->leaving = n_instances > 0 && instances[0].leaving;
 }
@@ -73,21 +73,21 @@
 }
 
 static void
-test_announces_itself_and_tells_changes_only (void **state)
+test_announces_itself_and_reports_changes_only (void **state)
 {
 	struct fixture *fixture = *state;
 	run_for (fixture, 10 * POLL_MS);
 	assert_int_equal (fixture->n_instances, 1);
-	int told = fixture->n_told;
+	int n_before = fixture->n_changes;
 	run_for (fixture, 10 * POLL_MS);
-	assert_int_equal (fixture->n_told, told);
+	assert_int_equal (fixture->n_changes, n_before);
 	dff_instance_watch_set_leaving (fixture->watch);
 	run_for (fixture, 2 * POLL_MS);
 	assert_true (fixture->leaving);
 }
 
-/* Symptom: every worker counts as gone. Sequence: the instance list has an outage. Cause: a list
- * that could not be read was taken for an empty one. */
+/* Guards against treating a list that could not be read as an empty list: in an outage of the
+ * instance list every worker would count as gone. */
 static void
 test_keeps_the_last_list_through_an_outage (void **state)
 {
@@ -96,18 +96,18 @@
 	dff_memory_announce (fixture->site.memory, &worker, 0);
 	run_for (fixture, 3 * POLL_MS);
 	assert_int_equal (fixture->n_instances, 2);
-	int told = fixture->n_told;
+	int n_before = fixture->n_changes;
 	fixture->site.caller->faults.outage_until_ms = fixture->site.time.now_ms + 60000;
 	run_for (fixture, 60000);
-	assert_int_equal (fixture->n_told, told);
+	assert_int_equal (fixture->n_changes, n_before);
 	run_for (fixture, 3 * POLL_MS);
 	assert_int_equal (fixture->n_instances, 2);
 }
 
-/* Symptom: a process sees no change for ever. Sequence: a poll is never answered. Cause: the next
- * poll waited for it. */
+/* Guards against waiting without limit for a poll that is never answered: the process would not
+ * receive any further change. */
 static void
-test_goes_on_after_a_poll_without_answer (void **state)
+test_polls_again_after_a_poll_timed_out (void **state)
 {
 	struct fixture *fixture = *state;
 	run_for (fixture, 2 * POLL_MS);
@@ -119,7 +119,7 @@
 	assert_int_equal (fixture->n_instances, 2);
 }
 
-/* A list that keeps its answer back. */
+/* An instance list that does not answer polls. */
 struct silent_list {
 	dff_instance_list_func done;
 	void *user;
@@ -131,7 +131,7 @@
 };
 
 static void
-keep_answer (void *ctx, dff_instance_list_func done, void *user)
+withhold_answer (void *ctx, dff_instance_list_func done, void *user)
 {
 	struct silent_list *silent = ctx;
 	silent->done = done;
@@ -152,17 +152,16 @@
 	silent->n_announced++;
 }
 
-/* Symptom: a live process drops out of the instance list, and its peers refuse its key. Sequence: a
- * poll of the list is never answered. Cause: it was announced only together with the next poll,
- * later than its time to live. */
+/* Guards against announcing only together with the next poll: when a poll is never answered, the
+ * announcement expires, the live process drops out of the list, and its peers refuse its key. */
 static void
-test_announces_while_a_poll_is_open (void **state)
+test_announces_while_a_poll_is_pending (void **state)
 {
 	(void)state;
 	struct dff_clock_virtual time;
 	dff_clock_virtual_init (&time, 1000);
 	struct silent_list silent = {.clock = &time.clock};
-	struct dff_instance_list list = {keep_answer, count_announcement, &silent};
+	struct dff_instance_list list = {withhold_answer, count_announcement, &silent};
 	DFF_AUTO (dff_metrics) metrics = dff_metrics_new ();
 	struct dff_instance_watch_options options = {
 		.list = &list,
@@ -176,7 +175,7 @@
 	struct dff_instance_watch *watch = dff_instance_watch_new (&options);
 	for (; time.now_ms < 1000 + 9 * POLL_MS; time.now_ms += 50)
 		dff_instance_watch_tick (watch);
-	/* Three within the 5 s that one lasts, so that one may be lost; at steps of 50 ms. */
+	/* Three per time to live of 5 s, so that one may be lost; the clock steps by 50 ms. */
 	assert_int_equal (silent.n_announced, 6);
 	assert_int_equal (silent.longest_gap_ms, 1700);
 	dff_instance_watch_free (watch);
@@ -188,12 +187,12 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_announces_while_a_poll_is_open),
-		cmocka_unit_test_setup_teardown (test_announces_itself_and_tells_changes_only,
+		cmocka_unit_test (test_announces_while_a_poll_is_pending),
+		cmocka_unit_test_setup_teardown (test_announces_itself_and_reports_changes_only,
 						 set_up, tear_down),
 		cmocka_unit_test_setup_teardown (test_keeps_the_last_list_through_an_outage, set_up,
 						 tear_down),
-		cmocka_unit_test_setup_teardown (test_goes_on_after_a_poll_without_answer, set_up,
+		cmocka_unit_test_setup_teardown (test_polls_again_after_a_poll_timed_out, set_up,
 						 tear_down),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
