--- a/bench/backfill.c
+++ b/bench/backfill.c
@@ -1,13 +1,13 @@
 #include "bench/baseline.h"
 
-/* EASY backfill: the head of the queue gets one reservation at the earliest time that it can start
- * by the declared times of what runs. A job behind it may start when it is declared to end by then,
- * or when it leaves the reserved room alone. */
+/* EASY backfill: the head of the queue gets a reservation at the earliest time at which it can
+ * start by the declared run times of the running jobs. A later job may start when its declared end
+ * is not after that time, or when it uses no reserved capacity. */
 
 struct reservation {
-	/** When the head is expected to start; INT64_MAX: not foreseeable, workers are down. */
+	/** Expected start of the head, ms; INT64_MAX: unknown, as workers are down. */
 	int64_t start_ms;
-	/** Room at that time, once the head has started. Elements: struct dff_resources. */
+	/** Capacity left at start_ms, the head started. Elements: struct dff_resources. */
 	GArray *left;
 };
 
@@ -21,9 +21,9 @@
 	return one->sequence < other->sequence ? -1 : 1;
 }
 
-/* Jobs that hold room, in the order in which they are declared to end. */
+/* Returns: jobs that hold leases, by expected end. */
 static GPtrArray *
-holders (struct dff_baseline *baseline, int64_t now_ms)
+jobs_by_expected_end (struct dff_baseline *baseline, int64_t now_ms)
 {
 	GPtrArray *sorted = g_ptr_array_new ();
 	GHashTableIter iter;
@@ -42,11 +42,12 @@
 }
 
 static void
-release_holder (GArray *room, const struct dff_baseline_job *job)
+release_job (GArray *available, const struct dff_baseline_job *job)
 {
 	for (int32_t i = 0; i < job->spec.gang; i++) {
 		if (job->members[i].open)
-			dff_room_add (room, job->members[i].worker, &job->spec.per_task, 1);
+			dff_capacity_add (available, job->members[i].worker, &job->spec.per_task,
+					  1);
 	}
 }
 
@@ -56,11 +57,11 @@
 	    struct reservation *reservation)
 {
 	int32_t workers[DFF_JOB_GANG_MAX];
-	struct dff_cluster_view view = {.room = reservation->left};
+	struct dff_cluster_view view = {.available = reservation->left};
 	if (!dff_cluster_place (&baseline->cluster, &view, &head->spec, workers))
 		return false;
 	for (int32_t i = 0; i < head->spec.gang; i++)
-		dff_room_add (reservation->left, workers[i], &head->spec.per_task, -1);
+		dff_capacity_add (reservation->left, workers[i], &head->spec.per_task, -1);
 	return true;
 }
 
@@ -69,20 +70,20 @@
 {
 	struct reservation reservation = {
 		.start_ms = INT64_MAX,
-		.left = g_array_copy (baseline->cluster.room),
+		.left = g_array_copy (baseline->cluster.available),
 	};
-	g_autoptr (GPtrArray) sorted = holders (baseline, now_ms);
+	g_autoptr (GPtrArray) sorted = jobs_by_expected_end (baseline, now_ms);
 	for (guint i = 0; i < sorted->len; i++) {
 		const struct dff_baseline_job *job = g_ptr_array_index (sorted, i);
-		release_holder (reservation.left, job);
-		/* Jobs that end together are released together. */
+		release_job (reservation.left, job);
+		/* Jobs with the same expected end are released together. */
 		const struct dff_baseline_job *next =
 			i + 1 < sorted->len ? g_ptr_array_index (sorted, i + 1) : NULL;
 		if (next != NULL && next->expected_end_ms == job->expected_end_ms)
 			continue;
 		if (!reserve_on (baseline, head, &reservation))
 			continue;
-		/* A job that outlived its declared time is expected to end at once. */
+		/* A job that has exceeded its declared time is expected to end now. */
 		reservation.start_ms = MAX (job->expected_end_ms, now_ms);
 		return reservation;
 	}
@@ -93,7 +94,7 @@
 start_before_reservation (struct dff_baseline *baseline, struct dff_baseline_job *job)
 {
 	int32_t workers[DFF_JOB_GANG_MAX];
-	struct dff_cluster_view view = {.room = baseline->cluster.room};
+	struct dff_cluster_view view = {.available = baseline->cluster.available};
 	if (dff_cluster_place (&baseline->cluster, &view, &job->spec, workers))
 		dff_baseline_start (baseline, job, workers);
 	else
@@ -106,7 +107,8 @@
 			  const struct reservation *reservation)
 {
 	int32_t workers[DFF_JOB_GANG_MAX];
-	struct dff_cluster_view view = {.room = baseline->cluster.room, .limit = reservation->left};
+	struct dff_cluster_view view = {.available = baseline->cluster.available,
+					.limit = reservation->left};
 	struct dff_baseline_class *queue = job->queue;
 	if (queue->limited)
 		return;
@@ -115,7 +117,7 @@
 		return;
 	}
 	for (int32_t i = 0; i < job->spec.gang; i++)
-		dff_room_add (reservation->left, workers[i], &job->spec.per_task, -1);
+		dff_capacity_add (reservation->left, workers[i], &job->spec.per_task, -1);
 	dff_baseline_start (baseline, job, workers);
 }
 
@@ -146,7 +148,7 @@
 void
 dff_backfill_schedule (struct dff_baseline *baseline, int64_t now_ms)
 {
-	struct dff_cluster_view view = {.room = baseline->cluster.room};
+	struct dff_cluster_view view = {.available = baseline->cluster.available};
 	int32_t workers[DFF_JOB_GANG_MAX];
 	struct dff_baseline_job *job;
 	dff_baseline_pass_begin (baseline);
--- a/bench/load/load.c
+++ b/bench/load/load.c
@@ -8,23 +8,23 @@
 
 /** Step of the clock, ms. */
 #define STEP_MS 5
-/** From a decision to its record, and from a start to the worker's word, ms. */
+/** Time from a decision to its record, and from a start to the worker's confirmation, ms. */
 #define RECORD_MS 10
 #define START_MS 5
-/** From a stop until the worker lists the end, ms; how long after a member's end the others of its
- * gang are known to be over. */
+/** Time from a stop until the worker reports the end, and time after a member's end until the ends
+ * of the other members of its gang are reported, ms. */
 #define STOP_MS 300
 #define BREAK_MS 180
-/** How much longer a gang that is bound to a rack takes on several. */
-#define FAR_TIMES 3
-/** Time that a run which goes on from what was saved needs first, ms. */
+/** Slowdown of a gang that needs one rack and is placed on several. */
+#define CROSS_RACK_FACTOR 3
+/** Time to restore a checkpoint before a run resumes, ms. */
 #define RESTORE_MS 600
 /** Time between two reports of a run's progress, ms. */
 #define REPORT_MS 1000
-/** A job that begins so soon waits for nobody, ms. */
+/** A job that starts within this time counts as started at once, ms. */
 #define AT_ONCE_MS 100
 
-/** A unit of a job, as the core knows it: a gang, or one task. */
+/** A unit of a job in the core: a gang, or one task. */
 struct unit {
 	struct dff_name name;
 	const struct load_job *job;
@@ -33,12 +33,12 @@
 	int32_t width;
 	int32_t n_runs;
 	int64_t begun_ms;
-	/** Work that is saved, ms of run time. */
+	/** Work saved by checkpoints, ms of run time. */
 	int64_t saved_ms;
 	int32_t n_started;
-	/** How much longer than the job's run time the attempt takes where it is. */
-	double times;
-	bool far;
+	/** Run time of the attempt on its workers over the job's run time. */
+	double slowdown;
+	bool across_racks;
 	bool running;
 	bool stopping;
 };
@@ -52,7 +52,7 @@
 	int64_t failed_ms;
 };
 
-/** Something that a worker or the store will say. */
+/** A future event from a worker or the store. */
 struct message {
 	int64_t at_ms;
 	enum dff_event_type type;
@@ -65,7 +65,7 @@
 	const struct dff_load *load;
 	struct dff_core *core;
 	struct dff_load_figures *figures;
-	/** Elements: struct entry; one a job that arrives. */
+	/** Elements: struct entry, one per job. */
 	GArray *entries;
 	/** struct dff_name * (in the unit) to struct unit. */
 	GHashTable *units;
@@ -116,7 +116,7 @@
 }
 
 static void
-tell (struct play *play, const struct message *message, int32_t percent)
+report_event (struct play *play, const struct message *message, int32_t percent)
 {
 	struct dff_event event = {.type = message->type,
 				  .job = message->unit->name,
@@ -127,14 +127,15 @@
 	dff_core_handle_event (play->core, &event, play->now_ms);
 }
 
-/* Run time of the attempt in progress from its begin to its end. */
+/* Returns: run time of the current attempt, from start to end. */
 static int64_t
 attempt_ms (const struct unit *unit)
 {
 	int64_t left_ms = unit->job->run_ms - unit->saved_ms;
 	if (unit->saved_ms > 0)
 		left_ms += RESTORE_MS;
-	return (int64_t)((double)left_ms * unit->times) * (unit->far ? FAR_TIMES : 1);
+	return (int64_t)((double)left_ms * unit->slowdown) *
+	       (unit->across_racks ? CROSS_RACK_FACTOR : 1);
 }
 
 static void
@@ -168,7 +169,7 @@
 static void
 handle_started (struct play *play, const struct message *message)
 {
-	tell (play, message, 0);
+	report_event (play, message, 0);
 	if (++message->unit->n_started == message->unit->width && !message->unit->stopping)
 		begin_run (play, message->unit);
 }
@@ -180,7 +181,7 @@
 	if (!unit->running || unit->stopping)
 		return;
 	unit->entry->failed_ms += play->now_ms - unit->begun_ms;
-	tell (play, message, 0);
+	report_event (play, message, 0);
 }
 
 static void
@@ -190,7 +191,7 @@
 	if (!unit->running || unit->stopping)
 		return;
 	play->figures->done_core_s += core_s (play, unit, play->now_ms - unit->begun_ms);
-	tell (play, message, 0);
+	report_event (play, message, 0);
 }
 
 static void
@@ -200,7 +201,7 @@
 	if (!unit->running || unit->stopping)
 		return;
 	int64_t ran_ms = play->now_ms - unit->begun_ms;
-	tell (play, message, (int32_t)(ran_ms * 100 / MAX (attempt_ms (unit), 1)));
+	report_event (play, message, (int32_t)(ran_ms * 100 / MAX (attempt_ms (unit), 1)));
 	send (play, message->unit, DFF_EVENT_TASK_PROGRESS, 0, REPORT_MS);
 }
 
@@ -223,7 +224,7 @@
 		handle_progress (play, message);
 		return;
 	default:
-		tell (play, message, 0);
+		report_event (play, message, 0);
 		return;
 	}
 }
@@ -235,7 +236,7 @@
 }
 
 static bool
-is_far (const struct unit *unit, const GArray *placements, int32_t per_rack)
+is_across_racks (const struct unit *unit, const GArray *placements, int32_t per_rack)
 {
 	int first = 0;
 	if (!unit->job->one_rack)
@@ -251,8 +252,8 @@
 	return false;
 }
 
-/* A gang takes as long as its slowest member. What a worker's speed is and how much a task has to
- * do are the same each time. */
+/* Returns: the slowdown of the slowest member, which determines the gang's run time. The speed of a
+ * worker and the work of a task are the same in every attempt. */
 static double
 slowest_member (const struct play *play, const struct unit *unit, const GArray *placements)
 {
@@ -268,7 +269,7 @@
 	return longest;
 }
 
-/* A run that is stopped saves first where its tasks save. */
+/* A stopped run first writes a checkpoint if its job has them; otherwise its work is lost. */
 static void
 stop_run (struct play *play, struct unit *unit, const char *reason)
 {
@@ -279,11 +280,12 @@
 		return;
 	int64_t ran_ms = play->now_ms - unit->begun_ms;
 	outcome_of (play, unit->job)->n_stopped++;
-	int64_t done_ms = (int64_t)((double)ran_ms / unit->times) / (unit->far ? FAR_TIMES : 1);
+	int64_t done_ms = (int64_t)((double)ran_ms / unit->slowdown) /
+			  (unit->across_racks ? CROSS_RACK_FACTOR : 1);
 	if (unit->job->checkpoint)
 		unit->saved_ms += done_ms;
 	else
-		play->figures->thrown_core_s += core_s (play, unit, ran_ms);
+		play->figures->wasted_core_s += core_s (play, unit, ran_ms);
 }
 
 static void
@@ -313,8 +315,9 @@
 	case DFF_COMMAND_RECORD_START:
 		unit->attempt = command->attempt;
 		unit->n_runs++;
-		unit->far = is_far (unit, command->placements, play->load->per_rack);
-		unit->times = slowest_member (play, unit, command->placements);
+		unit->across_racks =
+			is_across_racks (unit, command->placements, play->load->per_rack);
+		unit->slowdown = slowest_member (play, unit, command->placements);
 		end_run (unit);
 		send (play, unit, DFF_EVENT_ATTEMPT_RECORDED, 0, RECORD_MS);
 		return;
--- a/bench/runner_tasks.c
+++ b/bench/runner_tasks.c
@@ -1,7 +1,7 @@
 #include "bench/runner.h"
 #include "bench/runner_private.h"
 
-/* The runner's side of the commands: tasks that start, run, save their work and stop. */
+/* Execution of commands: tasks start, run, write checkpoints and stop. */
 
 void
 dff_runner_job_break (struct dff_job_run *job, int64_t now_ms)
@@ -73,7 +73,7 @@
 	g_hash_table_add (runner->active, GUINT_TO_POINTER (index));
 }
 
-/* What the attempt did beyond what is saved is lost, unless the caller wanted it gone. */
+/* Counts the work of the attempt since its last checkpoint as lost; not for cancelled jobs. */
 static void
 count_lost_work (struct dff_runner *runner, const struct dff_job_run *job, int64_t now_ms)
 {
@@ -108,7 +108,7 @@
 command_start (struct dff_runner *runner, uint32_t index, int32_t member_index, int64_t now_ms)
 {
 	struct dff_member_run *member = &dff_runner_job_at (runner, index)->members[member_index];
-	/* A worker that is gone cannot prove that the start did not arrive. */
+	/* A dead worker cannot prove that the start did not arrive. */
 	if (!dff_runner_worker_at (runner, member->worker)->alive) {
 		member->state = DFF_MEMBER_RUN_DEAD;
 		dff_runner_job_break (dff_runner_job_at (runner, index), now_ms);
@@ -193,11 +193,11 @@
 }
 
 static void
-tell (struct dff_runner *runner,
-      const struct dff_answer *answer,
-      enum dff_event_type type,
-      int32_t member,
-      bool ran)
+send_event (struct dff_runner *runner,
+	    const struct dff_answer *answer,
+	    enum dff_event_type type,
+	    int32_t member,
+	    bool ran)
 {
 	struct dff_event event = {
 		.type = type,
@@ -223,7 +223,7 @@
 	member->state = DFF_MEMBER_RUN_ENDED;
 	dff_runner_job_break (job, answer->time_ms);
 	member_release_lease (runner, member);
-	tell (runner, answer, type, answer->member, ran);
+	send_event (runner, answer, type, answer->member, ran);
 }
 
 static void
@@ -236,7 +236,7 @@
 	member->state = DFF_MEMBER_RUN_HELD;
 	if (job->spec.gang == 1)
 		member_run (runner, answer->job, answer->member, answer->time_ms);
-	tell (runner, answer, DFF_EVENT_TASK_STARTED, answer->member, false);
+	send_event (runner, answer, DFF_EVENT_TASK_STARTED, answer->member, false);
 }
 
 static void
@@ -248,10 +248,10 @@
 		return;
 	member->checkpointed = true;
 	job->n_checkpointed++;
-	/* A gang resumes from a checkpoint that all its members wrote. */
+	/* A gang resumes only from a checkpoint that all its members have written. */
 	if (job->n_checkpointed == job->spec.gang && job->broken_ms < 0)
 		job->saved_ms = job_progress_ms (job, answer->time_ms);
-	tell (runner, answer, DFF_EVENT_TASK_CHECKPOINTED, answer->member, true);
+	send_event (runner, answer, DFF_EVENT_TASK_CHECKPOINTED, answer->member, true);
 }
 
 static void
@@ -263,7 +263,7 @@
 	for (int32_t i = 0; i < job->spec.gang; i++) {
 		job->members[i].state = DFF_MEMBER_RUN_ENDED;
 		member_release_lease (runner, &job->members[i]);
-		tell (runner, answer, DFF_EVENT_TASK_COMPLETED, i, true);
+		send_event (runner, answer, DFF_EVENT_TASK_COMPLETED, i, true);
 	}
 }
 
@@ -276,7 +276,7 @@
 	job->ended_ms = answer->time_ms;
 	runner->n_open--;
 	dff_claims_ended (runner->claims, answer->job, answer->time_ms);
-	tell (runner, answer, DFF_EVENT_OUTCOME_RECORDED, 0, false);
+	send_event (runner, answer, DFF_EVENT_OUTCOME_RECORDED, 0, false);
 }
 
 static void
@@ -314,11 +314,11 @@
 		answer_outcome_recorded (runner, &answer);
 		return;
 	}
-	/* The attempt that it is about may be over. */
+	/* The attempt of the answer may have ended. */
 	if (job->members == NULL || job->attempt != answer.attempt)
 		return;
 	if (answer.type == DFF_ANSWER_RECORDED)
-		tell (runner, &answer, DFF_EVENT_ATTEMPT_RECORDED, 0, false);
+		send_event (runner, &answer, DFF_EVENT_ATTEMPT_RECORDED, 0, false);
 	else
 		answer_member (runner, &answer);
 }
--- a/bench/slopes/site.c
+++ b/bench/slopes/site.c
@@ -16,7 +16,7 @@
 #define READY_STEP_MS 50
 #define CALL_TIMEOUT_MS 10000
 #define TOKEN_DIGEST_LEN 64
-/** Far below what is measured here. */
+/** Limit that is high enough not to affect the measurements. */
 #define UNBOUNDED "20000"
 
 struct site_daemon {
@@ -55,7 +55,7 @@
 GString *
 site_pool_text (const struct site *site)
 {
-	int workers = site->options.workers + site->options.far_workers;
+	int workers = site->options.workers + site->options.remote_workers;
 	struct core_load_size size = {MAX (workers, 1), site->options.teams, 1};
 	return core_load_pool_text (&size);
 }
@@ -126,7 +126,7 @@
 list_workers (struct site *site, const struct dff_pool *pool)
 {
 	int n = 0;
-	int n_workers = site->options.workers + site->options.far_workers;
+	int n_workers = site->options.workers + site->options.remote_workers;
 	for (guint i = 0; i < pool->racks->len; i++) {
 		const struct dff_rack *rack = &g_array_index (pool->racks, struct dff_rack, i);
 		for (guint j = 0; j < rack->workers->len && n < n_workers; j++, n++) {
@@ -157,8 +157,8 @@
 	return settings;
 }
 
-/* The port is chosen while it starts, and others are to find it in the instance list only for
- * peers: callers get the port from here. */
+/* The daemon chooses its port at its start. The instance list gives the address to peers only;
+ * callers use daemon->address. */
 static void
 start_daemon (struct site *site, int index)
 {
--- a/cell/lease.c
+++ b/cell/lease.c
@@ -6,9 +6,9 @@
 #include "cell/lease_rows.h"
 #include "common/log.h"
 
-/** Extra wait of a candidate for each better ranked one, ms. */
+/** Extra delay of a candidate for each candidate of a better rank, ms. */
 #define RANK_STEP_MS 100
-/** Least wait before a refused or unanswered call is made again, ms. */
+/** Shortest delay before a refused or unanswered call is repeated, ms. */
 #define RETRY_MIN_MS 50
 
 enum lease_phase {
@@ -30,16 +30,16 @@
 	DFF_CALL_LOOKUP,
 };
 
-/** An outstanding call to the table. One that got no answer in time is abandoned, not cancelled:
- * its callback may still come and is then ignored. */
+/** An outstanding call to the table. A call without an answer in time is abandoned, not cancelled:
+ * its callback may still arrive, and is ignored unless it resolves the last commit. */
 struct lease_call {
 	struct dff_lease *lease;
 	enum call_kind kind;
-	/** Commits: which one. */
+	/** Number of the last commit when the call was made. */
 	uint64_t n_commit;
 };
 
-/** The commit that was sent last; unresolved until its effect is known. */
+/** The last commit that was sent; unresolved until its effect is known. */
 struct lease_commit {
 	enum lease_purpose purpose;
 	struct dff_name write_id;
@@ -58,16 +58,16 @@
 	struct dff_lease_rows rows;
 	struct lease_commit commit;
 	uint64_t n_commits;
-	/** When the write that the lease rests on was sent. */
+	/** When the write that the lease is based on was sent, ms. */
 	int64_t held_from_ms;
-	/** Revision of the lease row that this object wrote last. */
+	/** Revision of the lease row that this object wrote last; 0: none. */
 	int64_t own_revision;
 	struct lease_call *call;
 	int64_t call_sent_ms;
 	int64_t next_ms;
-	/** The lease is not taken before. */
-	int64_t hold_off_ms;
-	/** Elements: struct lease_call, unanswered and given up. */
+	/** Earliest time at which the lease may be taken after a failed commit. */
+	int64_t take_after_ms;
+	/** Unanswered calls that were abandoned. Elements: struct lease_call. */
 	GHashTable *abandoned;
 	int64_t *takeovers;
 	int64_t *lapses;
@@ -81,7 +81,7 @@
 	return dff_clock_now_ms (lease->options.clock);
 }
 
-/* All processes start and fail together; without jitter their reads would arrive together too. */
+/* All processes start and fail together; without jitter their reads would also arrive together. */
 static int64_t
 jittered (struct dff_lease *lease, int64_t interval_ms)
 {
@@ -90,7 +90,7 @@
 }
 
 static void
-wait_ms (struct dff_lease *lease, int64_t interval_ms)
+schedule_next (struct dff_lease *lease, int64_t interval_ms)
 {
 	lease->next_ms = now_ms (lease) + jittered (lease, interval_ms);
 }
@@ -182,7 +182,7 @@
 }
 
 static void
-watch_again (struct dff_lease *lease)
+return_to_watching (struct dff_lease *lease)
 {
 	lease->phase = DFF_LEASE_WATCHING;
 	lease->rows.known = false;
@@ -197,7 +197,7 @@
 	dff_log (DFF_LOG_CELL, DFF_LOG_WARNING, "Lease lost. region=%s epoch=%" PRId64,
 		 lease->options.region.data, lease->rows.epoch);
 	*lease->lapses += 1;
-	watch_again (lease);
+	return_to_watching (lease);
 }
 
 void
@@ -225,13 +225,13 @@
 	lease->call_sent_ms = now_ms (lease);
 }
 
-/** Takes a call out of the books. Returns: whether its answer is still wanted. */
+/** Ends a call. Returns: whether its answer is still to be handled. */
 static bool
 end_call (struct lease_call *call)
 {
 	struct dff_lease *lease = call->lease;
-	/* A slow store answers a commit after it was given up; the answer resolves it all the same,
-	 * or no renewal would ever count while answers take longer than the interval. */
+	/* A slow store answers a commit after the call was abandoned; the answer still resolves it,
+	 * or no renewal would count while answers take longer than the interval. */
 	bool resolves = call->kind == DFF_CALL_COMMIT && call->n_commit == lease->n_commits;
 	if (lease->call != call) {
 		g_hash_table_remove (lease->abandoned, call);
@@ -251,9 +251,9 @@
 		return;
 	if (result->outcome != DFF_TABLE_OK)
 		return;
-	dff_lease_rows_take (&lease->rows, dff_table_find_row (result, borrow (lease->lease_key)),
-			     dff_table_find_row (result, borrow (lease->epoch_key)),
-			     now_ms (lease));
+	dff_lease_rows_apply (&lease->rows, dff_table_find_row (result, borrow (lease->lease_key)),
+			      dff_table_find_row (result, borrow (lease->epoch_key)),
+			      now_ms (lease));
 	if (lease->rows.malformed)
 		dff_log (DFF_LOG_CELL, DFF_LOG_ERROR, "Epoch row is malformed. region=%s",
 			 lease->options.region.data);
@@ -263,14 +263,14 @@
 read_rows (struct dff_lease *lease)
 {
 	const struct dff_str keys[] = {borrow (lease->lease_key), borrow (lease->epoch_key)};
-	wait_ms (lease, lease->options.renew_ms);
+	schedule_next (lease, lease->options.renew_ms);
 	begin_call (lease, DFF_CALL_READ);
 	const struct dff_table *table = lease->options.table;
 	table->get (table->ctx, keys, G_N_ELEMENTS (keys), on_read, lease->call);
 }
 
 static void
-hold (struct dff_lease *lease, bool taken)
+enter_held (struct dff_lease *lease, bool taken)
 {
 	lease->phase = DFF_LEASE_HELD;
 	lease->held_from_ms = lease->commit.sent_ms;
@@ -299,9 +299,9 @@
 		lease->rows.epoch += 1;
 		lease->rows.epoch_revision = revision;
 	}
-	/* An answer that comes after the lease was given up does not bring it back. */
+	/* An answer that arrives after the lease was lost or released does not restore it. */
 	if (lease->phase == (taken ? DFF_LEASE_WATCHING : DFF_LEASE_HELD))
-		hold (lease, taken);
+		enter_held (lease, taken);
 }
 
 static void
@@ -313,7 +313,7 @@
 	else if (lease->commit.purpose == DFF_LEASE_RENEW)
 		dff_lease_mark_fenced (lease);
 	else if (lease->phase == DFF_LEASE_WATCHING)
-		watch_again (lease);
+		return_to_watching (lease);
 }
 
 static void
@@ -332,8 +332,8 @@
 		break;
 	case DFF_TABLE_UNAVAILABLE:
 		lease->commit.unresolved = false;
-		wait_ms (lease, MAX (lease->options.renew_ms / 4, RETRY_MIN_MS));
-		lease->hold_off_ms = lease->next_ms;
+		schedule_next (lease, MAX (lease->options.renew_ms / 4, RETRY_MIN_MS));
+		lease->take_after_ms = lease->next_ms;
 		break;
 	case DFF_TABLE_UNCERTAIN:
 		*lease->lost_answers += 1;
@@ -355,7 +355,7 @@
 		lease->commit.unresolved = false;
 		lease->next_ms = 0;
 	} else {
-		wait_ms (lease, MAX (lease->options.renew_ms / 4, RETRY_MIN_MS));
+		schedule_next (lease, MAX (lease->options.renew_ms / 4, RETRY_MIN_MS));
 	}
 }
 
@@ -409,8 +409,9 @@
 
 /**
  * Whether the lease may be taken. No clock is compared with another's: the row must have stood
- * unchanged for a whole lease on this clock since it was first seen here, which is later than its
- * holder sent it. A row that this very object wrote needs no wait: it has itself given it up.
+ * unchanged for a whole lease on this clock since it was first read here, which is later than its
+ * holder sent it. A row that this object wrote needs no wait: this process no longer holds the
+ * lease.
  */
 static bool
 may_take (const struct dff_lease *lease)
@@ -418,16 +419,16 @@
 	const struct dff_lease_rows *rows = &lease->rows;
 	if (!lease->candidate || !rows->known || rows->malformed)
 		return false;
-	if (now_ms (lease) < lease->hold_off_ms)
+	if (now_ms (lease) < lease->take_after_ms)
 		return false;
 	bool own = rows->lease_revision != 0 && rows->lease_revision == lease->own_revision;
 	int64_t wait = own ? 0 : (int64_t)lease->rank * RANK_STEP_MS;
 	if (!rows->is_free && !own)
 		wait += lease->options.lease_ms;
-	return now_ms (lease) >= rows->seen_ms + wait;
+	return now_ms (lease) >= rows->first_seen_ms + wait;
 }
 
-/** A call unanswered this long is given up. */
+/** Abandons a call that has no answer after one renewal interval. */
 static void
 time_out_call (struct dff_lease *lease)
 {
--- a/cell/retention_attempts.c
+++ b/cell/retention_attempts.c
@@ -4,23 +4,23 @@
 #include <string.h>
 
 /*
- * Deletion of the records of requests that are not idempotent. They belong to no region and any
- * process may have written them, so that the holder of the first region sweeps them for all. For a
- * moment two holders may think that they are the first: each deletion is conditional on the row.
+ * Deletes the records of requests that are not idempotent. They belong to no region, and any
+ * process may have written them, so the holder of the first region sweeps them for all. For a
+ * moment two holders may both assume to be the first: each deletion is conditional on the row.
  */
 
 #define PREFIX "attempt/"
-/** Wait between two sweeps, and between two steps of one, ms. */
+/** Delay between two sweeps, and between two steps of one sweep, ms. */
 #define SWEEP_INTERVAL_MS 600000
 #define STEP_INTERVAL_MS 2000
 /** Rows deleted at once. */
 #define DELETE_UNITS 30
-#define DELETE_GIVE_UP_MS 5000
-/** Rows in a row that are too young before a sweep stops. */
-#define YOUNG_MAX 64
+#define DELETE_TIMEOUT_MS 5000
+/** Number of successive rows that are too recent after which a sweep stops. */
+#define RECENT_MAX 64
 /** Rows read at once: a sweep that finds nothing reads one page, and stays within the bytes that a
- * process may spend on control. */
-#define PAGE_ROWS YOUNG_MAX
+ * process may spend on control traffic. */
+#define PAGE_ROWS RECENT_MAX
 
 struct expired {
 	struct dff_name hash;
@@ -28,27 +28,27 @@
 };
 
 void
-dff_cell_attempts_init (struct dff_cell *cell)
+dff_cell_attempt_retention_init (struct dff_cell *cell)
 {
 	cell->attempt_retention.expired = g_array_new (FALSE, TRUE, sizeof (struct expired));
-	dff_cell_attempts_clear (cell);
+	dff_cell_attempt_retention_clear (cell);
 }
 
 void
-dff_cell_attempts_clear (struct dff_cell *cell)
+dff_cell_attempt_retention_clear (struct dff_cell *cell)
 {
 	struct dff_cell_attempt_retention *attempts = &cell->attempt_retention;
 	g_array_set_size (attempts->expired, 0);
 	attempts->next = 0;
 	attempts->cursor = 0;
 	attempts->more = true;
-	attempts->n_young = 0;
-	attempts->n_waiting = 0;
+	attempts->n_recent = 0;
+	attempts->n_outstanding = 0;
 	attempts->due_ms = 0;
 }
 
 void
-dff_cell_attempts_free (struct dff_cell *cell)
+dff_cell_attempt_retention_free (struct dff_cell *cell)
 {
 	g_array_unref (cell->attempt_retention.expired);
 }
@@ -81,17 +81,17 @@
 }
 
 static void
-take_row (struct dff_cell *cell, const struct dff_table_row *row)
+handle_row (struct dff_cell *cell, const struct dff_table_row *row)
 {
 	struct dff_cell_attempt_retention *attempts = &cell->attempt_retention;
 	const size_t skipped = strlen (PREFIX);
 	struct expired expired = {.revision = row->revision};
 	attempts->cursor = row->revision;
 	if (!is_expired (cell, row)) {
-		attempts->n_young += 1;
+		attempts->n_recent += 1;
 		return;
 	}
-	attempts->n_young = 0;
+	attempts->n_recent = 0;
 	const struct dff_str hash = {row->key.data + skipped, row->key.len - skipped};
 	if (dff_name_parse (hash, &expired.hash))
 		g_array_append_val (attempts->expired, expired);
@@ -104,12 +104,12 @@
 	if (!dff_cell_call_end (user, &call))
 		return;
 	struct dff_cell_attempt_retention *attempts = &call.cell->attempt_retention;
-	attempts->n_waiting -= 1;
+	attempts->n_outstanding -= 1;
 	if (result->outcome != DFF_TABLE_OK)
 		return;
 	for (size_t i = 0; i < result->n_rows; i++)
-		take_row (call.cell, &result->rows[i]);
-	attempts->more = result->more && attempts->n_young < YOUNG_MAX;
+		handle_row (call.cell, &result->rows[i]);
+	attempts->more = result->more && attempts->n_recent < RECENT_MAX;
 }
 
 static void
@@ -119,7 +119,7 @@
 	const struct dff_table *table = cell->options.table;
 	g_array_set_size (attempts->expired, 0);
 	attempts->next = 0;
-	attempts->n_waiting += 1;
+	attempts->n_outstanding += 1;
 	table->scan (table->ctx, dff_str_from (PREFIX), attempts->cursor, PAGE_ROWS, on_page,
 		     dff_cell_call_begin (cell, DFF_CELL_CALL_SCAN));
 }
@@ -131,7 +131,7 @@
 	struct dff_cell_call call;
 	if (!dff_cell_call_end (user, &call))
 		return;
-	call.cell->attempt_retention.n_waiting -= 1;
+	call.cell->attempt_retention.n_outstanding -= 1;
 	if (outcome == DFF_RECORD_COMMITTED)
 		*call.cell->metrics.attempts_expired += 1;
 }
@@ -150,10 +150,10 @@
 		.n_conditions = G_N_ELEMENTS (conditions),
 		.writes = &deletion,
 		.n_writes = 1,
-		.queue_timeout_ms = DELETE_GIVE_UP_MS,
+		.queue_timeout_ms = DELETE_TIMEOUT_MS,
 	};
 	struct dff_cell_call *call = dff_cell_call_begin (cell, DFF_CELL_CALL_WRITE);
-	cell->attempt_retention.n_waiting += 1;
+	cell->attempt_retention.n_outstanding += 1;
 	call->ticket = dff_recorder_write (cell->options.recorder, &record, on_deleted, call);
 }
 
@@ -168,11 +168,11 @@
 }
 
 void
-dff_cell_attempts_tick (struct dff_cell *cell)
+dff_cell_attempt_retention_tick (struct dff_cell *cell)
 {
 	struct dff_cell_attempt_retention *attempts = &cell->attempt_retention;
 	int64_t now_ms = dff_cell_now_ms (cell);
-	if (attempts->n_waiting > 0 || now_ms < attempts->due_ms ||
+	if (attempts->n_outstanding > 0 || now_ms < attempts->due_ms ||
 	    dff_recorder_is_breaker_open (cell->options.recorder))
 		return;
 	attempts->due_ms = now_ms + STEP_INTERVAL_MS;
@@ -186,6 +186,6 @@
 	}
 	attempts->cursor = 0;
 	attempts->more = true;
-	attempts->n_young = 0;
+	attempts->n_recent = 0;
 	attempts->due_ms = now_ms + SWEEP_INTERVAL_MS;
 }
--- a/daemon/parts.c
+++ b/daemon/parts.c
@@ -4,7 +4,7 @@
 #include "common/log.h"
 #include "daemon/daemon_private.h"
 
-/* Makes and frees the parts of a process. */
+/* Creates and frees the parts of a process. */
 
 #define POOL_POLL_MS 1000
 #define INSTANCE_POLL_MS 1000
@@ -62,7 +62,7 @@
 	recorder.table = dff_http_table_interface (daemon->table);
 	recorder.clock = daemon->clock;
 	recorder.metrics = daemon->metrics;
-	/* A write id must never be used twice, also not by the next process under the same name. */
+	/* A write id must never be reused, not even by the next process of the same name. */
 	recorder.writer = dff_name_printf ("%.30s-%016" G_GINT64_MODIFIER "x",
 					   settings->instance.data, random_seed ());
 	recorder.seed = random_seed ();
@@ -94,7 +94,7 @@
 	watcher.seed = random_seed ();
 	watcher.interval_ms = settings->watch_interval_ms;
 	watcher.lease_ms = settings->task_lease_ms;
-	watcher.report = dff_daemon_handle_own_sighting;
+	watcher.report = dff_daemon_handle_own_worker_report;
 	watcher.ctx = daemon;
 	daemon->watcher = dff_watcher_new (&watcher);
 }
@@ -178,9 +178,9 @@
 }
 
 static void
-start_following (struct dff_daemon *daemon)
+start_watches (struct dff_daemon *daemon)
 {
-	struct dff_pool_watch_options follower = {
+	struct dff_pool_watch_options pool_watch = {
 		.table = dff_http_table_interface (daemon->table),
 		.clock = daemon->clock,
 		.metrics = daemon->metrics,
@@ -188,7 +188,7 @@
 		.in_force = dff_daemon_handle_pool_in_force,
 		.ctx = daemon,
 	};
-	daemon->follower = dff_pool_watch_new (&follower);
+	daemon->pool_watch = dff_pool_watch_new (&pool_watch);
 	struct dff_instance_watch_options watch = {
 		.list = dff_http_instance_list_interface (daemon->list),
 		.clock = daemon->clock,
@@ -219,7 +219,8 @@
 		return true;
 	daemon->spans = strcmp (path, "-") == 0 ? stdout : fopen (path, "ae");
 	if (daemon->spans != NULL) {
-		/* The tick flushes: a larger buffer saves a write for each handful of requests. */
+		/* The tick flushes the buffer. A large one saves one write for every few
+		 * requests. */
 		setvbuf (daemon->spans, NULL, _IOFBF, SPANS_BUFFER_BYTES);
 		return true;
 	}
@@ -249,11 +250,11 @@
 	start_cell (daemon);
 	if (!start_entry (daemon, error))
 		return false;
-	start_following (daemon);
+	start_watches (daemon);
 	return true;
 }
 
-/* The clients go first: no answer may come back to a part that is gone. */
+/* The clients are freed first, so that no answer arrives at a part that is already freed. */
 static void
 free_clients (struct dff_daemon *daemon)
 {
@@ -270,8 +271,8 @@
 {
 	if (daemon->entry != NULL)
 		dff_entry_free (daemon->entry);
-	if (daemon->follower != NULL)
-		dff_pool_watch_free (daemon->follower);
+	if (daemon->pool_watch != NULL)
+		dff_pool_watch_free (daemon->pool_watch);
 	if (daemon->instance_watch != NULL)
 		dff_instance_watch_free (daemon->instance_watch);
 	if (daemon->cell != NULL)
--- a/peer/member_table.c
+++ b/peer/member_table.c
@@ -68,10 +68,10 @@
 	entry->instance = *instance;
 	entry->known.id = instance->id;
 	entry->known.liveness = DFF_LIVENESS_SUSPECT;
-	entry->heard_ms = now_ms;
-	entry->direct_ms = DFF_TIME_NEVER;
-	entry->replied_ms = DFF_TIME_NEVER;
-	entry->life_since_ms = now_ms;
+	entry->heartbeat_received_ms = now_ms;
+	entry->direct_received_ms = DFF_TIME_NEVER;
+	entry->corrected_ms = DFF_TIME_NEVER;
+	entry->liveness_since_ms = now_ms;
 	entry->position = dff_rendezvous_weight (dff_str_from ("ring"), &instance->id);
 	g_ptr_array_add (table->entries, entry);
 	g_ptr_array_sort (table->entries, compare_entries);
@@ -94,9 +94,9 @@
 	return place;
 }
 
-/* Suspects are passed over: when many members are lost at once, their neighbours on the ring would
- * be lost with them, and each group of dead ones would have to be removed before the next could be
- * judged. One never heard of counts, or nobody would send to anybody at the start. */
+/* Suspects are skipped when neighbours on the ring are counted: when many members fail at once, so
+ * do their neighbours, and each group of dead members would have to be removed before the next
+ * could be evaluated. A member without any heartbeat counts, or none would send at the start. */
 static bool
 counts_on_ring (const struct dff_member_entry *entry)
 {
@@ -107,7 +107,7 @@
 set_observed (struct dff_member_entry *entry, bool observed, int64_t now_ms)
 {
 	if (observed && !entry->observed)
-		entry->heard_ms = now_ms;
+		entry->heartbeat_received_ms = now_ms;
 	entry->observed = observed;
 }
 
--- a/record/recorder.c
+++ b/record/recorder.c
@@ -11,9 +11,9 @@
 #define LINGER_MS_DEFAULT 5
 #define MAX_WAITING_DEFAULT 4096
 #define ANSWER_TIMEOUT_MS_DEFAULT 1500
-/** Groups on their way at once, unresolved ones included. */
+/** Most groups in flight, including those with an uncertain outcome. */
 #define MAX_GROUPS 8
-/** Longest writer that is put into write ids as it is. */
+/** Longest writer name that is used in write ids unchanged; a longer one is hashed. */
 #define MAX_WRITER_LEN 40
 #define MS_PER_S 1000
 #define RETRY_AFTER_JITTER_S 3
@@ -72,7 +72,7 @@
 	counters->waiting = dff_metrics_gauge (metrics, "dff_record_waiting", "Writes waiting");
 }
 
-/* Write ids end in a number of up to 20 digits and must fit a name. */
+/* A write id is this prefix and a number of up to 20 digits; both must fit into a dff_name. */
 static struct dff_name
 write_id_prefix (const struct dff_name *writer)
 {
@@ -131,7 +131,7 @@
 }
 
 static void
-forget_unit (struct dff_recorder *recorder, struct dff_record_unit *unit)
+remove_unit (struct dff_recorder *recorder, struct dff_record_unit *unit)
 {
 	g_hash_table_remove (recorder->units, &unit->ticket);
 	dff_record_unit_free (unit);
@@ -145,7 +145,7 @@
 	g_queue_delete_link (&recorder->waiting, link);
 }
 
-/* Units come back with tickets older than most that wait: the place is near the head. */
+/* Searches from the head: a unit that is requeued has an older ticket than most queued units. */
 static void
 insert_waiting (struct dff_recorder *recorder, struct dff_record_unit *unit)
 {
@@ -169,7 +169,7 @@
 	};
 	(*counters[outcome])++;
 	if (unit->abandoned) {
-		forget_unit (recorder, unit);
+		remove_unit (recorder, unit);
 		return;
 	}
 	unit->finished = true;
@@ -181,8 +181,8 @@
 void
 dff_recorder_requeue (struct dff_recorder *recorder, struct dff_record_unit *unit)
 {
-	bool refused = unit->has_give_up && dff_recorder_is_breaker_open (recorder);
-	if (unit->abandoned || refused || dff_recorder_now_ms (recorder) >= unit->give_up_at_ms)
+	bool refused = unit->has_timeout && dff_recorder_is_breaker_open (recorder);
+	if (unit->abandoned || refused || dff_recorder_now_ms (recorder) >= unit->expires_ms)
 		dff_recorder_finish (recorder, unit, DFF_RECORD_NOT_COMMITTED, 0);
 	else
 		insert_waiting (recorder, unit);
@@ -195,7 +195,7 @@
 	for (GList *link = recorder->waiting.head; link != NULL; link = next) {
 		struct dff_record_unit *unit = link->data;
 		next = link->next;
-		if (!unit->has_give_up)
+		if (!unit->has_timeout)
 			continue;
 		unlink_waiting (recorder, link);
 		(*recorder->counters.refused)++;
@@ -214,7 +214,7 @@
 	g_hash_table_insert (recorder->units, &unit->ticket, unit);
 	(*recorder->counters.writes)++;
 	bool full = recorder->waiting.length >= (guint)recorder->options.max_waiting;
-	bool refused = unit->has_give_up && dff_recorder_is_breaker_open (recorder);
+	bool refused = unit->has_timeout && dff_recorder_is_breaker_open (recorder);
 	if (full || refused || unit->n_bytes > DFF_RECORD_MAX_UNIT_BYTES) {
 		(*recorder->counters.refused)++;
 		dff_recorder_finish (recorder, unit, DFF_RECORD_NOT_COMMITTED, 0);
@@ -241,7 +241,7 @@
 		g_queue_remove (&recorder->finished, unit);
 	else
 		unlink_waiting (recorder, g_queue_find (&recorder->waiting, unit));
-	forget_unit (recorder, unit);
+	remove_unit (recorder, unit);
 	return written ? DFF_ABANDON_UNKNOWN : DFF_ABANDON_NOT_COMMITTED;
 }
 
@@ -253,7 +253,7 @@
 	for (GList *link = recorder->waiting.head; link != NULL; link = next) {
 		struct dff_record_unit *unit = link->data;
 		next = link->next;
-		if (now_ms < unit->give_up_at_ms)
+		if (now_ms < unit->expires_ms)
 			continue;
 		unlink_waiting (recorder, link);
 		dff_recorder_finish (recorder, unit, DFF_RECORD_NOT_COMMITTED, 0);
@@ -269,32 +269,33 @@
 	return dff_recorder_now_ms (recorder) - oldest->queued_ms >= recorder->options.linger_ms;
 }
 
-/* Whether @unit must stay behind: a key of it is in use, or it was refused a moment ago. */
+/* Returns: whether @unit must stay in the queue: one of its keys is in use, or it is in backoff
+ * after a refusal. */
 static bool
-must_stay (const struct dff_recorder *recorder,
-	   const struct dff_key_locks *passed_over,
+must_wait (const struct dff_recorder *recorder,
+	   const struct dff_key_locks *skipped,
 	   const struct dff_record_unit *unit)
 {
 	return dff_recorder_now_ms (recorder) < unit->not_before_ms ||
 	       dff_key_locks_conflict (&recorder->locks, unit->txn) ||
-	       dff_key_locks_conflict (passed_over, unit->txn);
+	       dff_key_locks_conflict (skipped, unit->txn);
 }
 
-/* Moves waiting units into @group in order. One that shares a key with a group on its way, or with
- * a unit before it that stays, stays too. */
+/* Moves queued units into @group in order. A unit stays in the queue if it shares a key with a
+ * group in flight or with an earlier unit that stays. */
 static void
 fill_group (struct dff_recorder *recorder, struct dff_record_group *group)
 {
-	struct dff_key_locks passed_over;
+	struct dff_key_locks skipped;
 	size_t max_rows = (size_t)recorder->options.max_rows_per_commit;
 	size_t max_bytes = (size_t)recorder->options.max_bytes_per_commit;
-	dff_key_locks_init (&passed_over);
+	dff_key_locks_init (&skipped);
 	GList *next = NULL;
 	for (GList *link = recorder->waiting.head; link != NULL; link = next) {
 		struct dff_record_unit *unit = link->data;
 		next = link->next;
-		if (must_stay (recorder, &passed_over, unit)) {
-			dff_key_locks_add (&passed_over, unit->txn);
+		if (must_wait (recorder, &skipped, unit)) {
+			dff_key_locks_add (&skipped, unit->txn);
 			continue;
 		}
 		if (!dff_record_group_fits (group, unit, max_rows, max_bytes))
@@ -303,7 +304,7 @@
 		dff_key_locks_add (&recorder->locks, unit->txn);
 		dff_record_group_add (group, unit);
 	}
-	dff_key_locks_clear (&passed_over);
+	dff_key_locks_clear (&skipped);
 }
 
 /* Returns: whether a group was sent. */
@@ -313,7 +314,7 @@
 	int64_t now_ms = dff_recorder_now_ms (recorder);
 	if (g_queue_is_empty (&recorder->waiting) || recorder->groups->len >= MAX_GROUPS ||
 	    recorder->breaker.state != DFF_BREAKER_CLOSED || !is_due (recorder) ||
-	    !dff_budget_has (&recorder->budget, now_ms))
+	    !dff_budget_is_available (&recorder->budget, now_ms))
 		return false;
 	struct dff_name write_id = dff_recorder_next_write_id (recorder);
 	struct dff_record_group *group = dff_record_group_new (&write_id);
@@ -331,21 +332,21 @@
 }
 
 static void
-call_back_finished (struct dff_recorder *recorder)
+run_callbacks (struct dff_recorder *recorder)
 {
-	/* What a callback ends at once waits for the next tick: a writer that writes again when
-	 * refused must not hold up the loop. */
+	/* Units that a callback causes to finish wait for the next tick: a writer that writes again
+	 * when refused must not block the event loop. */
 	guint n = recorder->finished.length;
 	for (guint i = 0; i < n; i++) {
 		struct dff_record_unit *unit = g_queue_pop_head (&recorder->finished);
-		/* A callback before may have abandoned this one. */
+		/* An earlier callback may have abandoned this unit. */
 		if (unit == NULL)
 			return;
 		dff_record_func done = unit->done;
 		void *user = unit->user;
 		enum dff_record_outcome outcome = unit->outcome;
 		int64_t revision = unit->revision;
-		forget_unit (recorder, unit);
+		remove_unit (recorder, unit);
 		done (user, outcome, revision);
 	}
 }
@@ -353,17 +354,17 @@
 void
 dff_recorder_tick (struct dff_recorder *recorder)
 {
-	dff_recorder_take_answers (recorder);
+	dff_recorder_handle_answers (recorder);
 	dff_recorder_check_timeouts (recorder);
 	expire_waiting (recorder);
 	dff_recorder_probe (recorder);
 	dff_recorder_send_lookups (recorder);
 	while (send_group (recorder))
 		;
-	dff_recorder_take_answers (recorder);
+	dff_recorder_handle_answers (recorder);
 	*recorder->counters.waiting = recorder->waiting.length;
 	*recorder->counters.breaker_open = dff_recorder_is_breaker_open (recorder);
-	call_back_finished (recorder);
+	run_callbacks (recorder);
 }
 
 void
--- a/standin/worker_tasks.c
+++ b/standin/worker_tasks.c
@@ -4,7 +4,7 @@
 
 #include "common/log.h"
 
-/** How long ended tasks and tombstones are kept, ms. */
+/** Retention time of ended tasks and tombstones, ms. */
 #define RETENTION_MS (INT64_C (60) * 60 * 1000)
 
 static guint
@@ -89,7 +89,7 @@
 }
 
 void
-dff_worker_tasks_use (struct dff_worker_tasks *tasks, const struct dff_task *task, int32_t sign)
+dff_worker_tasks_account (struct dff_worker_tasks *tasks, const struct dff_task *task, int32_t sign)
 {
 	tasks->used.slots += sign * task->resources.slots;
 	tasks->used.cores += sign * task->resources.cores;
@@ -97,12 +97,12 @@
 	tasks->accelerators_used ^= task->accelerators;
 }
 
-/** Ends an active task, or turns a new one into a tombstone. */
+/** Moves an active task to a final state, or a new one to a tombstone's. */
 static void
 end_task (struct dff_worker_tasks *tasks, struct dff_task *task, enum dff_task_state state)
 {
 	if (dff_task_is_active (task)) {
-		dff_worker_tasks_use (tasks, task, -1);
+		dff_worker_tasks_account (tasks, task, -1);
 		g_ptr_array_remove_fast (tasks->active, task);
 	}
 	task->report.state = state;
@@ -110,7 +110,7 @@
 	dff_worker_tasks_changed (tasks, task);
 }
 
-/** A task that has not run leaves a tombstone. */
+/** A task that has not run becomes a tombstone. */
 void
 dff_worker_tasks_end (struct dff_worker_tasks *tasks, struct dff_task *task)
 {
@@ -122,9 +122,9 @@
 {
 	task->report.state = DFF_TASK_RUNNING;
 	task->report.ran = true;
-	task->counted_ms = now_ms (tasks);
+	task->progress_until_ms = now_ms (tasks);
 	dff_worker_tasks_changed (tasks, task);
-	dff_log (DFF_LOG_STANDIN, DFF_LOG_INFO, "Task runs. job=%s attempt=%d member=%d",
+	dff_log (DFF_LOG_STANDIN, DFF_LOG_INFO, "Task started. job=%s attempt=%d member=%d",
 		 task->report.task.job.data, task->report.task.attempt, task->report.task.member);
 	const struct dff_worker_tasks_callbacks *callbacks = &tasks->options.callbacks;
 	if (callbacks->ran != NULL)
@@ -136,22 +136,22 @@
 static bool
 is_working (const struct dff_task *task)
 {
-	return task->report.state == DFF_TASK_RUNNING && !task->loading && !task->finishing;
+	return task->report.state == DFF_TASK_RUNNING && !task->loading && !task->writing_result;
 }
 
 void
-dff_task_count (struct dff_task *task, int64_t now_ms)
+dff_task_update_progress (struct dff_task *task, int64_t now_ms)
 {
 	int64_t until_ms = MIN (now_ms, task->lease_until_ms);
-	if (until_ms <= task->counted_ms)
+	if (until_ms <= task->progress_until_ms)
 		return;
 	if (is_working (task))
-		task->progress += (until_ms - task->counted_ms) * task->percent;
-	task->counted_ms = until_ms;
+		task->progress += (until_ms - task->progress_until_ms) * task->percent;
+	task->progress_until_ms = until_ms;
 }
 
 static bool
-is_done (const struct dff_task *task)
+work_is_done (const struct dff_task *task)
 {
 	return is_working (task) && task->progress >= task->payload.run_ms * DFF_TASK_FULL_SPEED;
 }
@@ -159,17 +159,17 @@
 static bool
 is_due (struct dff_task *task, int64_t now)
 {
-	dff_task_count (task, now);
-	return is_done (task) || now >= task->lease_until_ms;
+	dff_task_update_progress (task, now);
+	return work_is_done (task) || now >= task->lease_until_ms;
 }
 
-/* Work that was done before the lease lapsed counts, even when the tick comes late. */
+/* Work that was done before the lease expired counts, even when the tick comes late. */
 static void
-settle (struct dff_worker_tasks *tasks, struct dff_task *task)
+end_due_task (struct dff_worker_tasks *tasks, struct dff_task *task)
 {
-	if (!is_done (task)) {
+	if (!work_is_done (task)) {
 		dff_log (DFF_LOG_STANDIN, DFF_LOG_WARNING,
-			 "Task lease lapsed. job=%s attempt=%d member=%d",
+			 "Task lease expired. job=%s attempt=%d member=%d",
 			 task->report.task.job.data, task->report.task.attempt,
 			 task->report.task.member);
 		dff_worker_tasks_end (tasks, task);
@@ -179,7 +179,7 @@
 		end_task (tasks, task, DFF_TASK_FAILED);
 		return;
 	}
-	task->finishing = true;
+	task->writing_result = true;
 	tasks->options.callbacks.finish (tasks->options.callbacks.ctx, &task->report.task,
 					 task->payload.result_bytes);
 }
@@ -196,7 +196,7 @@
 }
 
 static void
-forget_old (struct dff_worker_tasks *tasks, int64_t now)
+remove_expired (struct dff_worker_tasks *tasks, int64_t now)
 {
 	while (!g_queue_is_empty (&tasks->changes)) {
 		struct dff_task *task = tasks->changes.head->data;
@@ -211,11 +211,11 @@
 dff_worker_tasks_tick (struct dff_worker_tasks *tasks)
 {
 	int64_t now = now_ms (tasks);
-	/* A callback may end the task and change the array: begin again after each. */
+	/* A callback may end the task and change the array, so iteration restarts after each. */
 	for (struct dff_task *task = first_due (tasks, now); task != NULL;
 	     task = first_due (tasks, now))
-		settle (tasks, task);
-	forget_old (tasks, now);
+		end_due_task (tasks, task);
+	remove_expired (tasks, now);
 }
 
 static int64_t
@@ -224,7 +224,7 @@
 	if (!is_working (task) || task->percent == 0)
 		return task->lease_until_ms;
 	int64_t left = MAX (task->payload.run_ms * DFF_TASK_FULL_SPEED - task->progress, 0);
-	int64_t done_ms = task->counted_ms + (left + task->percent - 1) / task->percent;
+	int64_t done_ms = task->progress_until_ms + (left + task->percent - 1) / task->percent;
 	return MIN (done_ms, task->lease_until_ms);
 }
 
@@ -263,11 +263,11 @@
 			const struct dff_worker_renewal *renewal,
 			GArray *reports)
 {
-	/* What has lapsed stays lapsed: the holder may have counted on it. */
+	/* A task whose lease has expired is ended first: the holder may rely on its end. */
 	dff_worker_tasks_tick (tasks);
-	/* Counted from now, a renewal whose answer is lost, or that was delayed, would keep tasks
-	 * alive past the time after which their holder takes them for lost. A time to come is from
-	 * another machine's clock. */
+	/* The lease counts from from_ms, not from now: a renewal that was delayed, or whose answer
+	 * is lost, must not keep tasks running after the time at which the holder assumes them
+	 * lost. A from_ms in the future is from another machine's clock and extends nothing. */
 	int64_t until_ms = renewal->from_ms + renewal->lease_ms;
 	if (renewal->from_ms > now_ms (tasks))
 		until_ms = 0;
@@ -298,7 +298,7 @@
 				 const char *digest)
 {
 	struct dff_task *task = dff_worker_tasks_find (tasks, id);
-	if (task == NULL || !task->finishing || !dff_task_is_active (task))
+	if (task == NULL || !task->writing_result || !dff_task_is_active (task))
 		return;
 	task->report.result_key = *key;
 	task->report.result_length = length;
@@ -314,7 +314,7 @@
 	struct dff_task *task = dff_worker_tasks_find (tasks, id);
 	if (task == NULL || !task->loading)
 		return;
-	dff_task_count (task, now_ms (tasks));
+	dff_task_update_progress (task, now_ms (tasks));
 	task->loading = false;
 	task->progress = done_ms * DFF_TASK_FULL_SPEED;
 }
--- a/tests/bench/test-load.c
+++ b/tests/bench/test-load.c
@@ -7,9 +7,9 @@
 #include "bench/load/classes.h"
 #include "holder/policy.h"
 
-/* Loads that the mechanisms of the core are there for, played with each and without: a minute of
- * urgent gangs that somebody waits for, gangs that take seconds, and bulk work, on fifty workers.
- * The figures asserted are about half of the differences measured over a hundred seeds. */
+/* Checks the effect of mechanisms of the core by simulating loads with and without each: a minute
+ * of urgent gangs with a waiting caller, gangs that take seconds, and bulk work, on fifty workers.
+ * The asserted figures are about half of the differences measured over a hundred seeds. */
 
 #define N_SEEDS 20
 #define GANG_WAIT_MS 3000
@@ -17,15 +17,15 @@
 
 struct means {
 	double in_time[DFF_LOAD_MIXED_CLASSES];
-	/** Share of the urgent jobs that begin at once. */
+	/** Share of the urgent jobs that start at once. */
 	double at_once;
-	/** Work thrown away for each core-second of work done. */
-	double thrown;
+	/** Wasted work per core-second of completed work. */
+	double wasted;
 };
 
 typedef void (*change_func) (struct dff_core_options *options);
 
-/* Returns: what some loads, at @times their usual rate, come to with a mechanism changed. */
+/* Returns: mean figures of N_SEEDS loads at @times their usual rate and options after @change. */
 static struct means
 play (double times, change_func change)
 {
@@ -43,7 +43,7 @@
 		dff_load_play (&load, &options, &figures);
 		const struct dff_load_outcome *urgent = &figures.classes[DFF_LOAD_URGENT];
 		means.at_once += (double)urgent->n_at_once / urgent->n_jobs / N_SEEDS;
-		means.thrown += figures.thrown_core_s / figures.done_core_s / N_SEEDS;
+		means.wasted += figures.wasted_core_s / figures.done_core_s / N_SEEDS;
 		for (size_t i = 0; i < DFF_LOAD_MIXED_CLASSES; i++)
 			means.in_time[i] += dff_load_in_time (&figures, i) / N_SEEDS;
 	}
@@ -56,8 +56,8 @@
 	options->headroom_decay_ms = 0;
 }
 
-/* Pattern: three quarters of the pool are in use, urgent gangs come in clusters, and bulk tasks
- * fill what is idle in between. Without headroom three runs in ten are stopped for room. */
+/* Load: three quarters of the pool are in use, urgent gangs arrive in clusters, and bulk tasks fill
+ * the idle capacity. Without headroom, three of ten runs are preempted. */
 static void
 test_headroom_under_load (void **state)
 {
@@ -66,12 +66,12 @@
 	struct means without = play (1.0, without_headroom);
 	assert_true (with.at_once > without.at_once + 0.15);
 	assert_true (with.in_time[DFF_LOAD_URGENT] > without.in_time[DFF_LOAD_URGENT] + 0.02);
-	assert_true (with.thrown < 0.8 * without.thrown);
+	assert_true (with.wasted < 0.8 * without.wasted);
 }
 
-/* Pattern: the pool is a quarter full. Headroom must cost nobody anything. */
+/* Load: a quarter of the pool is in use. Headroom must not delay any class. */
 static void
-test_headroom_on_a_calm_day (void **state)
+test_headroom_under_low_load (void **state)
 {
 	(void)state;
 	struct means with = play (0.3, NULL);
@@ -82,23 +82,24 @@
 }
 
 static void
-without_patience (struct dff_core_options *options)
+without_headroom_wait (struct dff_core_options *options)
 {
 	options->headroom_wait_ratio = 0.0;
 }
 
-/* Pattern: the same; gangs queue for racks, and bulk work behind them is put off until its
- * objective has passed. With its patience half of it is in time, without a quarter; urgent work
- * loses one job in a hundred. */
+/* Load of test_headroom_under_load: gangs queue for racks, and headroom delays bulk work until it
+ * misses its objective. With headroom_wait_ratio, bulk work that has waited long leaves headroom
+ * for urgent work alone: half of the bulk work is in time, without it a quarter. One urgent job in
+ * a hundred is late because of it. */
 static void
 test_bulk_under_load (void **state)
 {
 	(void)state;
 	struct means with = play (1.0, NULL);
-	struct means without = play (1.0, without_patience);
+	struct means without = play (1.0, without_headroom_wait);
 	assert_true (with.in_time[DFF_LOAD_BULK] > without.in_time[DFF_LOAD_BULK] + 0.12);
 	assert_true (with.in_time[DFF_LOAD_URGENT] > without.in_time[DFF_LOAD_URGENT] - 0.02);
-	assert_true (with.thrown < 1.1 * without.thrown);
+	assert_true (with.wasted < 1.1 * without.wasted);
 }
 
 static void
@@ -107,15 +108,15 @@
 	options->evict_work_ratio = 0.0;
 }
 
-/* Pattern: the same; small urgent jobs meet wide gangs that have run for seconds. Without a bound
- * as much work is thrown away as one job in fifteen does. */
+/* Load of test_headroom_under_load: small urgent jobs preempt wide gangs that have run for seconds.
+ * Without a limit on the preempted work, the wasted work equals that of one job in fifteen. */
 static void
 test_bounded_evictions (void **state)
 {
 	(void)state;
 	struct means with = play (1.0, NULL);
 	struct means without = play (1.0, without_evict_bound);
-	assert_true (with.thrown < 0.6 * without.thrown);
+	assert_true (with.wasted < 0.6 * without.wasted);
 	for (size_t i = 0; i < DFF_LOAD_MIXED_CLASSES; i++)
 		assert_true (with.in_time[i] > without.in_time[i] - 0.04);
 }
@@ -125,7 +126,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test (test_headroom_under_load),
-		cmocka_unit_test (test_headroom_on_a_calm_day),
+		cmocka_unit_test (test_headroom_under_low_load),
 		cmocka_unit_test (test_bulk_under_load),
 		cmocka_unit_test (test_bounded_evictions),
 	};
--- a/tests/cell/cell_harness.h
+++ b/tests/cell/cell_harness.h
@@ -12,7 +12,7 @@
 #define HARNESS_PROCESSES 3
 #define HARNESS_WORKERS 4
 #define HARNESS_MAX_JOBS 64
-/** Tests of hours may take longer steps. */
+/** Tests that cover hours may set a longer step. */
 #ifndef HARNESS_STEP_MS
 #define HARNESS_STEP_MS 20
 #endif
@@ -38,30 +38,30 @@
 	struct dff_pool pool;
 	struct fake_fleet fleet;
 	struct harness_process processes[HARNESS_PROCESSES];
-	/** Elements: struct fake_link *, also those of processes that died. */
+	/** Elements: struct fake_link *, including those of killed processes. */
 	GPtrArray *links;
 	uint64_t seed;
-	/** Of the cells to be born; 0: the default. */
+	/** Lease of the cells that are started from now on, ms; 0: the default. */
 	int32_t lease_ms;
-	int n_births;
-	/** The cells to be born have not heard of any instance. */
-	bool list_unknown;
-	/** Of the jobs to be submitted; empty: none. */
+	int n_starts;
+	/** Cells that are started from now on have not received an instance list. */
+	bool no_instance_list;
+	/** Batch of the jobs that are submitted from now on; empty: none. */
 	struct dff_name batch;
 	int n_jobs;
-	/** Rows as read last; NULL: not yet. */
+	/** Rows as last read; NULL: not read yet. */
 	struct dff_job_row *rows[HARNESS_MAX_JOBS];
 	int n_writes;
-	/** Bit i: nobody renews leases at worker i. */
+	/** Bit i: leases at worker i are not renewed. */
 	uint64_t unwatched;
-	/** Bit i: leases at worker i are renewed, but the cells are told that it is silent. */
-	uint64_t unseen;
-	int32_t sighting_loss_permille;
-	/** Last renewal of each worker's leases. */
+	/** Bit i: leases at worker i are renewed, but it is reported to the cells as silent. */
+	uint64_t reported_silent;
+	int32_t report_loss_permille;
+	/** Last reported renewal of each worker's leases. */
 	int64_t renewed_ms[HARNESS_WORKERS];
 	int64_t next_watch_ms;
-	/** What the promises were last checked for. */
-	int checked_notes;
+	/** State for which the invariants were last checked. */
+	int checked_records;
 	int64_t checked_revision;
 	/** The entry that submits and cancels. */
 	struct dff_memory_handle *entry;
@@ -82,10 +82,10 @@
 }
 
 static inline void
-harness_birth (struct harness *harness, int index)
+harness_start (struct harness *harness, int index)
 {
 	struct harness_process *process = &harness->processes[index];
-	uint64_t seed = harness->seed * 1000 + (uint64_t)++harness->n_births;
+	uint64_t seed = harness->seed * 1000 + (uint64_t)++harness->n_starts;
 	process->alive = true;
 	process->paused = false;
 	process->caller = dff_memory_open (harness->memory);
@@ -97,7 +97,7 @@
 	recorder_options.table = &process->caller->table;
 	recorder_options.clock = &harness->clock.clock;
 	recorder_options.metrics = harness->metrics;
-	recorder_options.writer = dff_name_printf ("p%d.%d", index, harness->n_births);
+	recorder_options.writer = dff_name_printf ("p%d.%d", index, harness->n_starts);
 	recorder_options.seed = seed;
 	process->recorder = dff_recorder_new (&recorder_options);
 	struct dff_cell_options options;
@@ -120,11 +120,11 @@
 	process->cell = dff_cell_new (&options);
 	dff_cell_set_rank (process->cell, index);
 	dff_cell_set_pool (process->cell, &harness->pool);
-	if (!harness->list_unknown)
+	if (!harness->no_instance_list)
 		harness_set_instances (harness, process->cell);
 }
 
-/** The process dies: what it sent is still on its way, nothing comes back to it. */
+/** Kills a process: what it sent is still on its way, and no answer reaches it. */
 static inline void
 harness_kill (struct harness *harness, int index)
 {
@@ -146,7 +146,7 @@
 }
 
 static inline void
-harness_take_span (void *ctx, struct dff_str line)
+harness_append_span (void *ctx, struct dff_str line)
 {
 	g_string_append_len (ctx, line.data, (gssize)line.len);
 	g_string_append_c (ctx, '\n');
@@ -165,8 +165,8 @@
 	harness->metrics = dff_metrics_new ();
 	const struct dff_name instance = dff_name_from ("test");
 	harness->spans = g_string_new (NULL);
-	harness->tracer = dff_tracer_new (&harness->clock.clock, &instance, seed, harness_take_span,
-					  harness->spans);
+	harness->tracer = dff_tracer_new (&harness->clock.clock, &instance, seed,
+					  harness_append_span, harness->spans);
 	fixture_pool_init (&harness->pool, 2, HARNESS_WORKERS / 2, 8);
 	fixture_pool_add_team (&harness->pool, "a", 0, 0);
 	fake_fleet_init (&harness->fleet, &harness->clock.clock, HARNESS_WORKERS, (guint32)seed);
@@ -175,7 +175,7 @@
 	harness->links = g_ptr_array_new_with_free_func (g_free);
 	harness->entry = dff_memory_open (harness->memory);
 	for (int i = 0; i < HARNESS_PROCESSES; i++)
-		harness_birth (harness, i);
+		harness_start (harness, i);
 }
 
 static inline void
@@ -209,7 +209,7 @@
 	*(enum dff_table_outcome *)user = result->outcome;
 }
 
-/** Writes a job's row like an entry. Returns: whether it was as it was read. */
+/** Writes a job's row as an entry does. Returns: whether the row had the expected revision. */
 static inline bool
 harness_write_row (struct harness *harness, const struct dff_job_row *row)
 {
@@ -257,7 +257,7 @@
 	return index;
 }
 
-/* Nothing is written by a process that has lost the cell. */
+/* A process that no longer holds the cell must not write a row. */
 static inline void
 harness_check_writer (const struct harness *harness, const struct dff_job_row *row)
 {
@@ -273,7 +273,7 @@
 			  row->spec.id.data, (int)row->epoch, (int)epoch);
 }
 
-/** Returns: the row of job @index as it is now; valid until it changes. */
+/** Returns: the current row of job @index; valid until it changes. */
 static inline const struct dff_job_row *
 harness_row (struct harness *harness, int index)
 {
@@ -299,7 +299,7 @@
 	return harness_row (harness, index)->outcome;
 }
 
-/** Requests a cancellation like an entry does. */
+/** Requests a cancellation as an entry does. */
 static inline void
 harness_cancel (struct harness *harness, int index)
 {
@@ -312,7 +312,7 @@
 	harness_hint (harness, &row.spec.id);
 }
 
-/** Times that @member of job @index began to run, in any attempt. */
+/** Returns: number of times that @member of job @index began to run, in attempts 1 to @attempts. */
 static inline int
 harness_member_runs (const struct harness *harness, int index, int member, int attempts)
 {
@@ -323,7 +323,7 @@
 	return runs;
 }
 
-/** Times that any member of job @index began to run. */
+/** Returns: number of times that any member of job @index began to run. */
 static inline int
 harness_runs (struct harness *harness, int index)
 {
--- a/tests/client/test-tls.c
+++ b/tests/client/test-tls.c
@@ -21,7 +21,7 @@
 #define TIMEOUT_MS 1500
 #define CERTIFICATE_S 3600
 
-/* A key and a certificate of its own for one IP number. */
+/* A key and a self-signed certificate for one IP address. */
 struct identity {
 	EVP_PKEY *key;
 	X509 *certificate;
@@ -69,14 +69,14 @@
 }
 
 static void
-on_request (struct evhttp_request *request, void *n_asked)
+on_request (struct evhttp_request *request, void *n_requests)
 {
-	(*(int *)n_asked)++;
+	(*(int *)n_requests)++;
 	evhttp_send_reply (request, 200, "OK", NULL);
 }
 
 struct tls_case {
-	/* Number that the server's certificate names. */
+	/* IP address in the server's certificate. */
 	const char *ip;
 	bool trusted;
 	int status;
@@ -88,11 +88,10 @@
 	{"127.0.0.2", true, 0},
 };
 
-/* Symptom: an operator's token is read by another process. Sequence: the client connects to an
- * address that somebody else has taken, and sends its request. Cause: a certificate that is not
- * checked, or not against the number that is asked. */
+/* Guards against sending an operator's token to another process that listens on the server's
+ * address: the certificate must be verified, also against the IP address. */
 static void
-test_token_goes_to_a_checked_server_only (void **state)
+test_token_sent_only_to_verified_server (void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS (tls_cases); i++) {
@@ -105,9 +104,9 @@
 		SSL_CTX_use_certificate (context, own.certificate);
 		SSL_CTX_use_PrivateKey (context, own.key);
 		struct evhttp *http = evhttp_new (base);
-		int n_asked = 0;
+		int n_requests = 0;
 		evhttp_set_bevcb (http, accept_tls, context);
-		evhttp_set_gencb (http, on_request, &n_asked);
+		evhttp_set_gencb (http, on_request, &n_requests);
 		struct sockaddr_in address = {0};
 		socklen_t len = sizeof (address);
 		struct evhttp_bound_socket *bound =
@@ -120,15 +119,15 @@
 		connection->timeout_ms = TIMEOUT_MS;
 		const char *trusted = tls_cases[i].trusted ? own.path : other.path;
 		assert_true (dff_connection_set_tls (connection, trusted));
-		struct dff_api_client *caller = dff_api_client_new_on (connection, base);
+		struct dff_api_client *client = dff_api_client_new_on (connection, base);
 		struct dff_call_request request = {.method = EVHTTP_REQ_GET, .path = "/v1/pool"};
-		DFF_AUTO (dff_call_response) response = dff_call (caller, &request);
+		DFF_AUTO (dff_call_response) response = dff_call (client, &request);
 		assert_int_equal (response->status, tls_cases[i].status);
 		assert_false (response->uncertain);
-		assert_int_equal (n_asked, tls_cases[i].status == 200);
+		assert_int_equal (n_requests, tls_cases[i].status == 200);
 
 		evhttp_free (http);
-		dff_api_client_free (caller);
+		dff_api_client_free (client);
 		SSL_CTX_free (context);
 		identity_clear (&own);
 		identity_clear (&other);
@@ -139,7 +138,7 @@
 main (void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test (test_token_goes_to_a_checked_server_only),
+		cmocka_unit_test (test_token_sent_only_to_verified_server),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/pool/test-pool.c
+++ b/tests/pool/test-pool.c
@@ -24,8 +24,8 @@
 
 struct parse_case {
 	const char *text;
-	/** What the first fault is to hold; NULL: the text is valid. */
-	const char *fault;
+	/** Text that the first error has to contain; NULL: the file is valid. */
+	const char *error;
 	enum dff_pool_error code;
 };
 
@@ -36,7 +36,7 @@
 	g_autoptr (GPtrArray) errors = g_ptr_array_new_with_free_func (g_free);
 	DFF_AUTO (dff_pool)
 	pool = dff_pool_parse (dff_str_from (c->text), "pool.json", errors, &error);
-	if (c->fault == NULL) {
+	if (c->error == NULL) {
 		if (error != NULL)
 			fail_msg ("%s\n%s", c->text, error->message);
 		assert_non_null (pool);
@@ -44,8 +44,8 @@
 	}
 	assert_null (pool);
 	assert_non_null (error);
-	if (strstr (error->message, c->fault) == NULL)
-		fail_msg ("%s\nexpected %s, got %s", c->text, c->fault, error->message);
+	if (strstr (error->message, c->error) == NULL)
+		fail_msg ("%s\nexpected %s, got %s", c->text, c->error, error->message);
 	assert_int_equal (error->code, c->code);
 	assert_string_equal (error->message, g_ptr_array_index (errors, 0));
 }
@@ -150,14 +150,14 @@
 		 "teams[0].guarantees[0]: expected all guaranteed shapes to fit the racks at once; "
 		 "team t: 3 gangs of 16",
 		 DFF_POOL_ERROR_DOES_NOT_FIT},
-		/* 30 of 32 accelerators, but no rack holds two shapes of 10. */
+		/* 30 of 32 accelerators are needed, but no rack holds two shapes of 10. */
 		{POOL (TWO_RACKS, TEAM ("t", SHAPE (1, 4)) "," TEAM ("u", SHAPE (3, 10))),
 		 "team u: 3 gangs of 10", DFF_POOL_ERROR_DOES_NOT_FIT},
-		/* Over both racks whole. */
+		/* The shape takes both racks whole. */
 		{POOL (TWO_RACKS, TEAM ("t", SHAPE (1, 32))), NULL, 0},
 		{POOL (TWO_RACKS, TEAM ("t", SHAPE (1, 33))), "1 gangs of 33",
 		 DFF_POOL_ERROR_DOES_NOT_FIT},
-		/* What the last of several racks has left serves others. */
+		/* Other shapes may use what is left in the last of several racks. */
 		{POOL (TWO_RACKS, TEAM ("t", SHAPE (1, 24)) "," TEAM ("u", SHAPE (1, 8))), NULL, 0},
 		{POOL (TWO_RACKS, TEAM ("t", SHAPE (1, 24)) "," TEAM ("u", SHAPE (1, 9))), "team u",
 		 DFF_POOL_ERROR_DOES_NOT_FIT},
@@ -173,11 +173,11 @@
 		{POOL (RACK ("r1", "a", 2, 8) "," RACK ("r2", "b", 2, 8),
 		       TEAM ("t", SHAPE (2, 16))),
 		 "2 gangs of 16", DFF_POOL_ERROR_DOES_NOT_FIT},
-		/* Bound to a region, the small shape leaves the free choice to the other. */
+		/* Bound to a region, the small shape leaves the other region to the other shape. */
 		{POOL (RACK ("r1", "a", 2, 8) "," RACK ("r2", "b", 2, 8),
 		       TEAM ("t", SHAPE (1, 12)) "," TEAM ("u", SHAPE_IN (1, 12, "a"))),
 		 NULL, 0},
-		/* Tightest first puts 4 with 4 and leaves no rack for the last 3. */
+		/* The tightest fit alone puts 4 with 4 and leaves no rack for the last 3. */
 		{POOL (RACK ("r1", "a", 2, 5) "," RACK ("r2", "a", 2, 5),
 		       TEAM ("t", SHAPE (2, 4) "," SHAPE (4, 3))),
 		 NULL, 0},
@@ -186,9 +186,9 @@
 		check_parse_case (&cases[i]);
 }
 
-/* Every fault is reported, each with the line of its entry. */
+/* Every error is reported, each with the line of its entry. */
 static void
-test_every_fault_with_its_line (void **state)
+test_every_error_with_its_line (void **state)
 {
 	(void)state;
 	static const char text[] =
@@ -218,7 +218,7 @@
 		assert_true (g_str_has_prefix (g_ptr_array_index (errors, i), expected[i]));
 }
 
-/* Cut anywhere, the text is refused and nothing is read past its end (run under ASan). */
+/* Text cut at any position is rejected, and nothing is read past its end (run under ASan). */
 static void
 test_truncated_text (void **state)
 {
@@ -254,9 +254,8 @@
 	assert_false (dff_pool_authenticate (pool, dff_str_from ("")).known);
 }
 
-/* Symptom: a cell's core reads freed memory after a pool file is replaced. Sequence: a pool is
- * copied and freed, then the copy is read. Cause: a table of the copy is shared with the original.
- */
+/* Guards against a copy that shares a table with the original: the core of a cell would read freed
+ * memory after a pool file is replaced. */
 static void
 test_copy_outlives_original (void **state)
 {
@@ -278,12 +277,12 @@
 }
 
 static void
-test_adjacent_unit (void **state)
+test_largest_rack_shape (void **state)
 {
 	(void)state;
 	static const struct {
 		const char *text;
-		int32_t unit;
+		int32_t accelerators;
 	} cases[] = {
 		{POOL (TWO_RACKS, ""), 8},
 		{POOL (TWO_RACKS, TEAM ("t", SHAPE (1, 4) "," SHAPE (1, 12))), 12},
@@ -293,14 +292,14 @@
 		DFF_AUTO (dff_pool)
 		pool = dff_pool_parse (dff_str_from (cases[i].text), "p", NULL, NULL);
 		assert_non_null (pool);
-		assert_int_equal (dff_pool_largest_rack_shape (pool), cases[i].unit);
+		assert_int_equal (dff_pool_largest_rack_shape (pool), cases[i].accelerators);
 	}
 }
 
 struct slots_case {
 	const char *services;
 	int32_t granted;
-	int32_t set_aside;
+	int32_t dedicated;
 };
 
 static void
@@ -325,7 +324,7 @@
 		assert_non_null (pool);
 		const struct dff_rack *rack = &g_array_index (pool->racks, struct dff_rack, 0);
 		assert_int_equal (dff_pool_request_slots (pool, rack), cases[i].granted);
-		assert_int_equal (dff_pool_dedicated_slots (pool, rack), cases[i].set_aside);
+		assert_int_equal (dff_pool_dedicated_slots (pool, rack), cases[i].dedicated);
 	}
 }
 
@@ -337,11 +336,11 @@
 		cmocka_unit_test (test_fields),
 		cmocka_unit_test (test_references),
 		cmocka_unit_test (test_packing),
-		cmocka_unit_test (test_every_fault_with_its_line),
+		cmocka_unit_test (test_every_error_with_its_line),
 		cmocka_unit_test (test_truncated_text),
 		cmocka_unit_test (test_authenticate),
 		cmocka_unit_test (test_copy_outlives_original),
-		cmocka_unit_test (test_adjacent_unit),
+		cmocka_unit_test (test_largest_rack_shape),
 	};
 	return cmocka_run_group_tests (tests, NULL, NULL);
 }
