--- a/core/core_private.h
+++ b/core/core_private.h
@@ -91,7 +91,7 @@
 /** Whether a job may crash its worker and has to be placed in isolation. */
 bool dff_core_job_is_isolated (const struct dff_core *core, const struct dff_core_job *job);
 
-/** Whether a job may be placed on a worker: at most one isolated job on trial a worker. */
+/** Whether a job may be placed on a worker: at most one isolated job on trial per worker. */
 bool dff_core_isolation_allows (const struct dff_core *core,
 				const struct dff_core_worker *worker,
 				const struct dff_core_job *job);
--- a/core/core_tables.h
+++ b/core/core_tables.h
@@ -276,7 +276,7 @@
 	enum dff_core_hold hold;
 	/** Shape that is claimed, with DFF_CORE_HOLD_CLAIM. */
 	int32_t shape;
-	/** Shape that covers it; DFF_CORE_NONE: none. And its link in the team's list of jobs
+	/** Shape that covers it; DFF_CORE_NONE: none. Below: its link in the team's list of jobs
 	 * without a cover. */
 	int32_t cover;
 	GList cover_link;
@@ -286,7 +286,7 @@
 	int8_t priority;
 	/** Blame points, for workers that crashed while they ran it. */
 	int8_t blame;
-	/** Number of the duration limit that its workers have to keep, from 1; 0: none. */
+	/** Number, from 1, of the duration limit that its workers must not exceed; 0: none. */
 	int8_t duration_limit;
 	int32_t attempt;
 	/** Number of times it was preempted while running. */
@@ -306,7 +306,7 @@
 	double log_deviation;
 	/** Run time that earlier attempts saved in checkpoints. */
 	int64_t run_ms;
-	/** Time spent in queues before, and the time at which it was last queued. */
+	/** Time spent in the queue before @queued_ms, the time at which it was last queued. */
 	int64_t waited_ms;
 	int64_t queued_ms;
 	/** While it is being placed: its current score. While it runs: the score that others have
--- a/core/headroom.c
+++ b/core/headroom.c
@@ -4,11 +4,10 @@
 
 /*
  * Headroom: capacity kept free for work that is about to arrive. Work of a priority leaves free
- * what
- * higher priorities have needed lately. Without headroom urgent jobs find the pool full, have to
- * wait until a task is stopped, and the work of that task is lost; the same tasks are started and
- * stopped again and again. The reason is that urgent work arrives in bursts, whereas other work can
- * wait for many seconds.
+ * what higher priorities have needed lately. Without headroom urgent jobs find the pool full, have
+ * to wait until a task is stopped, and the work of that task is lost; the same tasks are started
+ * and stopped again and again. The reason is that urgent work arrives in bursts, whereas other work
+ * can wait for many seconds.
  *
  * The headroom is the largest recent demand, which decays slowly, so that a burst leaves its
  * capacity free for the next. It consists of whole workers, the last of each region, so that gangs
@@ -85,10 +84,10 @@
 		update_region (core, dff_core_region_at (core, (int32_t)i));
 }
 
-/* Work that has waited for as long as it runs leaves headroom for the highest priority only: its
- * slack is being used up, and the capacity it takes can be cleared again by preemption. Guards
- * against starvation on a loaded day: work of the middle priority that waits for racks, and could
- * not use the capacity at once, keeps it from all lower priorities until their deadlines pass. */
+/* Work that has waited headroom_wait_ratio times its estimated run time leaves headroom for the
+ * highest priority only: its deadline comes closer, and preemption can free the capacity again.
+ * Guards against starvation under load: work of the middle priority waits for racks and cannot use
+ * the headroom at once, and lower priorities may not use it until their deadlines pass. */
 int32_t
 dff_core_headroom_level (const struct dff_core *core, const struct dff_core_job *job)
 {
--- a/core/lifecycle.c
+++ b/core/lifecycle.c
@@ -305,9 +305,9 @@
 	case DFF_EVENT_TASK_FAILED:
 		*state = DFF_CORE_MEMBER_FAILED;
 		/* While the answer to one member's start is late, the gang looks as if it had not
-		 * begun, and failures of such a gang do not count as attempts. At some workers a
-		 * gang begins by itself, so event->ran is considered too. Otherwise the gang is
-		 * started once more than its attempts allow. */
+		 * begun, and failures of such a gang do not count as attempts. Some workers start a
+		 * gang by themselves, so event->ran is considered too; without it such a gang would
+		 * be started once more than its attempts allow. */
 		*ran = job->gang == 1 || job->released || event->ran;
 		return true;
 	case DFF_EVENT_TASK_STOPPED:
@@ -408,9 +408,9 @@
 	bool ran;
 	if (!member_end_of_event (job, member, event, &state, &ran))
 		return;
-	/* A worker that reports "not started" after "started" contradicts itself. What may have run
-	 * still may have run, or the job could run twice. For a stopped gang member @ran of the
-	 * event counts, because a release that was sent may not have arrived. */
+	/* A worker that reports "not started" after "started" contradicts itself. The member still
+	 * counts as one that may have run, or the job could run twice. For a stopped gang member
+	 * @ran of the event counts, because a release that was sent may not have arrived. */
 	if (state == DFF_CORE_MEMBER_START_FAILED && member->ran)
 		ran = true;
 	if (state == DFF_CORE_MEMBER_STOPPED && member->ran && job->gang == 1)
--- a/core/place.c
+++ b/core/place.c
@@ -549,8 +549,8 @@
 	if (is_hypothetical (view))
 		return false;
 	struct dff_core_job relaxed = *job;
-	/* Nothing comes free in a rack whose workers all leave or are evacuated: waiting there only
-	 * adds to the time that the job takes elsewhere. */
+	/* Nothing comes free in a rack whose workers all leave or are evacuated: waiting for that
+	 * rack would only delay the job. */
 	if (job->data_rack != DFF_CORE_NONE && !data_rack_is_open (core, job)) {
 		relaxed.data_rack = DFF_CORE_NONE;
 		if (place (core, &relaxed, view, workers))
--- a/core/quarantine.c
+++ b/core/quarantine.c
@@ -10,7 +10,7 @@
 #define STREAK_LIMIT 2
 /** Failures on other workers after which a job's failures do not count against a worker. */
 #define JOB_BLAME_LIMIT 2
-/** At most one in this many of the workers that are up may be in quarantine, but always one. */
+/** At most one in this many of the workers that are up may be in quarantine; one always may. */
 #define QUARANTINED_SHARE 4
 #define QUARANTINE_MIN_MS 60000
 #define QUARANTINE_MAX_MS 1800000
--- a/core/reclaim.c
+++ b/core/reclaim.c
@@ -2,8 +2,8 @@
 
 /* Reclaim: which borrowing work is preempted, and jobs that wait until it has ended. */
 
-/** Factor by which a job's score has to be lower to preempt a borrower, and minimum run time of the
- * borrower since its last start, ms. */
+/** Factor by which a job's score has to be lower than that of a borrower to preempt it, and minimum
+ * run time of the borrower since its last start, ms. */
 #define OVERTAKE_MARGIN 1.5
 #define OVERTAKE_MIN_RUN_MS 30000
 /** Number of preemptions after which that run time does not grow any more. */
--- a/core/recover.c
+++ b/core/recover.c
@@ -19,8 +19,8 @@
 	member->ran = running;
 	job->n_started += running;
 	/* A member that has ended leaves its accelerators to others while its gang's row still
-	 * names them. Until the workers' answers show which row holds them, both rows do, and no
-	 * other job gets them. */
+	 * names them. Until the workers' answers show which of the two rows holds the accelerators,
+	 * both do, and no other job gets them. */
 	struct dff_core_worker *worker = dff_core_worker_at (core, member->worker);
 	if ((worker->leased & placement->accelerators) != 0)
 		worker->overlapping = true;
--- a/core/relative_duration.c
+++ b/core/relative_duration.c
@@ -6,20 +6,20 @@
 
 /* Relative durations: how fast workers are compared to each other. Workers do not report their
  * speed. Tasks of one step (a peer group) take about equally long, so the duration of a task on a
- * worker, relative to the median of its peer group, tells how fast the worker is. The total
- * duration of a step tells nothing, because declared run times are far off. Estimates are in
- * logarithms of time; a worker's relative duration is assumed to be normally distributed around the
- * mean of all workers. The variance between workers and the variance of tasks on one worker are
- * learned from the same samples, so that no worker counts as slow where all are alike, however
- * uneven the tasks are. */
+ * worker, relative to the median of its peer group, shows how fast the worker is. The total
+ * duration of a step does not, because declared run times are far off. Estimates are in logarithms
+ * of time; a worker's relative duration is assumed to be normally distributed around the mean of
+ * all workers. The variance between workers and the variance of tasks on one worker are learned
+ * from the same samples, so that no worker counts as slow where all are alike, however uneven the
+ * tasks are. */
 
 /** Variances of the logarithms, of tasks and of workers, before there are samples, and the least
  * variance. Their quotient weighs a worker's samples against the mean. */
 #define TASK_VARIANCE 0.07F
 #define WORKER_VARIANCE 0.0004F
 #define VARIANCE_MIN 0.0004F
-/** Largest difference to the median that counts: some tasks take several times as long as others,
- * which their workers do not cause. */
+/** Largest difference to the median that counts: some tasks take several times as long as others on
+ * any worker. */
 #define DIFFERENCE_MAX 0.8
 /** Standard deviation of relative durations up to which workers count as equally fast. */
 #define ALIKE_SPREAD 0.15
--- a/include/core/core.h
+++ b/include/core/core.h
@@ -11,22 +11,20 @@
 
 /*
  * The decision core of one cell: tables of entities, and systems that run over them in each tick.
- * It
- * is deterministic: events and the time go in, commands come out. It does no I/O, has no global
- * state, reads no wall clock and draws no unseeded random number. No other part decides which job
- * runs where.
+ * The core is deterministic: events and the time go in, commands come out. It does no I/O, has no
+ * global state, reads no wall clock and draws no unseeded random number. No other part decides
+ * which job runs where.
  *
  * Lifecycle of an attempt, with the commands (>) and the events (<) that answer them:
  *
- *   > RECORD_START      make the start intent, with every placement, durable
- *   < ATTEMPT_RECORDED  it is durable (or < ATTEMPT_REFUSED: it is not and will not be)
- *   > START_TASK        one for each member; gangs are started held (throttled to nothing)
- *   < TASK_STARTED      the worker holds the member (or < TASK_START_FAILED: proven not started)
- *   > RELEASE_TASK      gangs only, once every member is held; from here on the job may have run
- *   < TASK_COMPLETED / TASK_FAILED / TASK_LOST
- *   > CHECKPOINT_TASK   preemption: < TASK_CHECKPOINTED, then
- *   > STOP_TASK         < TASK_STOPPED: stopped, or unknown and refused from now on (tombstone)
- *   > RECORD_OUTCOME    make the outcome durable; < OUTCOME_RECORDED frees the entry
+ * > RECORD_START make the start intent, with every placement, durable < ATTEMPT_RECORDED it is
+ * durable (or < ATTEMPT_REFUSED: it is not and will not be) > START_TASK one for each member; gangs
+ * are started held (throttled to nothing) < TASK_STARTED the worker holds the member (or <
+ * TASK_START_FAILED: proven not started) > RELEASE_TASK gangs only, once every member is held; from
+ * here on the job may have run < TASK_COMPLETED / TASK_FAILED / TASK_LOST > CHECKPOINT_TASK
+ * preemption: < TASK_CHECKPOINTED, then > STOP_TASK < TASK_STOPPED: stopped, or unknown and refused
+ * from now on (tombstone) > RECORD_OUTCOME make the outcome durable; < OUTCOME_RECORDED frees the
+ * entry
  *
  * Held members have not run, so a gang that fails before RELEASE_TASK is proven not run.
  */
@@ -143,7 +141,8 @@
 	DFF_EVENT_TASK_STOPPED,  /**< Proven stopped; @ran: whether it ever ran. */
 	DFF_EVENT_TASK_LOST,     /**< Its lease has expired: it no longer runs, and may have run. */
 	DFF_EVENT_TASK_PROGRESS, /**< @percent of the task's work is done. */
-	/** @worker, @peer_group, @duration_ms. Sent once a run, when progress allows it. */
+	/** @worker, @peer_group, @duration_ms. Sent once per run, when enough progress was
+	 * reported. */
 	DFF_EVENT_TASK_DURATION,
 	/** @worker, @worker_state, @leaves_in_ms. */
 	DFF_EVENT_WORKER_STATE,
--- a/include/core/job.h
+++ b/include/core/job.h
@@ -69,7 +69,7 @@
 	struct dff_name spread_group;
 	/** Maximum number of tasks of the spread group on one worker; 0: no limit. */
 	int32_t per_worker;
-	/** Value of finishing early, relative to other jobs, an accelerator second; 0 counts as
+	/** Value of finishing early, per accelerator second, relative to other jobs; 0 counts as
 	 * 1. */
 	double weight;
 };
--- a/tests/core/test-headroom.c
+++ b/tests/core/test-headroom.c
@@ -107,8 +107,8 @@
 	}
 }
 
-/* Guards against starvation of bulk work on a loaded day: gangs that wait for a whole rack keep
- * headroom in demand for as long as they wait, until the bulk work's deadline passes. */
+/* Guards against starvation of bulk work on a loaded day: gangs that wait for a whole rack count as
+ * demand, so headroom is left free for them until the bulk work's deadline passes. */
 static void
 test_headroom_after_wait (void **state)
 {
--- a/tests/core/test-starving-gang.c
+++ b/tests/core/test-starving-gang.c
@@ -106,9 +106,8 @@
 	tick_until_idle (run);
 }
 
-/* Guards against a gang of a whole rack waiting for ever, as a petition summary that misses its
- * council session: each small job takes what the one before left, so without a reservation the rack
- * is never free as a whole. */
+/* Guards against a gang of a whole rack waiting for ever: each small job takes what the one before
+ * left, so without a reservation the rack is never free as a whole. */
 static void
 test_gang_gets_a_rack (void **state)
 {
--- a/tests/core/test-wants.c
+++ b/tests/core/test-wants.c
@@ -203,9 +203,9 @@
 	dff_core_handle_event (site->core, &event, site->now_ms);
 }
 
-/* Guards against stopping gangs within a second of their end, so that they begin again: the victim
- * must not be chosen by run time and estimates alone, which are far off, but by the progress that
- * workers report. */
+/* Guards against stopping gangs within a second of their end, so that they start again from the
+ * beginning: the victim must not be chosen by run time and estimates alone, which are far off, but
+ * by the progress that workers report. */
 static void
 test_run_that_ends_soon_is_not_preempted (void **state)
 {
