--- a/holder/blame.c
+++ b/holder/blame.c
@@ -3,20 +3,22 @@
 #include "common/log.h"
 #include "holder/policy.h"
 
-/* Finds the tasks that end the workers that start them. A worker that ends takes all its runs with
- * it, and usually none of them or one is the cause. So the task of each lost run gets blame
- * points, and the core fails a job at a limit that a task which always ends its worker reaches
- * soon, and other tasks hardly ever:
+/* Finds the tasks that crash the workers that start them. All runs on a worker are lost with it,
+ * and usually at most one of them is the cause. So the task of each lost run gets blame points, and
+ * the core fails a job at a limit that a task that always crashes its worker reaches soon, and
+ * other tasks hardly ever:
  *
- * - Most points if the worker was lost soon after the run had started: a task that ends workers
+ * - Most points if the worker was lost soon after the run had started: a task that crashes workers
  *   does so as it starts. Fewer points for a run that was seen running for longer, for one that a
  *   former holder started, and for a start with unknown outcome.
  * - Few points for a lapsed lease, because the worker may be cut off; they are taken back once the
- *   worker answers again. But some: a crashed worker may be back only after its lease, or never.
+ *   worker answers again. There are some because a crashed worker may be back only after its lease
+ *   has lapsed, or never.
  * - None if the worker left when it had announced, or if the start was certainly not carried out.
  *
- * A run whose end is reported by its worker after a second of running does not end what starts it:
- * it clears its task of the startup points. A minute of running clears the task of all points.
+ * A task whose run ends after a second of running, as reported by its worker, does not crash
+ * workers as it starts: its startup points are cleared. If the worker is lost after a minute of
+ * running, the task is cleared of all points.
  *
  * The points are in the job's row, which is written before the task's next start, so that each
  * holder continues the count. Points for a lapsed lease are only taken back by the process that
@@ -51,7 +53,7 @@
 {
 	if (run->ran || run->inherited)
 		return true;
-	/* The start was sent when the worker had been gone for a while. */
+	/* The start was sent when the worker had not answered for a while. */
 	int64_t unanswered_since_ms = run->worker->unanswered_since_ms;
 	if (unanswered_since_ms > 0 && run->sent_ms >= unanswered_since_ms + ANSWER_MS)
 		return false;
--- a/holder/commit.c
+++ b/holder/commit.c
@@ -110,8 +110,8 @@
 			lease_step_down (holder, "epoch_raised");
 			return;
 		}
-		/* This is no confirmation: other processes that read the row since then measure
-		 * from its revision. */
+		/* Does not count as a confirmation of the lease: other processes may have read the
+		 * row before, and count the time without a change from then. */
 		note_store (holder, false, begun_ms, result);
 		draft_unwritten (holder);
 		break;
--- a/holder/evacuation.c
+++ b/holder/evacuation.c
@@ -7,10 +7,10 @@
  * a data centre that an operator is emptying for work on its power.
  *
  * A start is held back in three places, because it passes through the store and over the network
- * between the decision and the worker: the core places no task there, a recorded start that was
- * not sent is withdrawn, and a start with unknown outcome is stopped instead of repeated. Runs
- * that are active there continue to their end: they were started before, and the work that a stop
- * discards benefits nobody. */
+ * between the decision and the worker: the core places no task there, a recorded start that was not
+ * sent is withdrawn, and a start with unknown outcome is stopped instead of repeated. Runs that are
+ * active there continue to their end: they were started before, and a stop would only discard their
+ * work. */
 
 /** Age of the known evacuations from which no task is started, ms. Operators rely on an evacuation
  * after five seconds; an order may be in transit for some hundred ms. */
--- a/holder/holder.c
+++ b/holder/holder.c
@@ -16,7 +16,7 @@
 /** Time without a recorded transaction from which a probed holder releases the lease if asked to,
  * ms: longer than a lost answer and its repetition take. */
 #define UNWRITABLE_MS 300
-/** A shorter list is read whole in less than 0.1 s, so that reading changes gains nothing. */
+/** A shorter list is read whole in less than 0.1 s, so reading only its changes saves nothing. */
 #define FEED_MIN_WORKERS 100
 /** Below this number the holder calls all workers itself: that keeps its connections and processor
  * time far below the capacity of the smallest machine, and orders take one hop. */
--- a/holder/holder_private.h
+++ b/holder/holder_private.h
@@ -42,7 +42,7 @@
 /** Reads the holder's row, and takes the lease when the row no longer changes. */
 void lease_step (struct dff_holder *holder);
 
-/** After a takeover, probes the former holder to learn whether it still renews leases. */
+/** After a takeover, probes the former holder to determine whether it still renews leases. */
 void lease_probe_former (struct dff_holder *holder);
 
 /** Resets all state of the holder: another process has the lease of the cell, or may have it soon.
@@ -149,7 +149,7 @@
 
 size_t draft_n_conditions (const struct draft *draft);
 
-/** Adds a row that must not exist. Returns: false when the transaction has no room for it. */
+/** Adds a row that must not exist. Returns: false when it does not fit into the transaction. */
 bool draft_submission (struct draft *draft, const char *key, const GString *value);
 
 /** The transaction is recorded: everything that waits for this proceeds. */
--- a/holder/holder_tables.h
+++ b/holder/holder_tables.h
@@ -64,8 +64,8 @@
 	GList link;
 	/** Whether the worker was ever seen running it. */
 	bool ran;
-	/** When the run became known as open: worker reports requested before that say nothing
-	 * about it. */
+	/** When the run became known as open: worker reports requested before that may not list
+	 * it. */
 	int64_t open_ms;
 	bool order_in_flight;
 	/** Number of start orders without an answer: each of them may still be carried out. */
@@ -145,8 +145,8 @@
 	 */
 	int64_t entry_revision;
 	int64_t entry_changed_ms;
-	/** Another incarnation answered at its address, or its lease has lapsed after it left the
-	 * list. */
+	/** Whether another incarnation answered at its address, or its lease has lapsed after it
+	 * left the list. */
 	bool lost;
 	/** The worker's clock, and the local time at which it was read; 0: never in this epoch. */
 	int64_t clock_ms;
--- a/holder/lease.c
+++ b/holder/lease.c
@@ -242,7 +242,8 @@
 				      holder_call_begin (holder, sizeof (struct holder_call)));
 }
 
-/* The process that is first differs from epoch to epoch. */
+/* Returns: a pseudo-random delay for a takeover to @epoch, so that the process that is first
+ * differs from epoch to epoch. */
 static int64_t
 spread_ms (const struct dff_holder *holder, int64_t epoch, int64_t range_ms)
 {
--- a/holder/list.c
+++ b/holder/list.c
@@ -23,7 +23,7 @@
 #define UNREADABLE_LOG_INTERVAL_MS 5000
 
 /* An unreadable entry provides no worker; the other entries remain valid. A worker whose entry was
- * readable before counts as not listed. Workers write all the time, so that the log lines are
+ * readable before counts as not listed. Workers write all the time, so the log lines are
  * limited. */
 static void
 note_unreadable (struct dff_holder *holder, const struct dff_row *row)
--- a/holder/runs.c
+++ b/holder/runs.c
@@ -60,7 +60,8 @@
 	(*holder->metrics.open_runs)--;
 }
 
-/* There should be none: a new run is placed only when the previous one has ended. */
+/* Removes the previous run of a task at a worker. There should be none: a new run is placed only
+ * when the previous one has ended. */
 static void
 remove_former_run (struct dff_holder *holder,
 		   const struct holder_worker *worker,
@@ -138,7 +139,7 @@
 	run->next_ms = holder_now_ms (holder);
 }
 
-/* The first member represents its gang. */
+/* Reports the progress of a unit to the core: for a gang, that of its first member. */
 static void
 report_progress (struct dff_holder *holder, const struct holder_run *run)
 {
--- a/holder/units.c
+++ b/holder/units.c
@@ -115,8 +115,8 @@
 	unit->attempt = 1;
 	for (int32_t i = 0; i < unit->n_members; i++) {
 		const struct dff_task *task = member_task (unit, i);
-		/* The worker chooses the accelerators of a task: only their number matters here,
-		 * so that none is named. */
+		/* The worker chooses the accelerators of a task: only their number matters here, so
+		 * no accelerator is named. */
 		struct dff_placement placement = {.worker = task->worker};
 		g_array_append_val (placements, placement);
 		g_array_append_val (running, yes);
@@ -300,7 +300,7 @@
 		/* A gang starts working by itself once all its members have started. */
 		return;
 	case DFF_COMMAND_CHECKPOINT_TASK:
-		/* A stop saves a checkpoint as well, so that there is nothing to wait for. */
+		/* A stop saves a checkpoint as well, so there is nothing to wait for. */
 		jobs_report (holder, &unit->name, command->attempt, command->member,
 			     DFF_EVENT_TASK_CHECKPOINTED, false);
 		return;
--- a/holder/workers.c
+++ b/holder/workers.c
@@ -2,8 +2,8 @@
 
 #include "common/log.h"
 
-/* The set of workers. The worker list is late, so that it only determines which workers may be
- * called and which are leaving; a worker's own answers show whether it is there. */
+/* The set of workers. The worker list is late, so it only determines which workers may be called
+ * and which are leaving; a worker's own answers show whether it is there. */
 
 /** Time that a worker may be missing from the list before it counts as gone, ms: entries that
  * lapsed during a store outage are back within two seconds. */
--- a/include/holder/holder.h
+++ b/include/holder/holder.h
@@ -61,8 +61,8 @@
 	/** Address at which relays connect to this process while it is the holder: processes that
 	 * carry its calls to workers. Empty without relays; the relay callbacks are then NULL. */
 	struct dff_name relay_address;
-	/** Called when another process is the holder and takes @n_relays relays at @address; 0 and
-	 * an empty address: there is no such process, or this one is the holder. */
+	/** Called when another process is the holder and accepts @n_relays relays at @address; 0
+	 * and an empty address: no other process is the holder, or this one is the holder. */
 	void (*relay_connect) (void *ctx, const struct dff_name *address, int32_t n_relays);
 	/** Called when the holder is known to have changed. @address: where it can be probed,
 	 * empty when not known; @self: this process is the holder. */
--- a/tests/holder/site.h
+++ b/tests/holder/site.h
@@ -57,7 +57,7 @@
 	struct dff_holder *holder;
 	struct dff_front *front;
 	/** With evacuations: this process's subscription to the operators' requests, and the
-	 * evacuations in force. */
+	 * current evacuations. */
 	struct dff_subscription *requests;
 	struct dff_evacuations *evacuations;
 	/** With links: the intake, which forwards rows to the holder, and the holder's address. */
@@ -113,7 +113,7 @@
  * decisions, DFF_SEED_TEST selects the one of @tests to run. */
 void site_tests_begin (const struct CMUnitTest *tests, size_t n_tests);
 
-/** Opens a site: all processes are started, and one of them holds the cell. */
+/** Opens a site: all processes are started, and one of them holds the lease of the cell. */
 void site_open (struct site *site);
 
 /** As site_open(), with calls to workers through relays. */
@@ -150,7 +150,7 @@
 void site_start_process (struct site *site, int index);
 void site_kill_process (struct site *site, int index);
 
-/** Returns: the index of the process that holds the cell; -1: none. */
+/** Returns: the index of the process that holds the lease of the cell; -1: none. */
 int site_holder (const struct site *site);
 
 /** Removes a worker's entry from the list, or writes it. */
--- a/tests/holder/test-holder-crashes.c
+++ b/tests/holder/test-holder-crashes.c
@@ -87,10 +87,9 @@
 /* Guards against a task that crashes one worker after another, every three seconds and without end,
  * together with everything else that runs there: a worker crashes as it starts the task; its next
  * incarnation answers at the same address, or its lease expires; the task is started on another
- * worker, and its job never ends. Only runs that a worker lists as failed used to cost an attempt,
- * and a run that is lost with its worker is not listed. In one epoch of a holder the number of runs
- * rose without limit, one after each report of a worker's end; what is counted now ends the job in
- * every one of these cases. */
+ * worker, and its job never ends. Only runs that a worker lists as failed count as attempts, and a
+ * run that is lost with its worker is not listed, so the number of runs would rise without limit.
+ * The blame points end the job in each of these cases. */
 static void
 test_task_that_crashes_its_workers (void **state)
 {
@@ -115,7 +114,7 @@
 	assert_int_not_equal (took_ms, -1);
 	site_run (&site, 10000);
 	g_autofree char *task = g_strdup_printf ("%s.0.0.%d", test_case->id, test_case->count - 1);
-	/* A job is given up only if two workers have crashed under one of its tasks. */
+	/* A job is failed only if two workers have crashed under one of its tasks. */
 	assert_in_range (dff_memory_runner_n_incarnations_ended (site.runner, task), 2, MAX_STARTS);
 	assert_in_range (dff_memory_runner_n_starts (site.runner, task), 2, MAX_STARTS);
 	site_close (&site);
@@ -242,7 +241,7 @@
 	site_close (&site);
 }
 
-/* Guards against giving up jobs together with one that crashes its workers: several jobs are
+/* Guards against failing jobs together with one that crashes its workers: several jobs are
  * submitted together, some of which crash their workers, and the tasks lost with one worker are
  * placed again at the same moment. If they were placed together again, the same tasks would be
  * present at every crash. */
--- a/tests/holder/test-holder-seeds.c
+++ b/tests/holder/test-holder-seeds.c
@@ -17,14 +17,14 @@
  * counted expired leases only while a task ran. */
 static const guint failed_seeds[] = {1295, 2109};
 
-/** Failed seeds with broken paths. 5: a job was given up as one that crashes its workers. All
- * workers had restarted at once, and the starts on their way to the former incarnations counted
- * against the job. */
+/** Failed seeds with broken paths. 5: a job was failed as one that crashes its workers. All workers
+ * had restarted at once, and the starts on their way to the former incarnations counted against the
+ * job. */
 static const guint failed_seeds_with_paths[] = {5};
 
 /** Failed seeds with relays. 1189: a failed run did not count, because its end was received after
- * its worker, cut off for ten seconds, had been given up and its lease had expired. That is
- * allowed, as it is for completed work; the stand-in counted the run. */
+ * its worker had been cut off for ten seconds and its lease had expired. That is allowed, as it is
+ * for completed work; the stand-in counted the run. */
 static const guint failed_seeds_with_relays[] = {1189};
 
 /** Failed seeds with failures. 8: a gang was started after its last attempt, because the row did
@@ -83,7 +83,7 @@
 	struct site site;
 	GRand *rand;
 	int n_jobs;
-	/** Number of jobs that were given up because of crashes that other jobs caused. */
+	/** Number of jobs that failed because of crashes that other jobs caused. */
 	int n_blameless;
 	enum variant variant;
 	/** Ids of the jobs whose cancellation was confirmed or may have taken effect. Elements:
@@ -447,7 +447,7 @@
 }
 
 /* Returns: whether two or more workers have crashed under a task of a job, so that the job may be
- * given up. */
+ * failed. */
 static bool
 has_crashed_workers (const struct run *run, const char *id)
 {
--- a/tests/holder/test-holder-store.c
+++ b/tests/holder/test-holder-store.c
@@ -31,8 +31,8 @@
 }
 
 /* Guards against jobs that wait for seconds after the loss of the holder: its process is killed or
- * loses its path to the store. The other processes must not wait in every case until its row has
- * stood still. */
+ * loses its path to the store. The other processes must not wait in every case until the holder's
+ * row has not changed for the whole timeout. */
 static void
 test_take_over (void **state)
 {
@@ -140,7 +140,7 @@
 }
 
 /* The load: an idle fleet of small machines and a few large ones. Guards against reads of the store
- * that grow with the fleet, by three a second and machine: the reads of a process that is not among
+ * that grow with the fleet, by three a second per machine: the reads of a process that is not among
  * the next candidates for the lease are counted. */
 static void
 test_reads_of_slow_processes (void **state)
--- a/tests/holder/test-holder-submissions.c
+++ b/tests/holder/test-holder-submissions.c
@@ -53,8 +53,8 @@
 }
 
 /* Guards against reporting a completion 250 ms late: the caller queries the job's state just when
- * the last task has ended, is told that the job is running, and queries again after its pause. The
- * completion had not been received yet, or not been recorded. */
+ * the last task has ended, gets the answer that the job is running, and queries again after its
+ * pause. The completion had not been received yet, or not been recorded. */
 static void
 test_state_query_at_completion (void **state)
 {
@@ -99,7 +99,7 @@
 	site_close (&site);
 }
 
-/* Guards against reporting a job as not accepted that runs, and against losing an accepted job: the
+/* Guards against reporting a job that runs as not accepted, and against losing an accepted job: the
  * transaction with the job is refused, is not answered, is executed late or finds the row written
  * already, and the holder may be killed just then. An unknown outcome must not be reported as done
  * or not done. */
@@ -183,7 +183,7 @@
 	runner->watch (runner->ctx, &watch, ignore_result, NULL);
 }
 
-/* Guards against reporting a job as not accepted that runs: the transaction with the job is on its
+/* Guards against reporting a job that runs as not accepted: the transaction with the job is on its
  * way to a slow store when the holder steps down, and the store refuses the caller's process, so
  * that no other write settles the outcome; the transaction is executed. Transactions in progress
  * must not be reported as not done. */
--- a/tests/holder/test-holder-workers.c
+++ b/tests/holder/test-holder-workers.c
@@ -295,8 +295,8 @@
 
 /* Guards against restarting the tasks of a removed worker ten seconds late and from their
  * beginning: a worker announces that it leaves in 1.8 s, and is then gone together with its longer
- * tasks. Nothing new was placed there, but the running tasks were not handled, and a removed worker
- * looks like one that is cut off. */
+ * tasks. It is not enough to place nothing new there: the running tasks have to be stopped in time,
+ * because a removed worker looks like one that is cut off. */
 static void
 test_worker_that_leaves_soon (void **state)
 {
--- a/tests/holder/test-holder.c
+++ b/tests/holder/test-holder.c
@@ -65,8 +65,8 @@
 }
 
 /* Guards against running a job twice: the answer to a submission is lost, and the caller sends the
- * job again through other processes, also after it was accepted. Each submission was taken for a
- * new job. */
+ * job again through other processes, also after it was accepted. A repeated submission must not
+ * count as a new job. */
 static void
 test_repeated_submission_runs_once (void **state)
 {
