--- a/fleet/relays.c
+++ b/fleet/relays.c
@@ -8,7 +8,8 @@
 #include "relay/stream.h"
 
 /** Delay before reconnecting to the holder, doubled after each attempt up to the limit, ms. A
- * holder that has enough relays must not be called all the time by a thousand processes. */
+ * holder that has enough relays must not receive connections from a thousand processes all the
+ * time. */
 #define RECONNECT_MIN_MS 1000
 #define RECONNECT_MAX_MS 30000
 
--- a/fleet/state_link.c
+++ b/fleet/state_link.c
@@ -59,8 +59,8 @@
 	       dff_clock_now_ms (link->options.clock) >= link->avoid_until_ms;
 }
 
-/* Handles a holder that has not answered or is not the holder any more. If it named another
- * process, that process is used; otherwise the holder is not queried for HOLDER_AVOID_MS. */
+/* Handles a holder that has not answered or is not the holder any more. If its answer named another
+ * process, that process is queried; otherwise the holder is not queried for HOLDER_AVOID_MS. */
 static void
 handle_holder_unavailable (struct dff_state_link *link, const struct dff_name *next)
 {
--- a/front/front.c
+++ b/front/front.c
@@ -16,8 +16,8 @@
 #define RETRY_DELAY_MS 40
 /** Part of the caller's time that is reserved for delivering the answer, ms. */
 #define REPLY_MARGIN_MS 60
-/** Refusals by the store after which the caller is told to retry. Another process may be served
- * while this one is refused. */
+/** Number of refusals by the store after which the call ends as DFF_FRONT_UNAVAILABLE. Another
+ * process may be served while this one is refused. */
 #define REFUSALS_MAX 2
 
 struct dff_front {
@@ -128,8 +128,8 @@
 	dff_timer_start (request->retry, RETRY_DELAY_MS);
 }
 
-/* A refused write had no effect: unless the result of an earlier write is open, the caller is told
- * after REFUSALS_MAX refusals that nothing was done. */
+/* A refused write had no effect: after REFUSALS_MAX refusals the caller is answered that nothing
+ * was done, unless an earlier write may still take effect. */
 static void
 request_refused (struct request *request, request_step_func step)
 {
@@ -167,8 +167,8 @@
 
 /* Runs the first step of a request, or rejects the request if @allowed is false. When the store
  * does not answer, the result of a write would stay open until the caller's deadline. Nothing is
- * sent to it then, so that the caller can be told at once that nothing was done and when to retry.
- */
+ * sent to the store then, so that the caller is answered at once that nothing was done and when to
+ * retry. */
 static void
 request_begin_if (struct request *request, request_step_func step, bool allowed)
 {
@@ -467,7 +467,7 @@
 }
 
 /* The holder knows of a completion before its record can be read, and it answers while the store
- * does not. It knows nothing of a job that it has not ingested yet or that was never submitted; the
+ * does not. It has no state of a job that it has not ingested yet or that was never submitted; the
  * rows are read then. */
 void
 dff_front_read_state (struct dff_front *front,
--- a/front/intake.c
+++ b/front/intake.c
@@ -415,8 +415,9 @@
 	g_free (forward);
 }
 
-/* Handles a holder that was unreachable or is not the holder any more. If it named another process,
- * that process is used; otherwise rows are not forwarded for HOLDER_AVOID_MS. */
+/* Handles a holder that was unreachable or is not the holder any more. If its answer named another
+ * process, rows are forwarded to that process; otherwise rows are not forwarded for
+ * HOLDER_AVOID_MS. */
 static void
 handle_holder_unavailable (struct dff_intake *intake, const struct dff_name *next)
 {
--- a/graph/progress.c
+++ b/graph/progress.c
@@ -197,10 +197,10 @@
 }
 
 /* The task's state records that the failure of the run in progress is counted; the number of
- * failures alone does not show that. Otherwise a job could be given up one failed run too early, or
- * be restarted after one too many: a member of a gang fails, the failure is recorded, and the
- * holder ends before the other members have ended. The next holder then receives the failure again
- * or, as the failure was acknowledged, never. */
+ * failures alone does not show that. Otherwise a job could fail one failed run too early, or be
+ * restarted after one too many: a member of a gang fails, the failure is recorded, and the holder
+ * ends before the other members have ended. The next holder then receives the failure again or, as
+ * the failure was acknowledged, never. */
 void
 dff_progress_mark_failed (struct dff_progress *progress,
 			  const struct dff_plan *plan,
--- a/include/fleet/operator_state.h
+++ b/include/fleet/operator_state.h
@@ -19,7 +19,7 @@
 	const struct dff_timers *timers;
 	const struct dff_rows *rows;
 	struct dff_metrics *metrics;
-	/** Time within which operators rely on a change being in force, ms. */
+	/** Time within which operators rely on a change having taken effect, ms. */
 	int32_t bound_ms;
 	void (*config_changed) (void *ctx, const struct dff_fleet_config *config);
 	/** @data_centres: all data centres that are to be evacuated now. */
--- a/include/fleet/state_link.h
+++ b/include/fleet/state_link.h
@@ -20,8 +20,8 @@
 	struct dff_metrics *metrics;
 	/** The holder has not answered, or is not the holder any more. */
 	void (*holder_lost) (void *ctx);
-	/** The process that was taken for the holder named another address, which is used from now
-	 * on. */
+	/** The process that was addressed as the holder answered with another address, which is
+	 * used from now on. */
 	void (*holder_moved) (void *ctx, const struct dff_name *address);
 	void *ctx;
 };
--- a/include/front/intake.h
+++ b/include/front/intake.h
@@ -76,8 +76,8 @@
 	void *record_ctx;
 	/** (nullable): the holder was unreachable or is not the holder any more. */
 	void (*holder_lost) (void *ctx);
-	/** (nullable): the process that was taken for the holder named another address, which is
-	 * used from now on. */
+	/** (nullable): the process that was addressed as the holder answered with another address,
+	 * which is used from now on. */
 	void (*holder_moved) (void *ctx, const struct dff_name *address);
 	void *holder_ctx;
 };
--- a/include/platform/ingress.h
+++ b/include/platform/ingress.h
@@ -19,8 +19,8 @@
 	const struct dff_clock *clock;
 	struct dff_front *front;
 	struct dff_metrics *metrics;
-	/** Returns: (nullable): the configuration in force; NULL: none is known, or the known one
-	 * is stale. */
+	/** Returns: (nullable): the current configuration; NULL: none is known, or the known one is
+	 * stale. */
 	const struct dff_fleet_config *(*config) (void *ctx);
 	void *ctx;
 };
--- a/relay/dispatch.c
+++ b/relay/dispatch.c
@@ -84,8 +84,8 @@
 	g_free (relay);
 }
 
-/* Counts the unanswered calls of a worker. The relay may be unable to reach a worker that serves,
- * so that the next call has to take another path. */
+/* Counts the unanswered calls of a worker. The relay may be unable to reach a worker that works, so
+ * the next call has to take another path. */
 static void
 record_outcome (struct dff_dispatch *dispatch,
 		const struct dff_name *worker,
--- a/tests/platform/test-ingress.c
+++ b/tests/platform/test-ingress.c
@@ -204,8 +204,8 @@
 	fixture_close (&fixture);
 }
 
-/* Guards against telling a caller that a call had no effect although its job runs: a write without
- * an answer is followed by a refused one, and the refusal is taken for the result of both. */
+/* Guards against answering that a call had no effect although its job runs: a write without an
+ * answer is followed by a refused one, and the refusal is taken for the result of both. */
 static void
 test_refused_call_has_no_effect (void **state)
 {
