--- a/core/relative_duration.c
+++ b/core/relative_duration.c
@@ -18,8 +18,8 @@
 #define TASK_VARIANCE 0.07F
 #define WORKER_VARIANCE 0.0004F
 #define VARIANCE_MIN 0.0004F
-/** Largest difference to the median that counts: some tasks take several times as long as others on
- * any worker. */
+/** Largest difference to the median that counts: some tasks take several times as long as others
+ * whatever the worker. */
 #define DIFFERENCE_MAX 0.8
 /** Standard deviation of relative durations up to which workers count as equally fast. */
 #define ALIKE_SPREAD 0.15
--- a/include/core/job.h
+++ b/include/core/job.h
@@ -25,8 +25,8 @@
 	DFF_OUTCOME_FAILED,
 	DFF_OUTCOME_CANCELLED,
 	DFF_OUTCOME_NOT_RUN, /**< Proven: no part of it ran, and none will. */
-	DFF_OUTCOME_UNKNOWN, /**< Not idempotent, and neither outcome can be proven. Never started
-				again. */
+	DFF_OUTCOME_UNKNOWN, /**< Not idempotent, and neither "completed" nor "not run" can be
+				proven. Never started again. */
 };
 
 /** Largest gang of one job or request, in tasks: the most that one decision places. */
