--- a/entry/answer.h
+++ b/entry/answer.h
@@ -42,7 +42,7 @@
 			      const struct dff_answer *answer,
 			      const struct dff_name *request);
 
-/** Returns: "answer/TEAM/REQUEST". The key holds the team, so that no team can read another one's
+/** Returns: "answer/TEAM/REQUEST". The key holds the team, so that no team can read another team's
  * answers. */
 GString *dff_answer_key (const struct dff_name *team, const struct dff_name *request);
 
--- a/entry/attempt.c
+++ b/entry/attempt.c
@@ -159,9 +159,9 @@
 	read_row (request);
 }
 
-/* Another process has the attempt, or had it and died. The wait lasts only while that process can
- * still end the attempt. Otherwise a caller would be kept waiting for an answer that never comes:
- * it would time out, repeat its call and finally give up without an outcome. */
+/* Another process has the attempt, or had it and died. Waits only while that process can still end
+ * the attempt. Otherwise the caller would time out, repeat its call and finally stop without an
+ * outcome. */
 static void
 wait_for_other_process (struct dff_request *request, const struct attempt_row *row)
 {
--- a/entry/bulk_cancel.c
+++ b/entry/bulk_cancel.c
@@ -65,8 +65,8 @@
 	json_decref (json);
 }
 
-/* A row that the holder changed between the read and the write has a higher revision now, so that
- * it is on the next page again. */
+/* A row that the holder changed between the read and the write has a higher revision now, so the
+ * next page contains it again. */
 static void
 finish_page (struct cancellation *cancellation)
 {
--- a/entry/call.c
+++ b/entry/call.c
@@ -94,9 +94,9 @@
 }
 
 /* evhttp does not watch the connection while its request is being handled, so that a caller that
- * hung up would hold its connection until the answer is written. Reading therefore stays enabled,
- * and the end of the stream is seen. evhttp's own read callback has to be off meanwhile: it treats
- * bytes that a client sends ahead as a broken invariant and ends the process. */
+ * disconnects would hold its connection until the answer is written. Reading therefore stays
+ * enabled, to detect the end of the stream. evhttp's own read callback is disabled meanwhile: it
+ * treats bytes that a client sends ahead as a broken invariant and ends the process. */
 void
 dff_call_watch_loss (struct dff_call *call)
 {
--- a/entry/connection.c
+++ b/entry/connection.c
@@ -154,9 +154,9 @@
 		evconnlistener_disable (connections->listener);
 }
 
-/* A caller that disappears without closing its connection (power loss, a middlebox that dropped the
- * connection) would hold it for as long as it waits for a result. The kernel's keep-alive probes
- * detect this. */
+/* Detects callers that disappear without closing the connection (power loss, a middlebox that
+ * dropped the connection). Without keep-alive probes the connection would stay in use until the
+ * call is answered. */
 static void
 enable_keepalive (struct connection *connection)
 {
@@ -225,8 +225,8 @@
 	return connection->state == DFF_CONNECTION_IDLE && age_ms >= idle_limit_ms;
 }
 
-/* evhttp owns the connection and provides no handle to one that has not sent a request yet. After
- * the shutdown evhttp reads the end of the stream and frees the connection itself. */
+/* evhttp owns the connection, and provides no handle to it before the first request. The socket is
+ * shut down instead: evhttp then reads the end of the stream and frees the connection. */
 static void
 close_connection (const struct connection *connection)
 {
--- a/entry/dispatch.c
+++ b/entry/dispatch.c
@@ -3,7 +3,7 @@
 #include "common/log.h"
 #include "entry/request_private.h"
 
-/** Maximum number of workers that one request is sent to. */
+/** Maximum number of times that one request is sent, hedging included. */
 #define SENT_MAX 4
 /** Time for which a worker is avoided after it could not be reached, or refused a request, ms. */
 #define AVOID_UNREACHABLE_MS 1000
@@ -43,7 +43,7 @@
 	return request->deadline_ms - now_ms (request);
 }
 
-/* Retry-After for a caller whose request found no worker, s. */
+/* Retry-After of a request that could not be completed, s: 1 or 2. */
 static int32_t
 jittered_retry_after_s (struct dff_request *request)
 {
@@ -97,9 +97,8 @@
 	dff_request_set_timer (request, now_ms (request) + (int64_t)wait_ms, backoff_elapsed);
 }
 
-/* Retries on another worker a request that did not run or may run twice, while there is time and
- * the retry budget allows it. Otherwise the request is answered now, because waiting would not
- * help. */
+/* Retries a request that did not run or is idempotent, on another worker if one has a free slot.
+ * Without time, sends or retry budget left the request is answered now: waiting would not help. */
 static void
 retry_on_other_worker (struct dff_request *request)
 {
@@ -147,8 +146,8 @@
 	/* Another worker has the request and has not answered yet. */
 	if (request->n_outstanding > 0)
 		return;
-	/* The caller forbade a second start of a request that may have run: a client could be
-	 * billed twice. */
+	/* A request that is not idempotent is not sent again once it may have run: a client could
+	 * be billed twice. */
 	if (request->may_have_run && !request->idempotent)
 		dff_request_give_up (request, "upstream_lost", jittered_retry_after_s (request));
 	else
@@ -198,7 +197,7 @@
 			  worker_replied, worker_request);
 }
 
-/* A middlebox may lose track of the connection to a worker: requests sent on it vanish while new
+/* A middlebox may lose track of the connection to a worker: requests sent on it are lost while new
  * connections work. Without hedging the caller would wait until its deadline although any other
  * worker would have answered. The first answer counts; the retry budget limits the number of
  * requests sent twice. */
@@ -270,9 +269,9 @@
 	dff_request_set_timer (request, request->deadline_ms - DEADLINE_MIN_MS, wait_timed_out);
 }
 
-/* A request that is not idempotent must not be sent once all its callers are gone. Otherwise a
- * caller whose connection broke while the request waited for a slot could send it again through
- * another process, get not_run as its outcome there, and the first request would run afterwards. */
+/* A request that is not idempotent must not be sent once all its callers are disconnected.
+ * Otherwise a caller that disconnects while the request waits for a slot could repeat it through
+ * another process and get not_run there, and the first request would run afterwards. */
 static bool
 is_still_needed (const struct dff_request *request)
 {
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -12,7 +12,7 @@
 #include "entry/route.h"
 
 /** While draining, a connection without a request for this long is closed, ms. A request that was
- * already on its way has arrived by then and is answered. */
+ * already in transit has arrived by then and is answered. */
 #define DRAIN_IDLE_MS 500
 /** Maximum size of a request's line and headers, bytes. */
 #define MAX_HEADER_BYTES 16384
--- a/entry/job_cancel.c
+++ b/entry/job_cancel.c
@@ -7,7 +7,7 @@
 #include "entry/reply.h"
 #include "entry/route.h"
 
-/** Maximum writes that conflict with the holder's before the caller is asked to retry later. */
+/** Number of writes that conflict with those of the holder after which the caller has to retry. */
 #define TRIES_MAX 8
 
 struct cancellation {
--- a/entry/record.h
+++ b/entry/record.h
@@ -33,7 +33,7 @@
  * @timeout_ms: time after which the outcome is NOT_DONE or UNKNOWN
  *
  * Calls @done once, after this function has returned. If the entry is closed, @done is called
- * before it returns.
+ * before this function returns.
  */
 void dff_entry_record (struct dff_entry *entry,
 		       const struct dff_trace_context *parent,
--- a/entry/request_private.h
+++ b/entry/request_private.h
@@ -17,7 +17,8 @@
  */
 
 enum dff_request_state {
-	/** The row of its attempt is being written, or it waits for another process's attempt. */
+	/** The attempt's row is being written, or the request waits until another process's
+	 * attempt with the same key has ended. */
 	DFF_REQUEST_RECORDING,
 	/** Waits in the queue for a slot. */
 	DFF_REQUEST_WAITING,
@@ -44,11 +45,12 @@
 	int32_t n_sent;
 	/** Workers that have the request and have not answered. */
 	int32_t n_outstanding;
-	/** The worker that it was sent to last. */
+	/** Worker that the request was sent to last. */
 	struct dff_name worker;
-	/** It was sent to a worker, and whether it ran is not known. */
+	/** A worker may have run the request: it was sent, and its outcome is not known. */
 	bool may_have_run;
-	/** It has ended, and this process never sent it to a worker that may have accepted it. */
+	/** The request has ended, and this process never sent it to a worker that may have accepted
+	 * it. */
 	bool proven_not_run;
 	/** Outcome to report while this process has not recorded the attempt. */
 	enum dff_outcome refusal_outcome;
@@ -58,7 +60,7 @@
 	/** Elements: struct dff_call *, each with a reference. */
 	GPtrArray *calls;
 	struct dff_answer *answer;
-	/** The connection of some caller broke before the answer. */
+	/** At least one caller's connection was lost before the answer. */
 	bool caller_disconnected;
 
 	/* Only for requests that are not idempotent. */
@@ -70,12 +72,12 @@
 	bool recording;
 	uint64_t ticket;
 	struct dff_span record_span;
-	/** Revision of the attempt's row if this process wrote it; 0: it did not. */
+	/** Revision of the attempt's row; 0: this process did not write the row. */
 	int64_t revision;
 	/** Time when another process's open attempt was first seen, ms; 0: never. */
 	int64_t open_since_ms;
 	int32_t n_restarts;
-	/** The answer is in the object store, or storing it was given up. */
+	/** The answer is in the object store, or every try to store it has failed. */
 	bool answer_stored;
 	int32_t store_tries;
 };
--- a/entry/result.c
+++ b/entry/result.c
@@ -9,14 +9,15 @@
 
 /** Maximum time of a long poll, ms. */
 #define WAIT_MAX_MS 60000
-/** Interval at which rows of waiting jobs are read again, ms; each time a part of them in turn. */
+/** Interval at which rows of jobs with waiting callers are read again, ms. Each read takes the next
+ * part of the jobs. */
 #define REREAD_MS 3000
 /** Maximum number of jobs with waiting callers, and of jobs that count towards their team's quota,
  * in one such read. Nine processes with many callers read 450 rows a second with these limits, of
  * the 2,000 that all processes share. */
 #define REREAD_WAITING_MAX 100
 #define REREAD_COUNTED_MAX 50
-/** With so many halvings, one row of each kind is read. */
+/** Maximum halvings of a read; one row of each kind is then left. */
 #define HALVINGS_MAX 6
 /** Retry-After for the caller of an unfinished job, s. */
 #define POLL_AGAIN_S 1
@@ -50,8 +51,8 @@
 	g_free (waiter);
 }
 
-/* Frees a waiter that is off the list. While its row is being read, the callback of the read frees
- * it. */
+/* Frees a waiter that was removed from the list. While its row is being read, the callback of the
+ * read frees the waiter. */
 static void
 release_waiter (struct waiter *waiter)
 {
@@ -267,9 +268,8 @@
 	return jobs;
 }
 
-/* A notification that a job has ended may be lost on its way from the holder, or the holder may
- * have died. Without reading the rows again, a long poll would time out although the result
- * exists. */
+/* The holder's notification that a job has ended may be lost, or the holder may have died. Without
+ * reading the rows again, a long poll would time out although the result exists. */
 static void
 reread (struct dff_results *results)
 {
--- a/entry/slots.c
+++ b/entry/slots.c
@@ -7,8 +7,8 @@
 	struct dff_name address; /**< Empty: not in the instance list. */
 	bool same_data_centre;
 	bool listed_leaving;
-	/** The worker reported itself that it is leaving. Reset when the instance list no longer
-	 * has the worker, or when it gets a new grant. */
+	/** The worker itself reported that it is leaving. Reset when the instance list no longer
+	 * has the worker, or when a grant arrives after the holddown. */
 	bool reported_leaving;
 	/** Time of the last such report, ms. */
 	int64_t reported_leaving_ms;
@@ -117,8 +117,8 @@
 
 /* A grant also means that a worker is back after a restart under the same id. Entries get no other
  * signal: only the holder is notified that a worker is back, and the instance list, which lags, may
- * never have dropped the worker. The holder grants no slots of a worker that it knows to be
- * leaving. */
+ * never have dropped the worker. The holder grants no slots of a worker that has
+ * reported to it that it is leaving. */
 static void
 apply_grant (struct dff_slots *slots, const struct dff_grant *grant, int64_t now_ms)
 {
--- a/entry/slots.h
+++ b/entry/slots.h
@@ -30,9 +30,9 @@
 			      const struct dff_instance *instances,
 			      size_t n_instances);
 
-/** Holddown after a worker reported that it is leaving, ms. After this time the holder knows that
- * as well, even if the first report to it was lost, and the grants that it sent before have
- * expired. A later grant means that the worker is back. */
+/** Holddown after a worker reported that it is leaving, ms. By its end the holder has received a
+ * report as well, even if the first one was lost, and the holder's earlier grants have expired. A
+ * later grant means that the worker is back. */
 #define DFF_SLOTS_LEAVING_HOLDDOWN_MS 20000
 
 /** Replaces all grants. Grants of an older @epoch than the last ones are ignored. */
@@ -50,7 +50,7 @@
 				      const struct dff_name *worker,
 				      int64_t now_ms);
 
-/** Avoids the worker until @until_ms while another one has a free slot. */
+/** Avoids the worker until @until_ms while another worker has a free slot. */
 void dff_slots_avoid (struct dff_slots *slots, const struct dff_name *worker, int64_t until_ms);
 
 enum dff_slot_outcome {
--- a/entry/team_quota.h
+++ b/entry/team_quota.h
@@ -9,8 +9,8 @@
 
 /*
  * Counts, by team, the jobs that this process admitted and that have not ended, to limit admission.
- * The limit holds for each process separately: a team that spreads its jobs over n processes can
- * have n times as many. In return, admission needs no messages between processes.
+ * The limit holds for each process separately, so that admission needs no messages between
+ * processes. A team that spreads its jobs over n processes can have n times as many.
  */
 
 struct dff_team_quota;
--- a/include/entry/entry.h
+++ b/include/entry/entry.h
@@ -98,7 +98,7 @@
 void dff_entry_set_leaving (struct dff_entry *entry);
 
 /** Second step of a graceful stop: new work is refused with 503. Its outcome is not_run, or unknown
- * when the call carries an Idempotency-Key. Work in progress is completed. */
+ * when the call carries an Idempotency-Key and not "Attempt: 1". Work in progress is completed. */
 void dff_entry_drain (struct dff_entry *entry);
 
 /** Returns: true once no request is in progress and no caller is connected. */
--- a/tests/entry/harness.h
+++ b/tests/entry/harness.h
@@ -133,7 +133,7 @@
 /** A caller's connection. */
 struct harness_client {
 	struct harness *harness;
-	struct bufferevent *bev; /**< NULL: hung up. */
+	struct bufferevent *bev; /**< NULL: disconnected. */
 	GString *received;
 	bool closed;
 };
--- a/tests/entry/test-failures.c
+++ b/tests/entry/test-failures.c
@@ -253,8 +253,8 @@
 
 /* Guards against waiting for an attempt that no process can end any more. The process dies while a
  * worker has its request, and the caller repeats the request through another process. If that
- * process waited until the deadline, the caller would time out, repeat the request and finally give
- * up without an outcome. */
+ * process waited until the deadline, the caller would time out, repeat the request and finally stop
+ * without an outcome. */
 static void
 test_attempt_of_dead_process (void **state)
 {
--- a/tests/entry/test-slots.c
+++ b/tests/entry/test-slots.c
@@ -149,7 +149,7 @@
 	int64_t holddown_end_ms = reported_ms + DFF_SLOTS_LEAVING_HOLDDOWN_MS;
 	dff_slots_handle_worker_leaving (slots, &w1, reported_ms);
 	dff_slots_set_instances (slots, listed, 1);
-	/* Sent before the holder knows that the worker is leaving. */
+	/* Sent before the holder has a report that the worker is leaving. */
 	dff_slots_set_grants (slots, 5, grants, 1, holddown_end_ms - 1,
 			      holddown_end_ms + EXPIRES_MS);
 	assert_string_equal (take (slots, holddown_end_ms - 1), "no grant");
