--- a/cell/calls.c
+++ b/cell/calls.c
@@ -66,9 +66,9 @@
 		member->released = false;
 	}
 	bool at_most_once = !member->held && !job->row->spec.idempotent;
-	/* A copy of the refused start may still be on its way, and the worker may accept it. A job
-	 * that may run once would then run here after it was started elsewhere. A stop leaves a
-	 * tombstone, which makes the worker refuse the copy. */
+	/* A copy of the refused start may still be in transit, and the worker may accept it. A job
+	 * that may run only once would then run here after it was started elsewhere. A stop leaves
+	 * a tombstone, which makes the worker refuse the copy. */
 	if (outcome == DFF_WORKER_REFUSED && at_most_once) {
 		member->refused = true;
 		dff_cell_set_wanted (cell, job, task->member, DFF_CELL_WANT_STOP);
@@ -82,8 +82,9 @@
 	}
 	member->in_doubt = member->in_doubt || outcome == DFF_WORKER_UNCERTAIN;
 	/* The worker may have run the task, restarted and lost its record of the task. A repeated
-	 * start would then run a job twice that may run once. The worker is queried for its tasks
-	 * instead; if the answer does not settle the state, the core's timeout stops the task. */
+	 * start would then run a job twice that may run only once. The worker is queried for its
+	 * tasks instead; if the answer does not settle the state, the core's timeout stops the
+	 * task. */
 	if (member->in_doubt && at_most_once) {
 		dff_cell_worker_query (cell, &member->placement.worker, dff_cell_now_ms (cell));
 		return;
@@ -154,7 +155,7 @@
 		handle_checkpoint_result (cell, job, &call->task, outcome);
 		break;
 	case DFF_CELL_WANT_STOP:
-		/* A refused stop may mean that the worker knows a newer holder. */
+		/* A refused stop may mean that the worker has received a newer epoch. */
 		if (outcome == DFF_WORKER_REFUSED)
 			dff_lease_request_renewal (cell->lease);
 		schedule_retry (cell, job, member, call->task.member);
--- a/cell/cell.c
+++ b/cell/cell.c
@@ -277,10 +277,9 @@
 	dff_cell_execute (cell, cell->commands);
 }
 
-/* A process that knows no worker's address cannot query the workers for their tasks. If it took the
- * lease, it would stop everything that runs, as no worker would have reported a task to it. Until a
- * process has received the instance list, the cell stays without a holder, which could not do
- * anything anyway. */
+/* A process without the workers' addresses cannot query them for their tasks. If it took the lease,
+ * it would stop everything that runs, as no worker would have reported a task to it. Until a
+ * process has received the instance list, the cell has no holder; a holder could do nothing. */
 static bool
 may_take_lease (const struct dff_cell *cell)
 {
--- a/cell/cell_private.h
+++ b/cell/cell_private.h
@@ -9,15 +9,17 @@
 /*
  * Private tables of the holder and the modules that use them. Callbacks of the table and of workers
  * only store what they receive; the tick sends everything, after it has compared the lease with the
- * clock. So a process that resumes after a pause does not act on outdated state.
+ * clock. A process that resumes after a pause therefore does not act on outdated state.
  */
 
 /** Shortest and longest delay before a call or write is repeated, ms; doubled in between. */
 #define DFF_CELL_RETRY_MIN_MS 50
 #define DFF_CELL_RETRY_MAX_MS 1000
-/** Number of starts proven unsent after which the attempt fails: another worker may answer. */
+/** Number of starts of a member that are proven unsent before its attempt fails. The next attempt
+ * may use another worker. */
 #define DFF_CELL_START_TRIES 3
-/** Added to the task lease before a silent worker's tasks count as lost, ms: clock rates differ. */
+/** Time after the expiry of the task lease before a silent worker's tasks count as lost, ms. Allows
+ * for clocks that run at different rates. */
 #define DFF_CELL_SILENCE_MARGIN_MS 2000
 /** Rows read by one scan. */
 #define DFF_CELL_PAGE_ROWS 256
@@ -52,7 +54,8 @@
 	int64_t started_ms;
 	/** The core has been sent an event for the member's end. */
 	bool ended;
-	/** State reported by its worker at a takeover; DFF_TASK_UNKNOWN also without an answer. */
+	/** State that the member's worker reported at a takeover; DFF_TASK_UNKNOWN also when the
+	 * worker did not answer. */
 	enum dff_task_state recovered_state;
 };
 
@@ -103,14 +106,15 @@
 	bool reachable;
 	bool reported;
 	enum dff_worker_state reported_state;
-	/** As in the last answer; 0: none yet. */
+	/** Incarnation in the worker's last answer; 0: no answer yet. */
 	int64_t incarnation;
-	/** When the worker was added to this table, or queried at a takeover. */
+	/** Time when the worker was added to this table or queried at a takeover, ms. */
 	int64_t since_ms;
-	/** Latest time at which it is known to have answered a renewal; 0: no report yet. */
+	/** Time of the last lease renewal that the worker is known to have answered, ms; 0: no
+	 * report yet. */
 	int64_t renewed_ms;
 	bool querying;
-	/** When the worker was last queried for its tasks. */
+	/** Time of the last query of the worker for its tasks, ms. */
 	int64_t queried_ms;
 };
 
@@ -120,7 +124,7 @@
 	int32_t remaining;
 	/** Longest run time that its jobs declare, ms. */
 	int64_t declared_ms;
-	/** When one of its jobs last started or ended. */
+	/** Time when one of its jobs last started, ended or was queued, ms. */
 	int64_t changed_ms;
 	bool stalled;
 };
@@ -247,7 +251,7 @@
 	/** Epoch of this term. */
 	int64_t epoch;
 	struct dff_core *core;
-	/** When the current decision began. */
+	/** Time when the current decision began, ms. */
 	int64_t decide_ms;
 	/** Events for the core, delivered by the next tick. Elements: struct dff_event. */
 	GArray *events;
@@ -301,7 +305,8 @@
 
 struct dff_cell_call *dff_cell_call_begin (struct dff_cell *cell, enum dff_cell_call_type type);
 
-/** Ends a call; only @copy is valid afterwards. Returns: whether the answer still counts. */
+/** Ends a call and frees it; its content is copied to @copy. Returns: whether the answer is still
+ * to be handled. */
 bool dff_cell_call_end (struct dff_cell_call *call, struct dff_cell_call *copy);
 
 /* agenda.c */
@@ -338,10 +343,10 @@
 /** Adds a job to the count of its batch, if it has one. */
 void dff_cell_batch_join (struct dff_cell *cell, const struct dff_job_row *row);
 
-/** A job of the batch has started, or is queued again. */
+/** Handles a job of the batch that has started or is queued again. */
 void dff_cell_batch_progress (struct dff_cell *cell, const struct dff_job_row *row);
 
-/** A job of the batch is removed from the table. */
+/** Handles a job of the batch that is removed from the table. */
 void dff_cell_batch_leave (struct dff_cell *cell, const struct dff_job_row *row);
 
 void dff_cell_batches_clear (struct dff_cell *cell);
@@ -427,7 +432,7 @@
 
 struct dff_cell_worker *dff_cell_worker_add (struct dff_cell *cell, const struct dff_name *name);
 
-/** A worker answered a call of this process. */
+/** Handles a worker's answer to a call of this process. */
 void dff_cell_worker_answered (struct dff_cell *cell,
 			       const struct dff_name *name,
 			       const struct dff_worker_result *result);
@@ -435,7 +440,7 @@
 /** Schedules a query of a worker for its tasks. */
 void dff_cell_worker_query (struct dff_cell *cell, const struct dff_name *name, int64_t due_ms);
 
-/** A query was not answered. */
+/** Handles a query that the worker did not answer. */
 void dff_cell_worker_unanswered (struct dff_cell *cell, const struct dff_name *name);
 
 /** Reports changed worker states to the core, and queries workers that are silent. */
@@ -451,12 +456,12 @@
 /** Applies a row during a takeover; takes ownership of @row. */
 void dff_cell_recovery_apply_row (struct dff_cell *cell, struct dff_job_row *row);
 
-/** Every row has been read. */
+/** Continues the takeover once every row has been read. */
 void dff_cell_recovery_scanned (struct dff_cell *cell);
 
 void dff_cell_recovery_tick (struct dff_cell *cell);
 
-/** A worker answered a query of the takeover, or did not answer it. */
+/** Handles a worker's answer to a query of the takeover, or its absence. */
 void dff_cell_recovery_answer (struct dff_cell *cell,
 			       const struct dff_name *worker,
 			       const struct dff_worker_result *result);
@@ -472,10 +477,11 @@
 			 const char *outcome,
 			 const char *name);
 
-/** The core has placed the job: its stage goes from queue through decide to record. */
+/** Handles the placement of the job by the core: its stage changes from queue through decide to
+ * record. */
 void dff_cell_span_decided (struct dff_cell *cell, struct dff_cell_job *job);
 
-/** A member has started. Once all have, the job is in stage run. */
+/** Handles the start of a member. Once all members have started, the job is in stage run. */
 void dff_cell_span_started (struct dff_cell *cell, struct dff_cell_job *job);
 
 #endif
--- a/cell/feed.c
+++ b/cell/feed.c
@@ -28,8 +28,8 @@
 	return NULL;
 }
 
-/* Open or ended rows here were written by this holder, which knows them, or are older than the end
- * that it wrote: an unknown job is new only if its row is queued. */
+/* An unknown job is new only if its row is queued. If the row is open or ended, the job is unknown
+ * because it has ended and this holder has removed it. */
 static void
 handle_new_row (struct dff_cell *cell, struct dff_job_row *row)
 {
--- a/cell/lease.c
+++ b/cell/lease.c
@@ -230,8 +230,9 @@
 end_call (struct lease_call *call)
 {
 	struct dff_lease *lease = call->lease;
-	/* A slow store answers a commit after the call was abandoned; the answer still resolves it,
-	 * or no renewal would count while answers take longer than the interval. */
+	/* A slow store may answer a commit after the call was abandoned. The answer still resolves
+	 * the commit; otherwise no renewal would count while answers take longer than the renewal
+	 * interval. */
 	bool resolves = call->kind == DFF_CALL_COMMIT && call->n_commit == lease->n_commits;
 	if (lease->call != call) {
 		g_hash_table_remove (lease->abandoned, call);
@@ -408,10 +409,10 @@
 }
 
 /**
- * Whether the lease may be taken. No clock is compared with another's: the row must have stood
- * unchanged for a whole lease on this clock since it was first read here, which is later than its
- * holder sent it. A row that this object wrote needs no wait: this process no longer holds the
- * lease.
+ * Returns: whether the lease may be taken. No clock is compared with another process's: by this
+ * clock the row must have been unchanged for a whole lease since it was first read here, which is
+ * later than its holder sent it. A row that this object wrote needs no wait, because this process
+ * no longer holds the lease.
  */
 static bool
 may_take (const struct dff_lease *lease)
--- a/cell/lease.h
+++ b/cell/lease.h
@@ -39,12 +39,12 @@
 /** Reads, renews or takes the rows, whichever is due. */
 void dff_lease_tick (struct dff_lease *lease);
 
-/** Sets whether this process, as one that is able to decide, may take a free lease. */
+/** Sets whether this process may take the lease when it is free or has expired. */
 void dff_lease_set_candidate (struct dff_lease *lease, bool candidate);
 
 void dff_lease_set_rank (struct dff_lease *lease, int32_t rank);
 
-/** Whether the lease is held and good for more than the margin, by the clock as it is now. */
+/** Returns: whether the lease is held and valid for longer than the margin at the current time. */
 bool dff_lease_is_held (const struct dff_lease *lease);
 
 /** Returns: epoch of the lease that is or was last held; 0: none yet. */
@@ -56,7 +56,8 @@
 /** Returns: key of the epoch row, valid as long as the lease object. */
 struct dff_str dff_lease_epoch_key (const struct dff_lease *lease);
 
-/** A condition on the epoch row failed: another process holds the cell. */
+/** Treats a held lease as lost, because a condition on the epoch row failed (another process is the
+ * holder) or because the lease has expired. */
 void dff_lease_mark_fenced (struct dff_lease *lease);
 
 /** Requests an early renewal, to find out soon whether the lease is still held. */
@@ -66,7 +67,8 @@
  * held from now on, and is not taken again. */
 void dff_lease_release (struct dff_lease *lease);
 
-/** Whether no lease is held and no release is outstanding. */
+/** Returns: whether the lease was released: the release was written or conflicted, or the lease was
+ * not held any more. */
 bool dff_lease_is_released (const struct dff_lease *lease);
 
 #endif
--- a/cell/records.c
+++ b/cell/records.c
@@ -7,7 +7,7 @@
 
 /* Writes job rows. Each write is conditional on the revision of the epoch row, so that a former
  * holder cannot write, and on the revision of the job's row, so that a cancellation that an entry
- * has written since is noticed. At most one write per job is outstanding. */
+ * has written since is detected. At most one write per job is outstanding. */
 
 /** Longest time that a start intent waits to be sent, ms; then it is abandoned, because other jobs
  * need its workers. */
@@ -321,8 +321,8 @@
 	call->ticket = dff_recorder_write (cell->options.recorder, &record, on_write, call);
 }
 
-/* The intent of the next attempt implies that the last attempt has ended: a retry write that still
- * waits is dropped, as it would cost an extra write. */
+/* The start intent of the next attempt implies that the last attempt has ended. A retry write that
+ * is still queued is therefore dropped, which saves a write. */
 static void
 drop_superseded (struct dff_cell_job *job)
 {
--- a/cell/recovery.c
+++ b/cell/recovery.c
@@ -47,7 +47,8 @@
 	cell->phase = DFF_CELL_QUERYING;
 }
 
-/** Adds workers that open attempts name but the list does not, so that their silence is noticed. */
+/** Adds workers that open attempts name but the instance list does not, so that their silence is
+ * detected. */
 static void
 add_placed_workers (struct dff_cell *cell)
 {
@@ -127,7 +128,7 @@
 	       member->recovered_state == DFF_TASK_COMPLETED;
 }
 
-/** Whether every member is held, runs or has completed: the attempt can continue as a whole. */
+/** Returns: whether the attempt can continue: every member is held, runs or has completed. */
 static bool
 is_whole (const struct dff_cell_job *job)
 {
--- a/cell/reports.c
+++ b/cell/reports.c
@@ -222,7 +222,7 @@
 }
 
 /* Only a member that had started before the query was sent counts as lost if it is missing: a start
- * that is still on its way is not lost. */
+ * that is still in transit is not lost. */
 static void
 mark_lost_if_missing (struct dff_cell *cell,
 		      struct dff_cell_job *job,
--- a/cell/retention.c
+++ b/cell/retention.c
@@ -87,8 +87,8 @@
 	g_hash_table_unref (cell->retention.batch_checks);
 }
 
-/* A row whose revision is not above the table's revision at a time has not changed since then. So
- * one sample per interval covers any number of rows. */
+/* A row whose revision is not above a sample's has not changed since the time of the sample, so one
+ * sample per interval covers any number of rows. */
 static void
 take_sample (struct dff_cell *cell)
 {
@@ -114,8 +114,9 @@
 	return first->at_ms <= dff_cell_now_ms (cell) - KNOWN_MIN_MS ? first->revision : 0;
 }
 
-/* Two clocks have to agree: the wall clock, which may be wrong, on the retention; the monotonic
- * clock, which does not cover earlier holders, on how long this holder has known the end. */
+/* Two clocks have to agree. By the wall clock, which may be wrong, the retention has passed. By the
+ * monotonic clock, which does not cover earlier holders, this holder has known the end for long
+ * enough. */
 bool
 dff_cell_retention_is_over (const struct dff_cell *cell, int64_t ended_wall_ms, int64_t revision)
 {
--- a/cell/retention.h
+++ b/cell/retention.h
@@ -13,7 +13,8 @@
 
 /** The sweep that deletes rows of jobs that ended long ago. */
 struct dff_cell_retention {
-	/** Samples of the table's revision, back to the time for which a row has to be known. */
+	/** Samples of the table's revision, in order of time. The first is the newest that is old
+	 * enough for the rows up to its revision to be deleted, if there is one. */
 	GArray *samples;
 	/** Rows of the last page that may be deleted, and the index of the next one. */
 	GArray *expired;
--- a/cell/retention_attempts.c
+++ b/cell/retention_attempts.c
@@ -5,8 +5,9 @@
 
 /*
  * Deletes the records of requests that are not idempotent. They belong to no region, and any
- * process may have written them, so the holder of the first region sweeps them for all. For a
- * moment two holders may both assume to be the first: each deletion is conditional on the row.
+ * process may have written them, so the holder of the first region sweeps them for all. Two
+ * holders may briefly both assume to be that of the first region, so each deletion is conditional
+ * on the revision of the row.
  */
 
 #define PREFIX "attempt/"
--- a/cell/workers.c
+++ b/cell/workers.c
@@ -82,7 +82,8 @@
 	return dff_cell_now_ms (cell) - last_ms;
 }
 
-/** Whether its tasks must have ended: their lease has expired and the worker has stopped them. */
+/** Returns: whether the worker's tasks must have ended, because their lease has expired and the
+ * worker has stopped them. */
 static bool
 lease_lapsed (const struct dff_cell *cell, const struct dff_cell_worker *worker)
 {
@@ -90,8 +91,9 @@
 	return silent_ms (cell, worker) > limit_ms;
 }
 
-/* A watcher that is cut off from a worker reports it as silent while others renew its leases. That
- * report alone would make a running task lost; the holder queries the worker itself as well. */
+/* A watcher that is cut off from a worker reports it as silent while other watchers renew the
+ * leases of its tasks. If that report were enough, a running task would count as lost. Tasks are
+ * therefore marked lost only when the holder's own query is not answered either. */
 void
 dff_cell_worker_unanswered (struct dff_cell *cell, const struct dff_name *name)
 {
@@ -149,7 +151,7 @@
 	bool unavailable = !worker->reachable || !worker->listed;
 	if (!unavailable || worker->querying)
 		return;
-	/* Before its lease has expired it is queried at intervals, to be used again soon. */
+	/* The query is repeated at intervals, so that a worker that answers again is used soon. */
 	int64_t now_ms = dff_cell_now_ms (cell);
 	dff_cell_worker_query (cell, &worker->name, now_ms + SUSPECT_INTERVAL_MS);
 }
--- a/include/cell/cell.h
+++ b/include/cell/cell.h
@@ -17,8 +17,8 @@
 
 /*
  * A cell schedules the jobs of one region. The process that holds its lease row makes the
- * decisions; the cell of any other process only reads the row, and takes over when it has not
- * changed for a lease.
+ * decisions. The cell of any other process only reads the row, and takes over when the row has not
+ * changed for the duration of a lease.
  *
  * Rows: "cell/REGION/lease" {instance, counter}, renewed by the holder; "cell/REGION/epoch" {epoch,
  * instance}, written only at takeover. Every durable write of the holder is conditional on the
@@ -48,7 +48,7 @@
 	struct dff_recorder *recorder; /**< Owned and ticked by the caller. */
 	struct dff_cell_callbacks callbacks;
 	uint64_t seed;
-	int32_t lease_ms;        /**< A lease row unchanged this long may be taken. */
+	int32_t lease_ms;        /**< A lease row that is unchanged for this long may be taken. */
 	int32_t renew_ms;        /**< Interval at which the holder renews the lease. */
 	int32_t lease_margin_ms; /**< The holder stops acting this long before its lease expires. */
 	int32_t task_lease_ms;   /**< Lease of tasks on workers. */
@@ -81,7 +81,8 @@
 			     const struct dff_instance *instances,
 			     size_t n_instances);
 
-/** Sets this process's rank among the candidates, 0 first; each further rank waits a bit longer. */
+/** Sets this process's rank among the candidates; 0 is first. For each rank a candidate waits
+ * longer before it takes the lease. */
 void dff_cell_set_rank (struct dff_cell *cell, int32_t rank);
 
 /** An entry wrote a job row (accepted, or cancellation requested): the rows are read at once. */
@@ -97,17 +98,17 @@
 	int64_t silent_ms;
 	const struct dff_task_report *reports;
 	size_t n_reports;
-	/** @reports are all the tasks that the worker knew when it answered. A task that is missing
-	 * never arrived there, or was lost in a restart of the worker. The holder confirms that by
-	 * a query or a stop, as a start may have arrived since. */
+	/** @reports are all the tasks that the worker knew when it answered. A missing task never
+	 * arrived at the worker, or was lost in its restart. The holder confirms the loss by a
+	 * query or a stop, as a start may have arrived since. */
 	bool complete;
 };
 
 /** Applies a report of a watcher (this process or a peer). Ignored unless this is the holder. */
 void dff_cell_handle_worker_report (struct dff_cell *cell, const struct dff_worker_report *report);
 
-/** Whether this process holds the cell, its lease is good for more than the margin, and its tables
- * are rebuilt. */
+/** Returns: whether this process is the holder: its lease is valid for longer than the margin, and
+ * its tables are rebuilt. */
 bool dff_cell_is_holder (const struct dff_cell *cell);
 
 int64_t dff_cell_epoch (const struct dff_cell *cell);
--- a/include/cell/job_row.h
+++ b/include/cell/job_row.h
@@ -45,7 +45,7 @@
 struct dff_job_row {
 	struct dff_job_spec spec;
 	enum dff_job_row_state state;
-	/** Last attempt whose intent was made durable; 0: none. */
+	/** Last attempt whose start intent is durable; 0: none. */
 	int32_t attempt;
 	/** Placements of the open attempt. Elements: struct dff_placement. */
 	GArray *placements;
@@ -66,7 +66,7 @@
 	GString *payload;
 	/** W3C traceparent of the submission; may be empty. */
 	GString *traceparent;
-	/** Revision of the table row it was read from; 0: never read. Not part of the value. */
+	/** Revision of the table row as read; 0: never read. Not part of the value. */
 	int64_t revision;
 };
 
@@ -85,10 +85,10 @@
 /** Encodes the row's value as compact JSON. */
 GString *dff_job_row_encode (const struct dff_job_row *row);
 
-/** Most bytes that the placements of the largest gang, a result and the row's key may add to a row
- * after submission. */
+/** Maximum number of bytes that the placements of the largest gang, a result and the row's key add
+ * to a row after submission. */
 #define DFF_JOB_ROW_GROWTH_BYTES (20 << 10)
-/** Longest row that a job may have at submission, bytes; a job with a longer row is rejected. */
+/** Maximum length of a row at submission, bytes; a job with a longer row is rejected. */
 #define DFF_JOB_ROW_MAX_BYTES (DFF_RECORD_MAX_UNIT_BYTES - DFF_JOB_ROW_GROWTH_BYTES)
 
 /** Returns: whether the row of a job that was not started yet can be recorded, now and later. */
--- a/tests/cell/cell_harness.h
+++ b/tests/cell/cell_harness.h
@@ -124,7 +124,7 @@
 		harness_set_instances (harness, process->cell);
 }
 
-/** Kills a process: what it sent is still on its way, and no answer reaches it. */
+/** Kills a process. Messages that it sent stay in transit; no answer reaches it. */
 static inline void
 harness_kill (struct harness *harness, int index)
 {
@@ -257,7 +257,7 @@
 	return index;
 }
 
-/* A process that no longer holds the cell must not write a row. */
+/* Checks that the row was not written by a process that is no longer the holder. */
 static inline void
 harness_check_writer (const struct harness *harness, const struct dff_job_row *row)
 {
--- a/tests/cell/cell_promises.h
+++ b/tests/cell/cell_promises.h
@@ -177,7 +177,7 @@
 	return harness_outcome (harness, index);
 }
 
-/** Runs until a process holds the cell. Returns: the time that took, ms. */
+/** Runs until a process is the holder. Returns: the time taken, ms. */
 static inline int64_t
 harness_run_holder (struct harness *harness, int64_t limit_ms)
 {
--- a/tests/cell/test-cell-workers.c
+++ b/tests/cell/test-cell-workers.c
@@ -121,9 +121,9 @@
 	}
 }
 
-/* Guards against work that may run once and runs twice: the worker runs it, the answer is lost, the
- * worker restarts, and the start is sent again. A repeated start counts as the same start only
- * while the worker has its record of the first. Found by seed 255 of test-schedules. */
+/* Guards against running a job twice that may run only once. The worker runs it, the answer is
+ * lost, the worker restarts, and the start is sent again. A repeated start counts as the same start
+ * only while the worker has its record of the first. Found by seed 255 of test-schedules. */
 static void
 test_start_in_doubt_is_not_repeated_after_restart (void **state)
 {
--- a/tests/cell/test-cell.c
+++ b/tests/cell/test-cell.c
@@ -109,7 +109,7 @@
 	}
 }
 
-/* Guards against giving up when the condition of a write fails, instead of reading the row again.
+/* Guards against dropping a write when its condition fails, instead of reading the row again.
  * An entry changes the row between the holder's read and its next write: a cancelled job would
  * complete, or be reported as cancelled and run on. */
 static void
@@ -180,8 +180,8 @@
 	harness_clear (&harness);
 }
 
-/* Guards against an overnight batch that is stuck unnoticed. A worker that its jobs need stays
- * away: nothing fails, and nothing makes progress. */
+/* Guards against an overnight batch that is stuck undetected. A worker that its jobs need stays
+ * down: nothing fails, and nothing makes progress. */
 static void
 test_batch_without_progress_is_reported (void **state)
 {
--- a/tests/cell/test-late-start.c
+++ b/tests/cell/test-late-start.c
@@ -11,8 +11,8 @@
 
 /* Guards against work that may run once and runs twice. The holder sends a start that the network
  * delays for seconds, and dies. The next holder finds the attempt on record, queries the worker,
- * which has not received it, and starts the job elsewhere; then the first start arrives. That a
- * holder has sent nothing proves nothing if it did not open the attempt. */
+ * which has not received it, and starts the job elsewhere; then the first start arrives. A
+ * holder that did not open the attempt cannot conclude from its own calls that nothing was sent. */
 static void
 test_start_arrives_after_takeover (void **state)
 {
--- a/tests/cell/test-lease.c
+++ b/tests/cell/test-lease.c
@@ -255,7 +255,7 @@
 }
 
 /* Guards against taking a lost answer for a failed write. A commit takes effect at once, late or
- * never, and its answer is lost: the lease would be given up, or the cell would stay without a
+ * never, and its answer is lost: the holder would step down without need, or the cell would have no
  * holder. */
 static void
 test_lost_answers_neither_lose_nor_split_the_lease (void **state)
--- a/tests/cell/test-recovery.c
+++ b/tests/cell/test-recovery.c
@@ -54,8 +54,8 @@
 }
 
 /* Guards against stopping every running job. All processes are replaced while the instance list is
- * unavailable and the table is not. A process that knows no worker's address must not take the
- * cell: it would query no worker, and take the absence of answers for the absence of tasks. */
+ * unavailable and the table is not. A process without the workers' addresses must not take the
+ * lease: it would query no worker, and treat the absence of answers as the absence of tasks. */
 static void
 test_no_takeover_without_instance_list (void **state)
 {
--- a/tests/cell/test-retention.c
+++ b/tests/cell/test-retention.c
@@ -193,7 +193,7 @@
 	harness_clear (&harness);
 }
 
-/* The same, with a holder that has held the cell for a long time. */
+/* Guards against the same fault when the holder has held the lease for a long time. */
 static void
 test_newly_seen_end_is_kept (void **state)
 {
