--- a/cell/cell_private.h
+++ b/cell/cell_private.h
@@ -89,7 +89,8 @@
 	bool writing;
 	int32_t write_tries;
 	bool cancel_reported;
-	/** Ended by another process, or its row is deleted: to be removed from the core only. */
+	/** Another process ended the job, or its row is deleted or unreadable: the job is only
+	 * removed from the core. */
 	bool ended_elsewhere;
 	struct dff_result_ref result;
 	/** Span of the stage that the job is in; its name is NULL if there is none. */
--- a/cell/lease.c
+++ b/cell/lease.c
@@ -58,14 +58,14 @@
 	struct dff_lease_rows rows;
 	struct lease_commit commit;
 	uint64_t n_commits;
-	/** When the write that the lease is based on was sent, ms. */
+	/** Time when the write that the lease is based on was sent, ms. */
 	int64_t held_from_ms;
 	/** Revision of the lease row that this object wrote last; 0: none. */
 	int64_t own_revision;
 	struct lease_call *call;
 	int64_t call_sent_ms;
 	int64_t next_ms;
-	/** Earliest time at which the lease may be taken after a failed commit. */
+	/** Earliest time at which the lease may be taken after a failed commit, ms. */
 	int64_t take_after_ms;
 	/** Unanswered calls that were abandoned. Elements: struct lease_call. */
 	GHashTable *abandoned;
@@ -342,7 +342,7 @@
 	}
 }
 
-/* A lookup that finds nothing bars the write id, so the commit cannot take effect later. */
+/* A lookup that finds nothing invalidates the write id, so the commit cannot take effect later. */
 static void
 on_lookup (void *user, const struct dff_table_result *result)
 {
--- a/cell/records.c
+++ b/cell/records.c
@@ -176,8 +176,8 @@
 	next_write (cell, job);
 }
 
-/* Another process ended the job, or its row is deleted: the job is only removed from the core.
- * Nothing is written or counted. */
+/* Another process ended the job, or its row is deleted or unreadable: the job is only removed from
+ * the core. Nothing is written or counted. */
 static void
 abandon_job (struct dff_cell *cell, struct dff_cell_job *job)
 {
--- a/cell/workers.c
+++ b/cell/workers.c
@@ -4,8 +4,8 @@
 
 #include "common/log.h"
 
-/* The state of the region's workers that a holder needs: their addresses, whether they may be given
- * work, and how long they have been silent. Watchers renew the leases of their tasks. */
+/* The state of the region's workers that a holder needs: their addresses, whether they may get
+ * tasks, and how long they have been silent. Watchers renew the leases of their tasks. */
 
 /** Interval at which worker states and silences are checked, ms. */
 #define WORKERS_INTERVAL_MS 100
@@ -92,8 +92,9 @@
 }
 
 /* A watcher that is cut off from a worker reports it as silent while other watchers renew the
- * leases of its tasks. If that report were enough, a running task would count as lost. Tasks are
- * therefore marked lost only when the holder's own query is not answered either. */
+ * leases of its tasks. If that report were enough, a running task would count as lost. Tasks of a
+ * silent worker are therefore marked lost only when the holder's own query is not answered either.
+ */
 void
 dff_cell_worker_unanswered (struct dff_cell *cell, const struct dff_name *name)
 {
--- a/entry/connection.c
+++ b/entry/connection.c
@@ -134,8 +134,8 @@
 dff_connections_add (struct dff_connections *connections, struct bufferevent *bev)
 {
 	static const struct timeval write_stall = {.tv_sec = WRITE_STALL_S};
-	/* Called before the new connection is added: it has no callbacks yet and would be taken for
-	 * a freed one. */
+	/* Called before the new connection is added: it has no callbacks yet, as if it were freed,
+	 * and would be removed. */
 	if (dff_connections_count (connections) >= connections->max_connections)
 		remove_freed (connections);
 	struct connection *connection = g_new0 (struct connection, 1);
--- a/entry/delivery.c
+++ b/entry/delivery.c
@@ -27,7 +27,7 @@
 	struct dff_assembly *assembly;
 	size_t next_chunk;
 	bool finished;
-	/** The bytes belong to the answer now and are no longer counted by the delivery. */
+	/** The answer owns the bytes and counts them; the delivery does not. */
 	bool bytes_detached;
 };
 
--- a/entry/result.c
+++ b/entry/result.c
@@ -220,8 +220,8 @@
 
 /* Rows may have up to half a MB, and the table drops an answer that is too long. If the same number
  * of rows were requested again, no row would ever be read: callers whose notification was lost
- * would wait in vain, and ended jobs would count towards their team's quota for good. The number is
- * halved after each failed read and doubled after each successful one. */
+ * would get no result, and ended jobs would count towards their team's quota for good. The number
+ * is halved after each failed read and doubled after each successful one. */
 static void
 adapt_reread_size (struct dff_results *results, enum dff_table_outcome outcome)
 {
