--- a/bench/bars.jq
+++ b/bench/bars.jq
@@ -1,4 +1,5 @@
-# The bars of the decisions against what was measured. Input: a list of figures with deployment, load and policy.
+# Prints a table of targets, each with its measured value, its limit and whether it was met.
+# Input: a list of figures with deployment, load and policy.
 
 def of($d; $l; $p): .[] | select(.deployment == $d and .load == $l and .policy == $p);
 def shown: if . == null then "none" else (. * 1000 | round) / 1000 | tostring end;
--- a/bench/fleet.sh
+++ b/bench/fleet.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# Starts what bench/fleet measures, on loopback, and ends it again: a stand-in platform, 24 stand-in
-# workers in three data centres, nine processes. Carries out what the driver asks for: signals and
-# new starts. Usage: bench/fleet.sh BUILD [OPTION OF fleet...]
+# Runs the driver bench/fleet against a system on loopback: a stand-in platform, 24 stand-in workers
+# in three data centres, nine processes. Sends signals and restarts programs as the driver requests.
+# Stops all programs at the end. Usage: bench/fleet.sh BUILD [OPTION OF fleet...]
 # The logs stay in fleet.out.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -65,7 +65,7 @@
 	esac
 }
 
-# Carries out one line of the driver's: anything but an order is printed.
+# Handles one line of the driver's output: runs a command (!signal, !start), prints any other line.
 carry_out()
 {
 	local order name signal
--- a/bench/hop.sh
+++ b/bench/hop.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# Starts what bench/hop measures, on loopback, and ends it again: a bare server; a stand-in platform,
-# stand-in workers and one process with tracing on. Usage: bench/hop.sh BUILD [OPTION OF hop load...]
+# Runs bench/hop against programs on loopback: a bare server, and a stand-in platform with stand-in
+# workers and one process with tracing on. Stops all programs at the end.
+# Usage: bench/hop.sh BUILD [OPTION OF hop load...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -46,7 +47,7 @@
 	done
 }
 
-# Slots are granted once the cell has a holder that knows its workers.
+# Sends a request. It succeeds once the cell has a holder that has granted slots on its workers.
 first_request()
 {
 	curl -fsS --max-time 2 -H 'Authorization: Bearer bench-token' -H 'Content-Type: application/json' \
