--- a/include/peer/zmq_transport.h
+++ b/include/peer/zmq_transport.h
@@ -59,9 +59,9 @@
 /** Returns: the bound "IP:PORT" with the actual port. */
 struct dff_name dff_zmq_transport_endpoint (const struct dff_zmq_transport *transport);
 
-/** Replaces the set of known peers. For other processes connections are closed, keys refused and
- * messages dropped. As the list lags, an unlisted peer stays known until no message has come from
- * it for 20 to 40 s. */
+/** Replaces the set of known peers. Connections to other processes are closed, new connections from
+ * them refused and their messages dropped. As the list lags, an unlisted peer stays known until no
+ * message has come from it for 20 to 40 s. */
 void dff_zmq_transport_set_instances (struct dff_zmq_transport *transport,
 				      const struct dff_instance *instances,
 				      size_t n_instances);
--- a/peer/membership.c
+++ b/peer/membership.c
@@ -6,8 +6,8 @@
 /** A change is relayed in this many heartbeats per doubling of the number of members. */
 #define RELAYS_PER_DOUBLING 3
 
-/** A member that is not observed here and not listed is dead after this many times the detection
- * time of its observers without a heartbeat. */
+/** A member that this process does not observe and that is not listed is dead after this many
+ * detection times (suspect_ms + dead_ms) without a heartbeat. */
 #define UNOBSERVED_TIMEOUT_FACTOR 4
 
 static int64_t
--- a/peer/membership_merge.c
+++ b/peer/membership_merge.c
@@ -27,7 +27,7 @@
 	bool relay = known->incarnation != report->incarnation ||
 		     known->leaving != report->leaving ||
 		     known->holder_epoch != report->holder_epoch;
-	/* Processes queue their notices until they know the new holder. */
+	/* Processes queue their notices until they have a report on the new holder. */
 	if (known->holder_epoch < report->holder_epoch && dff_membership_is_sampled (membership))
 		membership->announce = true;
 	bool differs = relay || known->ready != report->ready;
@@ -104,8 +104,8 @@
 }
 
 /* Returns: whether the known heartbeat is so much newer than the failure report that the report is
- * outdated. A few heartbeats that the reporting peer lost do not contradict it, as it waited longer
- * than that. The member's sequence is compared, not the time of arrival, which does not show how
+ * outdated. A lead of up to suspect_ms does not contradict the report, as the reporting peer waited
+ * that long. The member's sequence is compared, not the time of arrival, which does not show how
  * long a heartbeat was delayed. */
 static bool
 contradicts (const struct dff_membership *membership,
--- a/peer/membership_send.c
+++ b/peer/membership_send.c
@@ -5,8 +5,8 @@
 /** Most changed states in one heartbeat. It carries one more state, changed or not. */
 #define CHANGES_PER_HEARTBEAT 7
 
-/** With more peers than the fanout, a member has fanout divided by this observers, and sends to as
- * many further members. */
+/** With more peers than the fanout, a member has fanout / OBSERVERS_DIVISOR observers and sends to
+ * as many further members. */
 #define OBSERVERS_DIVISOR 3
 
 /** Minimum time between announcements, and between corrections to one member, ms. */
@@ -82,7 +82,7 @@
 	return entry != membership->table->self && entry->known.incarnation > 0;
 }
 
-/* Adds the state of the next member in turn, changed or not: it makes up for lost messages, and
+/* Adds the state of the next member in turn, changed or not: this makes up for lost messages, and
  * keeps a member alive at peers that do not receive its heartbeats directly. */
 static void
 choose_refresh (struct dff_membership *membership, GPtrArray *chosen)
@@ -136,9 +136,9 @@
 		g_ptr_array_add (targets, entry);
 }
 
-/* The holder dates grants by the last heartbeat of each member of its region, whose age does not
- * matter. So each member sends to a new holder at once and then only in turns, as the holder must
- * not receive more heartbeats than other members. */
+/* The holder dates grants by the last heartbeat of each member of its region; the heartbeat may be
+ * old. So each member sends to a new holder at once and then only in some rounds, as the holder
+ * must not receive more heartbeats than other members. */
 static void
 add_holder (struct dff_membership *membership, GPtrArray *targets)
 {
--- a/peer/message.h
+++ b/peer/message.h
@@ -33,7 +33,8 @@
 	struct dff_name id;
 	/** Raised by the member alone, to refute that it is dead; 0: no heartbeat yet. */
 	uint64_t incarnation;
-	/** Number of heartbeats that the member has sent in this and earlier incarnations. */
+	/** Raised by the member with each round of heartbeats and each answer to a report on
+	 * itself; a new incarnation does not reset it. */
 	uint64_t sequence;
 	enum dff_liveness liveness;
 	bool leaving;
--- a/peer/peer.c
+++ b/peer/peer.c
@@ -160,8 +160,8 @@
 }
 
 /* Returns: whether the renewal is for a set other than the current one, because the new set was
- * lost. To renew the current set would let two processes use the same slots. The sequence stays as
- * it is, for the full set that follows. */
+ * lost. To renew the current set would let two processes use the same slots. Such a renewal is
+ * dropped without recording its sequence. */
 static bool
 renews_other_set (const struct dff_peer *peer, const struct dff_grant_set *set)
 {
--- a/peer/watch_assignment.c
+++ b/peer/watch_assignment.c
@@ -4,7 +4,7 @@
 #include "peer/peer.h"
 
 #define RENEWALS_A_SECOND 5
-/** One less than this many renewals in a row may be lost before a lease expires. */
+/** Renewal intervals per lease: a lease survives three lost renewals in a row. */
 #define INTERVALS_A_LEASE 4
 
 void
--- a/peer/zmq_transport.c
+++ b/peer/zmq_transport.c
@@ -201,9 +201,10 @@
 	return NULL;
 }
 
-/* A connection stays open when its key is removed from the list; its messages are dropped. */
+/* An incoming connection stays open when its key is removed from the list; its messages are
+ * dropped. */
 static void
-take (struct dff_zmq_transport *transport, zmq_msg_t *payload)
+deliver (struct dff_zmq_transport *transport, zmq_msg_t *payload)
 {
 	const char *key = zmq_msg_gets (payload, "User-Id");
 	struct zmq_peer *peer = key != NULL ? find_peer_by_key (transport, key) : NULL;
@@ -234,7 +235,7 @@
 		n_frames++;
 	}
 	if (n_frames == 2)
-		take (transport, &frame);
+		deliver (transport, &frame);
 	else
 		*transport->n_dropped += 1;
 	zmq_msg_close (&frame);
