--- a/record/group.h
+++ b/record/group.h
@@ -17,9 +17,10 @@
 	int64_t queued_ms;
 	/** Size of the keys and values, bytes. */
 	size_t n_bytes;
-	/** How often the table refused the unit although it accepted other calls in between. */
+	/** Number of counted refusals by the table: the first one, each one with another call
+	 * accepted since the last, and every one of a suspect unit. */
 	int32_t refusals;
-	/** The recorder's n_successes at the last refusal. */
+	/** The recorder's n_successes at the last counted refusal. */
 	uint64_t successes_at_refusal;
 	/** Earliest time of the next attempt, monotonic ms. */
 	int64_t not_before_ms;
--- a/record/recorder.c
+++ b/record/recorder.c
@@ -269,8 +269,8 @@
 	return dff_recorder_now_ms (recorder) - oldest->queued_ms >= recorder->options.linger_ms;
 }
 
-/* Returns: whether @unit must stay in the queue: one of its keys is in use, or it is in backoff
- * after a refusal. */
+/* Returns: whether @unit must stay in the queue: one of its keys is in use by a group in flight or
+ * by a skipped unit, or the unit is in backoff after a refusal. */
 static bool
 must_wait (const struct dff_recorder *recorder,
 	   const struct dff_key_locks *skipped,
--- a/record/resolve.c
+++ b/record/resolve.c
@@ -131,7 +131,7 @@
 
 /* One failed condition fails the whole transaction. A single read finds the failed conditions.
  * Bisecting the group instead would cost two commits per unit if all units fail, as they do for a
- * holder whose epoch is over. */
+ * holder whose epoch is outdated. */
 static void
 handle_conflict (struct dff_recorder *recorder, struct dff_record_group *group, int64_t revision)
 {
@@ -152,8 +152,8 @@
 		finish_group (recorder, group, DFF_RECORD_COMMITTED, call->revision);
 		break;
 	case DFF_TABLE_CONFLICT:
-		/* After a lookup the conflict may be with the write id that the lookup barred. To
-		 * report it would claim a failed condition although none failed. */
+		/* After a lookup, which bars the write id, the commit may conflict with that id
+		 * although no condition failed. So the conflict is not reported. */
 		if (group->lookups > 0)
 			requeue_group (recorder, group);
 		else
@@ -273,8 +273,8 @@
 time_out (struct dff_recorder *recorder, struct dff_record_group *group)
 {
 	handle_failure (recorder);
-	/* The commit was answered with a conflict, so nothing was written and the read is not
-	 * needed to requeue. */
+	/* The commit was answered with a conflict, so nothing was written and the units can be
+	 * requeued without the read. */
 	if (group->state == DFF_GROUP_READING)
 		requeue_group (recorder, group);
 	else
--- a/tests/record/test-recorder.c
+++ b/tests/record/test-recorder.c
@@ -72,7 +72,8 @@
 	assert_int_equal (dff_memory_counts (fixture->memory).gets, 1);
 }
 
-/* All units of a group conflict, as for a holder whose epoch is over: one commit and one read. */
+/* All units of a group conflict, as for a holder whose epoch is outdated: one commit and one read.
+ */
 static void
 test_conflict_of_a_whole_group (void **state)
 {
