--- a/tests/upstream/test-http-worker.c
+++ b/tests/upstream/test-http-worker.c
@@ -249,7 +249,7 @@
 	fixture_clear (&fixture);
 }
 
-/* Guards against repeating a start, or giving it up as unsent, when the start took effect and only
+/* Guards against repeating a start, or reporting it as unsent, when the start took effect and only
  * its answer was lost. */
 static void
 test_lost_answer_is_uncertain (void **state)
@@ -267,8 +267,8 @@
 	fixture_clear (&fixture);
 }
 
-/* Guards against giving up a working worker: a middlebox drops its connection state, so that open
- * connections stay open without answers while new ones work. Later calls have to use a new
+/* Guards against treating a working worker as lost: a middlebox drops its connection state, so that
+ * open connections stay open without answers while new ones work. Later calls have to use a new
  * connection. */
 static void
 test_silent_connection_is_replaced (void **state)
--- a/tests/upstream/test-watcher.c
+++ b/tests/upstream/test-watcher.c
@@ -221,8 +221,8 @@
 	fixture_clear (&fixture);
 }
 
-/* Guards against a task that runs on after the holder has given its worker up: renewals arrive, but
- * their answers are lost. The worker must not prolong the lease with each renewal. */
+/* Guards against a task that runs on after the holder has declared its worker lost: renewals
+ * arrive, but their answers are lost. The worker must not prolong the lease with each renewal. */
 static void
 test_lost_answers_end_the_lease (void **state)
 {
--- a/tests/upstream/test-worker-tasks.c
+++ b/tests/upstream/test-worker-tasks.c
@@ -104,7 +104,7 @@
 		 {2 * LEASE_MS, DFF_OP_START, 1, 0, 0, OK, DFF_TASK_STOPPED, true},
 		 {2 * LEASE_MS, DFF_OP_END},
 	 }},
-	/* Guards against a task that runs on after the holder has given it up: the worker answers
+	/* Guards against a task that runs on after the holder counts it as lost: the worker answers
 	 * at 200 ms, then renewals arrive but their answers are lost. The holder counts the lease
 	 * from 200 ms; the worker must not count it from the arrival of each renewal. */
 	{"renewals whose answers are lost do not prolong a lease",
--- a/upstream/http_worker.c
+++ b/upstream/http_worker.c
@@ -35,7 +35,7 @@
 
 /** A call in progress. */
 struct worker_call {
-	/** Link in the worker's queue of calls; its data is this struct. */
+	/** Link in dff_http_worker.calls; its data is this struct. */
 	GList link;
 	struct dff_http_worker *worker;
 	struct dff_name address;
--- a/upstream/watcher.c
+++ b/upstream/watcher.c
@@ -51,7 +51,8 @@
 	bool reported_reachable;
 	bool reported_leaving;
 	int64_t reported_silent_ms;
-	/** Renewal in progress was sent before dff_watcher_report_all(): its answer is partial. */
+	/** The renewal in progress was sent before dff_watcher_report_all(): its answer has only
+	 * changes, not all tasks. */
 	bool renewal_outdated;
 	/** Time at which changes after @repeat_sequence are repeated, ms; 0: none is due. */
 	int64_t repeat_at_ms;
@@ -218,8 +219,8 @@
 }
 
 /** Returns: the time of the next retry. The first retry comes soon, because only one connection may
- * have stopped answering; later ones approach the interval. The delay counts from the sending, as
- * the timeout has already passed. */
+ * have stopped answering; later ones approach the interval. The delay counts from the sending of
+ * the failed renewal, as its timeout has already passed. */
 static int64_t
 retry_at_ms (const struct watched *worker)
 {
