--- a/daemon/daemon_private.h
+++ b/daemon/daemon_private.h
@@ -49,7 +49,7 @@
 
 	/** Instance list as last read. Elements: struct dff_instance. */
 	GArray *instances;
-	const struct dff_pool *pool; /**< (nullable): in force, owned by the follower. */
+	const struct dff_pool *pool; /**< (nullable): in force, owned by @pool_watch. */
 	/** Workers that reported that they are leaving. Key: struct dff_name *. */
 	GHashTable *leaving_workers;
 	/** Jobs and the peers that wait for their completion. Key: struct dff_name *, value: GArray
@@ -65,7 +65,7 @@
 	int64_t grants_until_ms;
 	/** Epoch of the last grants received. */
 	int64_t grant_epoch;
-	/** Epoch of the last holder that all workers were reported to again. */
+	/** Epoch of the last new holder to which this process reported all its workers again. */
 	int64_t reported_epoch;
 	bool draining;
 	int64_t drain_started_ms;
@@ -86,7 +86,7 @@
 /** Handles a newer pool in force: dff_pool_in_force_func. */
 void dff_daemon_handle_pool_in_force (void *ctx, const struct dff_pool *pool, struct dff_str text);
 
-/** Handles a committed pool file, from an operator's request here or from a peer. */
+/** Handles a committed pool file, from an operator's request to this process or from a peer. */
 void dff_daemon_handle_pool_committed (void *ctx,
 				       int64_t generation,
 				       int64_t revision,
--- a/daemon/shares.c
+++ b/daemon/shares.c
@@ -156,8 +156,8 @@
 void
 dff_daemon_assign_own_grants (struct dff_daemon *daemon, int64_t now_ms)
 {
-	/* A holder receives its own grants, unless its epoch is lower than that of grants received
-	 * earlier. Then the table was lost, and the holder must not wait for ever. */
+	/* This also covers a holder that rejects its own grants because it received grants of a
+	 * higher epoch earlier, as after a loss of the table. It must not wait for ever. */
 	if (now_ms < daemon->grants_until_ms || daemon->pool == NULL)
 		return;
 	g_autoptr (GArray) members = grant_members (daemon);
