--- a/pool/packing.c
+++ b/pool/packing.c
@@ -28,7 +28,7 @@
 struct place {
 	int first;
 	int count;
-	/** Accelerators left in the racks of the placement; the fewest are the tightest fit. */
+	/** Accelerators left in the racks of the place; the fewest are the tightest fit. */
 	int32_t remaining;
 };
 
