--- a/tests/compat/compat.h
+++ b/tests/compat/compat.h
@@ -16,7 +16,7 @@
 	const char *file;
 	/** Whether lines are hexadecimal; else they are the records themselves. */
 	bool hex;
-	/** Whether the encoder may write other bytes for the same record: it compresses. */
+	/** Whether the encoder may write different bytes for the same record, as it compresses. */
 	bool varies;
 	size_t n_records;
 	/** Returns: (transfer full): the record as the present encoder writes it. */
--- a/tests/compat/messages.c
+++ b/tests/compat/messages.c
@@ -5,7 +5,7 @@
 #include "peer/message.h"
 #include "upstream/worker_wire.h"
 
-/* What processes send to each other and, in JSON, to workers. */
+/* Messages between processes and, in JSON, between processes and workers. */
 
 #define DIGEST "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
 #define PAYLOAD "{\"text\":\"\xc3\xa9 \\\"quoted\\\"\"}"
@@ -266,7 +266,7 @@
 	check_text (message->pool_file.text, POOL_TEXT);
 }
 
-/* The second has neither flag set. */
+/* Record 1 has neither held nor resume set. */
 static GString *
 encode_start (size_t record)
 {
@@ -358,7 +358,7 @@
 	assert_int_equal (renewal.wait_ms, 700);
 }
 
-/* The second has no reports. */
+/* Record 1 has no reports. */
 static GString *
 encode_worker_answer (size_t record)
 {
--- a/tests/compat/rows.c
+++ b/tests/compat/rows.c
@@ -11,8 +11,8 @@
 #include "entry/batch.h"
 #include "pool/pool_row.h"
 
-/* Rows of the platform's table, kept answers to short requests, and the bodies that carry rows and
- * instances. */
+/* Rows of the platform's table, stored answers to short requests, and bodies of HTTP messages with
+ * rows and instances. */
 
 #define HASH "0123456789abcdef0123456789abcdef"
 #define DIGEST HASH HASH
