--- a/include/standin/memory_runner.h
+++ b/include/standin/memory_runner.h
@@ -93,7 +93,7 @@
 int64_t dff_memory_runner_started_ms (struct dff_memory_runner *runner, const char *id);
 
 /** Changes a worker's capacity; its runs go on. A smaller capacity is enforced only after the time
- * that the holder needs to learn of it. */
+ * that it may take to reach the holder. */
 void
 dff_memory_runner_resize (struct dff_memory_runner *runner, const char *id, int32_t accelerators);
 
--- a/include/standin/worker_payload.h
+++ b/include/standin/worker_payload.h
@@ -14,7 +14,7 @@
 	int64_t result_bytes;
 	/** The task fails after it has run for @run_ms. */
 	bool fail;
-	/** What the run log calls it; may be empty. */
+	/** TAG in the run log; may be empty. */
 	struct dff_name tag;
 };
 
@@ -22,7 +22,7 @@
 struct dff_request_payload {
 	int64_t work_ms;
 	int64_t answer_bytes;
-	/** What the run log calls it; may be empty. */
+	/** TAG in the run log; may be empty. */
 	struct dff_name tag;
 };
 
--- a/standin/memory_rows.c
+++ b/standin/memory_rows.c
@@ -408,7 +408,8 @@
 		return;
 	}
 	if (faults->refuses) {
-		/* A read ends with NOT_DONE: a refused commit has certainly no effect. */
+		/* The call ends as a read, with NOT_DONE: a refused commit certainly has no effect.
+		 */
 		call->kind = DFF_CALL_GET;
 		dff_virtual_loop_schedule (rows->loop, DELAY_MS, fail_unanswered, call);
 		return;
--- a/standin/memory_runner_private.h
+++ b/standin/memory_runner_private.h
@@ -21,12 +21,13 @@
 	int64_t last_start_ms;
 	/** Whether its completion was acknowledged. */
 	bool completed;
-	/** Acknowledged failed runs that had failed before the last start. */
+	/** Acknowledged runs that failed before the last start. */
 	int32_t n_failures;
-	/** Acknowledged failed runs that have failed since the last start. */
+	/** Acknowledged runs that failed after the last start. */
 	int32_t n_failures_since_start;
-	/** Number of workers crashed, and of starts since that number is CRASHES_MAX. */
+	/** Number of workers that the task crashed. */
 	int32_t n_crashes;
+	/** Number of starts since n_crashes reached CRASHES_MAX. */
 	int32_t n_starts_after_crashes;
 	/** Number of incarnations that ended while they ran the task. */
 	int32_t n_incarnations_ended;
--- a/standin/memory_runner_work.c
+++ b/standin/memory_runner_work.c
@@ -424,7 +424,7 @@
 		if (end.number > number)
 			return;
 		g_array_remove_index (worker->ends, 0);
-		/* If the lease has expired since, the holder may have given the run up as lost. */
+		/* If the lease has expired since, the holder may have counted the run as lost. */
 		bool counts = worker->lease_expired_ms <= end.at_ms;
 		if (end.end == DFF_RUN_FAILED && counts)
 			record_failure (worker, &end);
--- a/standin/platform_handlers.c
+++ b/standin/platform_handlers.c
@@ -47,7 +47,7 @@
 	reply_json (request, status, json_pack ("{s:s}", "error", detail));
 }
 
-/* Closes the connection without an answer: the caller cannot know if the call took effect. */
+/* Closes the connection without an answer: the caller cannot tell whether the call took effect. */
 static void
 drop_connection (struct evhttp_request *request)
 {
--- a/standin/worker.c
+++ b/standin/worker.c
@@ -230,7 +230,8 @@
 	       dff_worker_tasks_sequence (worker->tasks) != renewal->after_sequence;
 }
 
-/* Leases are renewed immediately, also when the answer waits; its clock is that of answering. */
+/* Renews leases at once, also when the answer waits; the clock in the answer is read when it is
+ * sent. */
 static void
 handle_renewal (struct dff_standin_worker *worker,
 		const struct dff_worker_renewal *renewal,
