--- a/client/call.c
+++ b/client/call.c
@@ -206,7 +206,7 @@
 }
 
 /* Returns: whether the server asks for a retry. After 429 and 503 the request had no effect. After
- * 504 its effect is not known, and the same request finds out. */
+ * 504 its effect is not known, and repeating the request shows it. */
 static bool
 asks_to_retry (const struct dff_call_response *response)
 {
--- a/include/client/call.h
+++ b/include/client/call.h
@@ -74,9 +74,10 @@
 /**
  * dff_call:
  *
- * Sends @request to the servers in turn until one gives a final answer or the time is over. A
+ * Sends @request to the servers in turn until one gives a final answer or the timeout passes. A
  * request that was not sent, or is idempotent and has no answer, goes to the next server. An
- * idempotent one that gets 429, 503 or 504 is retried, after Retry-After once all were asked.
+ * idempotent request that gets 429, 503 or 504 is retried, after Retry-After once all servers were
+ * asked.
  */
 struct dff_call_response *dff_call (struct dff_api_client *client,
 				    const struct dff_call_request *request);
--- a/include/client/pool_progress.h
+++ b/include/client/pool_progress.h
@@ -9,7 +9,7 @@
 #include "common/cleanup.h"
 
 /* Tracks which live processes have a pool generation in force. It merges the answers of several
- * processes, as one that has just started may not know all others yet. */
+ * processes, as a process that has just started may not have discovered all others yet. */
 
 struct dff_pool_progress;
 
--- a/tests/client/test-pool-progress.c
+++ b/tests/client/test-pool-progress.c
@@ -21,8 +21,8 @@
 };
 
 /* Guards against reporting an apply as in force everywhere while a live process lacks it. The first
- * of three processes that have just started gets the file before it knows the others: its view
- * alone must not decide. */
+ * of three processes that have just started gets the file before it has discovered the others: its
+ * view alone does not suffice. */
 static const struct progress_case progress_cases[] = {
 	{{NULL}, 0, 0},
 	{{STATUS ("a", "2", MEMBER ("a", "alive", "2"))}, 1, 0},
