--- a/standin/memory_runner.c
+++ b/standin/memory_runner.c
@@ -5,7 +5,8 @@
 /** Latency in one direction, of a call or of its answer, ms. */
 #define LINK_DELAY_MS 1
 /** Time until a smaller capacity is enforced, ms: three seconds plus the interval between two
- * entries of a worker. Until then the smaller capacity may not have reached the holder. */
+ * writes of the worker's entry (1500 ms in tests/holder). Until then the smaller capacity may not
+ * have reached the holder. */
 #define RESIZE_NOTICE_MS 4500
 /** Interval at which a waiting watch polls for ended runs, ms. */
 #define WATCH_POLL_MS 5
