--- a/include/common/clock.h
+++ b/include/common/clock.h
@@ -9,7 +9,8 @@
  * struct dff_clock:
  * @monotonic_ms: monotonic milliseconds, which include the time that the machine is suspended
  * @wall_ms: milliseconds since the Unix epoch; for display, spans and retention only, because the
- *   wall clock may be wrong or jump; docs/decisions/retention.md says why retention tolerates this
+ *   wall clock may be wrong or jump; docs/decisions/retention.md explains why retention tolerates
+ * this
  * @ctx: passed to both
  */
 struct dff_clock {
--- a/include/common/setting.h
+++ b/include/common/setting.h
@@ -13,7 +13,7 @@
  * pages are derived. The values are stored in a struct of the table's owner. */
 
 enum dff_setting_type {
-	DFF_SETTING_NAME,    /**< struct dff_name of @max bytes at the most. */
+	DFF_SETTING_NAME,    /**< struct dff_name of at most @max bytes. */
 	DFF_SETTING_ADDRESS, /**< struct dff_name, "IP:PORT", port @min or above. */
 	DFF_SETTING_KEY,     /**< struct dff_name, 32 bytes in base64url. */
 	DFF_SETTING_PATH,    /**< GString *. */
--- a/include/daemon/settings.h
+++ b/include/daemon/settings.h
@@ -40,7 +40,7 @@
 	int32_t max_body_bytes;       /**< Reloadable. */
 	int32_t request_timeout_ms;   /**< Time a caller may take to send a request. Reloadable. */
 	int32_t max_requests;         /**< Short requests in progress at once. Reloadable. */
-	int32_t upstream_connections; /**< To each worker at the most. */
+	int32_t upstream_connections; /**< Maximum for each worker. */
 	int32_t table_writes_per_s; /**< This process's share of the table's budget. Reloadable. */
 	int32_t tick_ms;
 	int32_t cell_lease_ms;
@@ -55,7 +55,7 @@
 	int32_t isolated_after_ms; /**< Neither store nor peers for this long: unready. */
 	int32_t drain_grace_ms;    /**< Unready but taking work for this long at a graceful stop.
 				      Reloadable. */
-	int32_t drain_timeout_ms;  /**< A graceful stop that takes longer is given up; 0: never. */
+	int32_t drain_timeout_ms; /**< A graceful stop that takes longer is aborted; 0: no limit. */
 };
 
 /**
