--- a/core/headroom.c
+++ b/core/headroom.c
@@ -87,7 +87,8 @@
 /* Work that has waited headroom_wait_ratio times its estimated run time leaves headroom for the
  * highest priority only: its deadline comes closer, and preemption can free the capacity again.
  * Guards against starvation under load: work of the middle priority waits for racks and cannot use
- * the headroom at once, and lower priorities may not use it until their deadlines pass. */
+ * the headroom at once, and lower priorities may not use it until their deadlines pass, so that on
+ * a loaded day an entire class of jobs is not served. */
 int32_t
 dff_core_headroom_level (const struct dff_core *core, const struct dff_core_job *job)
 {
--- a/holder/capacity.c
+++ b/holder/capacity.c
@@ -7,8 +7,8 @@
  * last report is only valid for a limited time. */
 
 /** Longest age of the capacity report with which a worker that does not enforce its capacity gets
- * new tasks, ms: two of its entries, and less than the delay that whoever shrinks its capacity
- * allows for. */
+ * new tasks, ms. It spans two of the worker's entries. It is shorter than the time that whoever
+ * shrinks a worker's capacity allows for the holder to take this into account. */
 #define REPORT_AGE_MAX_MS 3000
 
 bool
--- a/holder/list.c
+++ b/holder/list.c
@@ -6,9 +6,7 @@
  * Reading the list of a few hundred workers whole twice a second keeps a small machine busy (350
  * entries: 0.3 s at 0.12 of a core and 10 Mbit/s) and delays the holder's transactions and orders.
  * So of a long list only the changes are requested once it is known, which are a third of the
- * list. With 350 workers this reads a sixth less from the store; the mean worth of a day rose from
- * 0.433 to 0.461 on the site with the smaller machines, and was 0.434 instead of 0.438 on the
- * other one (60 days after, 30 before). */
+ * list. With 350 workers this reads a sixth less from the store. */
 
 /** Interval between two reads, ms: a worker that leaves must get no new tasks within two seconds
  * after it announces this, at the store or to this process. */
--- a/tests/compat/compat.h
+++ b/tests/compat/compat.h
@@ -14,9 +14,9 @@
 /* Records of one kind in one file under tests/compat/data, one a line. */
 struct compat_case {
 	const char *file;
-	/** Whether lines are hexadecimal; else they are the records themselves. */
+	/** Whether each line holds the record in hexadecimal; otherwise it is the record. */
 	bool hex;
-	/** Whether the encoder may write other bytes for the same record: it compresses. */
+	/** Whether the encoder may write other bytes for the same record, as it compresses. */
 	bool varies;
 	size_t n_records;
 	/** Returns: (transfer full): the record as the present encoder writes it. */
--- a/tests/compat/jobs.c
+++ b/tests/compat/jobs.c
@@ -4,7 +4,7 @@
 #include "graph/progress.h"
 #include "holder/holder_private.h"
 
-/* What the holder of the fleet's cell keeps: its lease, jobs and how far they are. */
+/* Rows that the holder of the fleet's cell writes: its lease, jobs and their progress. */
 
 #define N_PROGRESS 5
 
@@ -132,7 +132,7 @@
 	dff_progress_task (progress, 0, 1, 4)->state = DFF_PROGRESS_TASK_DONE;
 }
 
-/* Rows of jobs that are over, and of those not begun, have no tasks. */
+/* Rows of jobs that have ended or have not started have no tasks. */
 static struct dff_progress *
 full_progress (const struct dff_plan *plan, size_t record)
 {
@@ -187,7 +187,7 @@
 	}
 }
 
-/* The second row is a released one of a holder that does not know the store's clock. */
+/* The second row is a released lease of a holder that does not know the store's clock. */
 static GString *
 encode_lease (size_t record)
 {
--- a/tests/compat/rows.c
+++ b/tests/compat/rows.c
@@ -11,8 +11,8 @@
 #include "entry/batch.h"
 #include "pool/pool_row.h"
 
-/* Rows of the platform's table, kept answers to short requests, and the bodies that carry rows and
- * instances. */
+/* Rows of the platform's table, stored answers to short requests, and the bodies that carry rows
+ * and instances. */
 
 #define HASH "0123456789abcdef0123456789abcdef"
 #define DIGEST HASH HASH
@@ -44,7 +44,7 @@
 	}
 }
 
-/* Even records have every member, odd ones leave out what may be absent. */
+/* Records with an even index have every member, those with an odd index only the required ones. */
 static struct dff_job_row *
 full_job (size_t record)
 {
@@ -363,7 +363,7 @@
 					.detail = "No answer came.",
 					.retry_after_s = 3};
 
-/* What a worker answered, and a problem. */
+/* The answer of a worker, and the answer made from a problem. */
 static struct dff_answer *
 full_answer (size_t record)
 {
--- a/tests/compat/test-old-data.c
+++ b/tests/compat/test-old-data.c
@@ -6,10 +6,10 @@
 #include "fleet/settings.h"
 #include "pool/pool.h"
 
-/* Rows and messages of another build can be read: processes of two builds run beside each other
- * during an update, and rows outlive both. The records under tests/compat/data were written by the
- * encoders of an earlier build. They are not to be written anew with a change of an encoder: a
- * renamed key or a changed number would then pass here and lose rows in the field. */
+/* Checks that this build reads rows and messages of an earlier one. During an update processes of
+ * two builds run beside each other, and rows outlive both. The records under tests/compat/data were
+ * written by the encoders of an earlier build. Do not regenerate them when an encoder changes:
+ * a renamed key or a changed number would then pass this test and lose rows in the field. */
 
 #define DATA "tests/compat/data/"
 
