--- a/tests/compat/compat.h
+++ b/tests/compat/compat.h
@@ -16,11 +16,7 @@
 	const char *file;
 	/** Whether each line holds the record in hexadecimal; otherwise it is the record. */
 	bool hex;
-<<<<<<< HEAD
 	/** Whether the encoder may write different bytes for the same record, as it compresses. */
-=======
-	/** Whether the encoder may write other bytes for the same record, as it compresses. */
->>>>>>> 294d634ea879dd15e353a1ae9e98252e00d96be6
 	bool varies;
 	size_t n_records;
 	/** Returns: (transfer full): the record as the present encoder writes it. */
--- a/tests/compat/jobs.c
+++ b/tests/compat/jobs.c
@@ -4,11 +4,7 @@
 #include "graph/progress.h"
 #include "holder/holder_private.h"
 
-<<<<<<< HEAD
 /* Rows of the holder of the fleet's cell: its lease, jobs and their progress. */
-=======
-/* Rows that the holder of the fleet's cell writes: its lease, jobs and their progress. */
->>>>>>> 294d634ea879dd15e353a1ae9e98252e00d96be6
 
 #define N_PROGRESS 5
 
@@ -136,11 +132,7 @@
 	dff_progress_task (progress, 0, 1, 4)->state = DFF_PROGRESS_TASK_DONE;
 }
 
-<<<<<<< HEAD
 /* Only the rows of running jobs have tasks. */
-=======
-/* Rows of jobs that have ended or have not started have no tasks. */
->>>>>>> 294d634ea879dd15e353a1ae9e98252e00d96be6
 static struct dff_progress *
 full_progress (const struct dff_plan *plan, size_t record)
 {
@@ -195,11 +187,7 @@
 	}
 }
 
-<<<<<<< HEAD
 /* Row 1 is released and from a holder that has not determined the store's clock. */
-=======
-/* The second row is a released lease of a holder that does not know the store's clock. */
->>>>>>> 294d634ea879dd15e353a1ae9e98252e00d96be6
 static GString *
 encode_lease (size_t record)
 {
--- a/tests/compat/rows.c
+++ b/tests/compat/rows.c
@@ -11,13 +11,8 @@
 #include "entry/batch.h"
 #include "pool/pool_row.h"
 
-<<<<<<< HEAD
 /* Rows of the platform's table, stored answers to short requests, and bodies of HTTP messages with
  * rows and instances. */
-=======
-/* Rows of the platform's table, stored answers to short requests, and the bodies that carry rows
- * and instances. */
->>>>>>> 294d634ea879dd15e353a1ae9e98252e00d96be6
 
 #define HASH "0123456789abcdef0123456789abcdef"
 #define DIGEST HASH HASH
