--- a/holder/list.c
+++ b/holder/list.c
@@ -6,9 +6,7 @@
  * Reading the list of a few hundred workers whole twice a second keeps a small machine busy (350
  * entries: 0.3 s at 0.12 of a core and 10 Mbit/s) and delays the holder's transactions and orders.
  * So of a long list only the changes are requested once it is known, which are a third of the
- * list. With 350 workers this reads a sixth less from the store; the mean worth of a day rose from
- * 0.433 to 0.461 on the site with the smaller machines, and was 0.434 instead of 0.438 on the
- * other one (60 days after, 30 before). */
+ * list. With 350 workers this reads a sixth less from the store. */
 
 /** Interval between two reads, ms: a worker that leaves must get no new tasks within two seconds
  * after it announces this, at the store or to this process. */
@@ -23,7 +21,7 @@
 #define UNREADABLE_LOG_INTERVAL_MS 5000
 
 /* An unreadable entry provides no worker; the other entries remain valid. A worker whose entry was
- * readable before counts as not listed. Workers write all the time, so that the log lines are
+ * readable before counts as not listed. Workers write all the time, so the log lines are
  * limited. */
 static void
 note_unreadable (struct dff_holder *holder, const struct dff_row *row)
--- a/include/core/job.h
+++ b/include/core/job.h
@@ -25,8 +25,8 @@
 	DFF_OUTCOME_FAILED,
 	DFF_OUTCOME_CANCELLED,
 	DFF_OUTCOME_NOT_RUN, /**< Proven: no part of it ran, and none will. */
-	DFF_OUTCOME_UNKNOWN, /**< Not idempotent, and neither outcome can be proven. Never started
-				again. */
+	DFF_OUTCOME_UNKNOWN, /**< Not idempotent, and neither "completed" nor "not run" can be
+				proven. Never started again. */
 };
 
 /** Largest gang of one job or request, in tasks: the most that one decision places. */
@@ -69,7 +69,7 @@
 	struct dff_name spread_group;
 	/** Maximum number of tasks of the spread group on one worker; 0: no limit. */
 	int32_t per_worker;
-	/** Value of finishing early, relative to other jobs, an accelerator second; 0 counts as
+	/** Value of finishing early, per accelerator second, relative to other jobs; 0 counts as
 	 * 1. */
 	double weight;
 };
