--- a/holder/blame.c
+++ b/holder/blame.c
@@ -3,22 +3,22 @@
 #include "common/log.h"
 #include "holder/policy.h"
 
-/* Finds the tasks that crash the workers that start them. All runs on a worker are lost with it,
- * and usually at most one of them is the cause. So the task of each lost run gets blame points, and
- * the core fails a job at a limit that a task that always crashes its worker reaches soon, and
- * other tasks hardly ever:
+/* Finds the tasks that crash their workers. All runs on a worker are lost with it, and usually at
+ * most one of them is the cause. So the task of each lost run gets blame points. The core fails a
+ * job at a limit that a task that always crashes its worker reaches soon, and other tasks hardly
+ * ever:
  *
  * - Most points if the worker was lost soon after the run had started: a task that crashes workers
  *   does so as it starts. Fewer points for a run that was seen running for longer, for one that a
  *   former holder started, and for a start with unknown outcome.
- * - Few points for a lapsed lease, because the worker may be cut off; they are taken back once the
- *   worker answers again. There are some because a crashed worker may be back only after its lease
- *   has lapsed, or never.
+ * - Few points for a lapsed lease, because the worker may only be cut off; they are taken back once
+ *   the worker answers again. There are some because a crashed worker may be back only after its
+ *   lease has lapsed, or never.
  * - None if the worker left when it had announced, or if the start was certainly not carried out.
  *
- * A task whose run ends after a second of running, as reported by its worker, does not crash
- * workers as it starts: its startup points are cleared. If the worker is lost after a minute of
- * running, the task is cleared of all points.
+ * If a worker reports the end of a run after a second of running, the task does not crash workers
+ * as it starts: its startup points are cleared. If the worker is lost after a minute of running,
+ * the task is cleared of all points.
  *
  * The points are in the job's row, which is written before the task's next start, so that each
  * holder continues the count. Points for a lapsed lease are only taken back by the process that
@@ -44,10 +44,9 @@
 	return names[loss];
 }
 
-/* Guards against failing jobs that are started just as many workers restart: their starts were
- * sent to incarnations that had already ended, and were in transit when the next incarnation
- * answered. The time of the start shows this, because a worker that crashes at a start is away for
- * longer. */
+/* Guards against failing jobs whose starts were sent to an incarnation that had already ended, and
+ * were in transit when the next one answered. The time of the start shows this, because a worker
+ * that crashes at a start is away for longer. */
 static bool
 may_have_begun (const struct dff_holder *holder, const struct holder_run *run)
 {
--- a/holder/capacity.c
+++ b/holder/capacity.c
@@ -2,9 +2,9 @@
 
 /* Free capacity of workers. Workers report their capacity in their list entries, and it may shrink
  * while tasks run. Most workers reject tasks that exceed it; the workers of some services start
- * every task they are sent. Guards against overloading such a worker: its capacity shrinks while
- * its entry does not reach the store or the holder, or while a start is being recorded, so the
- * last report is only valid for a limited time. */
+ * every task they are sent. Guards against overloading such a worker: its capacity may shrink while
+ * its entry does not reach the store or the holder, or while a start is being recorded. So the last
+ * report is only valid for a limited time. */
 
 /** Longest age of the capacity report with which a worker that does not enforce its capacity gets
  * new tasks, ms. It spans two of the worker's entries. It is shorter than the time that whoever
--- a/holder/commit.c
+++ b/holder/commit.c
@@ -3,10 +3,10 @@
 #include "common/log.h"
 
 /* Writes of the holder: one transaction at a time, with everything that has changed since the last
- * one. Values are whole rows, so that a transaction whose answer was lost is simply followed by a
- * newer one: whichever of the two the store carries out first, the other one finds the holder's
- * row changed. Actions that wait for a row to be recorded proceed only when a transaction that
- * covers it was answered. */
+ * one. Values are whole rows, so a transaction whose answer was lost is followed by a newer one:
+ * whichever of the two the store carries out first, the other finds the holder's row changed.
+ * Actions that wait for a row to be recorded proceed only when a transaction that covers it was
+ * answered. */
 
 /** Heartbeat interval, ms: a third of the peers' failure detection timeout. */
 #define HEARTBEAT_INTERVAL_MS 250
--- a/holder/evacuation.c
+++ b/holder/evacuation.c
@@ -2,15 +2,14 @@
 
 #include "common/log.h"
 
-/* Evacuated data centres. Every process follows the operator's requests, whether it is the holder
- * or not, so that a new holder knows them before its first start. Guards against starting tasks in
- * a data centre that an operator is emptying for work on its power.
+/* Evacuated data centres. Guards against starting tasks in a data centre that an operator is
+ * emptying for work on its power. Every process follows the operator's requests, so that a new
+ * holder knows them before its first start.
  *
- * A start is held back in three places, because it passes through the store and over the network
- * between the decision and the worker: the core places no task there, a recorded start that was not
- * sent is withdrawn, and a start with unknown outcome is stopped instead of repeated. Runs that are
- * active there continue to their end: they were started before, and a stop would only discard their
- * work. */
+ * Between the decision and the worker a start passes through the store and over the network, so it
+ * is held back in three places: the core places no task there, a recorded start that was not sent
+ * is withdrawn, and a start with unknown outcome is stopped instead of repeated. Active runs
+ * continue to their end: a stop would only discard their work. */
 
 /** Age of the known evacuations from which no task is started, ms. Operators rely on an evacuation
  * after five seconds; an order may be in transit for some hundred ms. */
--- a/holder/handover.c
+++ b/holder/handover.c
@@ -2,12 +2,12 @@
 
 #include "common/log.h"
 
-/* Selects the process that takes the lease of the cell. Machines differ: one with a fifth of a core
- * and a tenth of the link of another reads the state for a takeover five to ten times as slowly,
- * and then schedules as slowly. Guards against small machines taking the lease in turn just because
- * they were first: each would need a second or more for the takeover, fall behind, and be suspected
- * of failure. So each process knows its own takeover time, the holder's row contains the shortest
- * known one, and a slower process delays its own takeover by the difference, by which it would be
+/* Selects the process that takes the lease of the cell. A machine with a fifth of a core and a
+ * tenth of the link of another reads the state for a takeover five to ten times as slowly, and then
+ * schedules as slowly. Guards against small machines taking the lease in turn just because they
+ * were first: each would need a second or more for the takeover, fall behind, and be suspected of
+ * failure. So each process knows its own takeover time, and the holder's row contains the shortest
+ * known one. A slower process delays its own takeover by the difference, by which it would be
  * behind anyway. A quicker process that starts later asks the holder to hand over. */
 
 /** A holder hands over to a process whose takeover time is shorter by this factor: a handover
--- a/holder/inbox.c
+++ b/holder/inbox.c
@@ -7,8 +7,8 @@
 /* Finds jobs and cancellations that the holder has not received from the feed. The feed delivers
  * most of them within milliseconds, but the store may hold feeds back for a second while it serves
  * reads, and all jobs accepted in that second would start late. So each submission also writes its
- * key to a small table, which is read whole several times a second, and from which the holder
- * removes the keys that it has applied. */
+ * key to a small table. The holder reads it whole several times a second and removes the keys that
+ * it has applied. */
 
 /** Interval between two reads, ms: the longest delay until a job is known. */
 #define READ_INTERVAL_MS 200
--- a/holder/incarnations.c
+++ b/holder/incarnations.c
@@ -2,10 +2,10 @@
 
 #include "common/log.h"
 
-/* Determines the current incarnation of a worker that may restart under the same id. The worker's
- * answers to calls of this process determine it. A list entry may be late or written by another
- * process: a new incarnation in it only makes this process ask the worker, which gets no new tasks
- * until it has answered. */
+/* Determines the current incarnation of a worker, which may restart under the same id, from its
+ * answers to this process. A list entry may be late or written by another process: a new
+ * incarnation in it only makes this process ask the worker, which gets no new tasks until it has
+ * answered. */
 
 /** Longest delay after which a worker may still carry out an order that it has not answered, ms. */
 #define LATE_ORDER_MAX_MS 15000
--- a/holder/lease.c
+++ b/holder/lease.c
@@ -6,10 +6,10 @@
 #include "common/rendezvous.h"
 #include "graph/json.h"
 
-/* The lease of the cell. Every transaction of the holder rewrites the holder's row under the
- * condition that the row is as the holder left it. To take the lease, a process rewrites the row
- * with the next epoch. So the condition fails for a transaction of a former holder that the store
- * carries out late, and for one of a holder that was paused and resumed. */
+/* The lease of the cell. Every transaction of the holder rewrites the holder's row on condition
+ * that the row is as the holder left it. A process takes the lease by rewriting the row with the
+ * next epoch. So the condition fails for a transaction of a former holder that the store carries
+ * out late, and for one of a holder that was paused and resumed. */
 
 /** Interval between two reads of the holder's row by the other processes, ms. */
 #define READ_INTERVAL_MS 300
@@ -26,16 +26,16 @@
  * one heartbeat is late. A process that reads the row for the first time probes at once. */
 #define PROBE_AFTER_MS 250
 #define PROBE_INTERVAL_MS 250
-/** A holder that was active in a probe within this time, about two probe intervals, is given the
- * longer limit without heartbeats, ms: twice the longest timeout of a transaction. Without it, a
- * holder that is short of processor time after a takeover is replaced by a process that will be as
- * short of it. */
+/** Longest age of a probe that has shown the holder active, about two probe intervals, and the
+ * limit without heartbeats that the holder then gets, ms: twice the longest timeout of a
+ * transaction. With the usual limit, a holder that is short of processor time after a takeover is
+ * replaced by a process that will be as short of it. */
 #define ACTIVE_FRESH_MS 600
 #define ACTIVE_LIMIT_MS 3000
 /** Spread of the takeover attempts of the processes, ms, and what a slow store adds to it, as a
- * multiple of the duration of a read. One process is first, and its transaction, which takes as
- * long as several reads, prevents the attempts of the others. Each attempt that still happens
- * delays the first one: in a store that takes 400 ms for each, five of them take two seconds. */
+ * multiple of the duration of a read. The transaction of the first process takes as long as several
+ * reads, and prevents the attempts of the others. Each attempt that still happens delays the first:
+ * in a store that takes 400 ms for each, five of them take two seconds. */
 #define TAKEOVER_SPREAD_MS 350
 #define TAKEOVER_SPREAD_READS 4
 /** What a slow store adds to the timeout, as a multiple of the duration of a read: heartbeats
@@ -58,11 +58,11 @@
 #define FORMER_MARGIN_MS 150
 
 /* A holder renews leases only for a limited time after the start of its last transaction that was
- * carried out. A process that takes the lease has seen the row of that transaction, and replaces
- * exactly that row, so it knows when these renewals end: earlier if it learns that the holder has
- * released the lease. Holders before that one may still renew leases, and the row contains their
- * limit. Guards against waiting for the same lost workers again at each of several successive
- * takeovers, until the job's time is up. */
+ * carried out. A process that takes the lease replaces exactly the row of that transaction, so it
+ * knows when these renewals end: earlier if it learns that the holder has released the lease.
+ * Earlier holders may still renew leases too, and the row contains their limit. Guards against
+ * waiting for the same lost workers at each of several successive takeovers, until the job's time
+ * is up. */
 static void
 note_former (struct dff_holder *holder,
 	     const struct lease_row *lease,
@@ -280,10 +280,10 @@
 }
 
 /* A holder that has ended or released the lease is not waited for. A probe shows this: the
- * connection is refused, another incarnation of the process answers, or the process answers that
- * it does not hold the lease. A holder that has lost the store releases the lease when asked to,
- * which this process does if the store answers it. A holder whose probe is not answered may still
- * be working. */
+ * connection is refused, another incarnation of the process answers, or the process answers that it
+ * does not hold the lease. A holder that has lost the store releases the lease when asked to; this
+ * process asks if the store answers it. A holder whose probe is not answered may still be working.
+ */
 static void
 probe_holder (struct dff_holder *holder,
 	      const struct lease_row *lease,
--- a/holder/list.c
+++ b/holder/list.c
@@ -3,10 +3,10 @@
 #include "common/log.h"
 
 /* The list of workers, kept by the platform. Each worker writes its entry every second or two.
- * Reading the list of a few hundred workers whole twice a second keeps a small machine busy (350
+ * Reading a list of a few hundred workers whole twice a second keeps a small machine busy (350
  * entries: 0.3 s at 0.12 of a core and 10 Mbit/s) and delays the holder's transactions and orders.
- * So of a long list only the changes are requested once it is known, which are a third of the
- * list. With 350 workers this reads a sixth less from the store. */
+ * So once a long list is known, only its changes are requested, a third of the list. With 350
+ * workers this reads a sixth less from the store. */
 
 /** Interval between two reads, ms: a worker that leaves must get no new tasks within two seconds
  * after it announces this, at the store or to this process. */
--- a/holder/policy.c
+++ b/holder/policy.c
@@ -36,9 +36,9 @@
 
 /** Wait after which bulk work no longer leaves free capacity for work that waits in front of it,
  * except urgent work, in multiples of its own run time: a third of the wait that its objective
- * allows, so that the objective can still be met. On a loaded fleet of a thousand workers twice as
- * many bulk jobs complete in time, a tenth fewer of the other jobs, and a fifth more work is done
- * in total. */
+ * allows, so that it can still be met. On a loaded fleet of a thousand workers twice as many bulk
+ * jobs complete in time, a tenth fewer of the other jobs, and a fifth more work is done in total.
+ */
 #define HEADROOM_WAIT_RATIO 1.0
 
 /** Work that an urgent job may discard by preemption, in multiples of its own work: without a
--- a/holder/queries.c
+++ b/holder/queries.c
@@ -1,14 +1,12 @@
 #include "holder/holder_private.h"
 
-/* State queries for jobs, answered from memory: the answer is the recorded state, as if the row
- * had been read, at no cost for the store.
+/* State queries for jobs, answered from memory with the recorded state, at no cost for the store.
  *
- * A caller often queries just as its job ends. The completion arrives here some milliseconds
- * later, and is recorded 10 to 20 ms after that. An immediate answer would say that the job runs,
- * and the caller would learn of the completion only at its next query: 250 ms late at four queries
- * a second, which is the whole delay that an urgent job allows. So an answer "running" waits for a
- * moment. No rejection is delayed by this, and a caller that queries in the middle of a run loses
- * nothing. */
+ * A caller often queries just as its job ends. The completion arrives here some milliseconds later,
+ * and is recorded 10 to 20 ms after that. An immediate answer "running" would delay the caller to
+ * its next query: by 250 ms at four queries a second, which is the whole delay that an urgent job
+ * allows. So this answer waits for a moment. No rejection is delayed by this, and a caller that
+ * queries in the middle of a run loses nothing. */
 
 /** Longest time that a state query waits for a completion that has not arrived yet, ms. A
  * completion takes a few ms from the worker, through a relay on a small machine up to 20 ms, and
--- a/holder/runs.c
+++ b/holder/runs.c
@@ -2,11 +2,10 @@
 
 #include "common/log.h"
 
-/* One run of a member at its worker, from the recorded start to its end. An order without an
- * answer may be carried out seconds later. A start is therefore repeated unchanged, which the
- * worker recognises as the same start. A run that is to be stopped has ended only when the worker
- * has answered the stop (it refuses the run from then on) and does not list the run, or when the
- * worker's lease has lapsed. */
+/* One run of a member at its worker, from the recorded start to its end. An order without an answer
+ * may be carried out seconds later. So a start is repeated unchanged, and the worker recognises it
+ * as the same. A stopping run has ended only when the worker has answered the stop (it refuses the
+ * run from then on) and does not list the run, or when the worker's lease has lapsed. */
 
 /** Timeout of a start or stop, ms: workers answer within a few ms, and within a few hundred where
  * they or a relay are short of processor time. */
@@ -35,9 +34,8 @@
 	g_free (run);
 }
 
-/* Thousands of runs are open, and few of them wait for a call: only the latter are checked, fifty
- * times a second. With 350 workers, checking all runs takes an eighth of the holder's processor
- * time. */
+/* Only runs that wait for a call are checked, fifty times a second; thousands are open. With 350
+ * workers, checking all runs takes an eighth of the holder's processor time. */
 void
 run_set_phase (struct dff_holder *holder, struct holder_run *run, enum run_phase phase)
 {
@@ -459,11 +457,10 @@
 	holder->options.runner->stop (holder->options.runner->ctx, &order, handle_order, call);
 }
 
-/* Withdraws a recorded start. Guards against starting a task in an evacuated data centre, or on a
- * worker without capacity for it: the start is recorded and sent, its answer is lost, then the
- * data centre is evacuated or the worker's capacity shrinks, and the start would be repeated. A
- * start that may have arrived, or that a former holder may have sent, is settled by a stop: a
- * worker that has not seen the run refuses it from then on. */
+/* Withdraws a recorded start. Guards against repeating a start without an answer in a data centre
+ * that was evacuated since, or at a worker whose capacity shrank since. A start that may have
+ * arrived, or that a former holder may have sent, is settled by a stop: a worker that has not seen
+ * the run refuses it from then on. */
 static void
 withdraw_start (struct dff_holder *holder, struct holder_run *run, const char *reason)
 {
--- a/holder/submissions.c
+++ b/holder/submissions.c
@@ -3,11 +3,10 @@
 #include "common/log.h"
 #include "rows/waiters.h"
 
-/* Rows of jobs and cancellations that are written with the holder's own transactions. A job that
- * is submitted this way is added and placed before its row is written, so that one transaction
- * records both its acceptance and its first start. Otherwise these take two or three transactions,
- * one after the other: in a store that takes 170 ms for each, most of the time that an urgent job
- * has.
+/* Rows of jobs and cancellations that are written with the holder's own transactions. A job that is
+ * submitted this way is placed before its row is written, so that one transaction records both its
+ * acceptance and its first start. Otherwise these take two or three transactions in turn: in a
+ * store that takes 170 ms for each, most of the time that an urgent job has.
  *
  * Until the row is recorded the job is provisional: no state of it is reported or sent, and it is
  * withdrawn when the row cannot be written, so that the outcome NOT_DONE stays true. */
--- a/holder/watch.c
+++ b/holder/watch.c
@@ -124,9 +124,9 @@
 	worker_set_state (holder, worker);
 }
 
-/* Guards against stopping a run that has just ended: the report of one member's worker shows that
- * a gang has ended, while an earlier report of another worker, which still lists the gang, arrives
- * later. A newer report shows which is true. */
+/* Guards against stopping a run that has just ended: one worker reports the end of a gang, and an
+ * earlier report of another worker, which still lists the gang, arrives later. A newer report shows
+ * which is true. */
 static void
 handle_orphan (struct dff_holder *holder,
 	       struct holder_worker *worker,
@@ -221,9 +221,9 @@
 	return unchanged_ms >= MAX (limit_ms, STALL_FACTOR * ms_per_percent);
 }
 
-/* Reports a worker on which all runs have stalled. Guards against tasks, urgent ones too, that
- * take seconds longer because the worker lists them as active although they make no progress. One
- * stalled run beside others that progress concerns its job alone. */
+/* Reports a worker on which all runs have stalled. Guards against tasks, urgent ones too, that take
+ * seconds longer because the worker lists them as active although they make no progress. A stalled
+ * run beside others that progress concerns its job alone. */
 static void
 check_progress (struct dff_holder *holder, struct holder_worker *worker)
 {
@@ -332,10 +332,9 @@
 	}
 }
 
-/* Completions are numbered from the start in each incarnation: acknowledging a number of the
- * previous incarnation would make the next one drop completions that were never received. So no
- * number is acknowledged until a report has shown the incarnation to which the last start was
- * sent. */
+/* Each incarnation numbers its completions from the start: acknowledging a number of the previous
+ * one would make the next one drop completions that were never received. So no number is
+ * acknowledged until a report has shown the incarnation to which the last start was sent. */
 static int64_t
 acknowledged (const struct holder_worker *worker, bool immediate)
 {
