--- a/core/cover.c
+++ b/core/cover.c
@@ -2,9 +2,9 @@
 
 /* Accounting of which guaranteed jobs the shapes of a team cover, wherever they run. A guaranteed
  * job that finds its team's shapes used up runs as a borrower if it can. When a shape has capacity
- * left again, the oldest such job is covered, even if it runs already. Without this accounting a
- * later job would take that capacity, and the older one, once preempted, would wait although the
- * guarantee was due to it. */
+ * left again, the oldest such job is covered, even if it runs already. Otherwise a later job would
+ * take that capacity, and the older one, once preempted, would wait although the guarantee was due
+ * to it. */
 
 static bool
 region_agrees (const struct dff_core_job *job, const struct dff_core_shape *shape)
--- a/core/headroom.c
+++ b/core/headroom.c
@@ -4,10 +4,9 @@
 
 /*
  * Headroom: capacity kept free for work that is about to arrive. Work of a priority leaves free
- * what higher priorities have needed lately. Without headroom urgent jobs find the pool full, have
- * to wait until a task is stopped, and the work of that task is lost; the same tasks are started
- * and stopped again and again. The reason is that urgent work arrives in bursts, whereas other work
- * can wait for many seconds.
+ * what higher priorities have needed lately. Urgent work arrives in bursts, whereas other work can
+ * wait for many seconds. Without headroom urgent jobs find the pool full and wait until a task is
+ * stopped, whose work is lost; the same tasks are started and stopped again and again.
  *
  * The headroom is the largest recent demand, which decays slowly, so that a burst leaves its
  * capacity free for the next. It consists of whole workers, the last of each region, so that gangs
--- a/core/isolation.c
+++ b/core/isolation.c
@@ -1,11 +1,11 @@
 #include "core/core_private.h"
 
 /* Placement of jobs that may crash their workers. Such a job is placed in isolation: where least
- * else runs, at most one such job on trial per worker, and with no new job beside it where there is
- * another place, until the worker has survived its start. Guards against blaming the wrong jobs:
- * all jobs lost with one worker are placed again at the same moment, and so together. Jobs that run
- * beside the crashing job when the next worker crashes would get blame points too, and would be
- * ended with the crashing job. */
+ * else runs, and at most one such job on trial per worker. Where there is another place, no new job
+ * is placed beside it until the worker has survived its start. Guards against blaming the wrong
+ * jobs: all jobs lost with one worker are placed again at the same moment, and so together. Jobs
+ * that run beside the crashing job when the next worker crashes would get blame points too, and
+ * would be ended with it. */
 
 /** Time after its start for which an isolated job is on trial, ms. By then the silence of a crashed
  * worker has been noticed. */
--- a/core/leaving.c
+++ b/core/leaving.c
@@ -1,9 +1,9 @@
 #include "core/core_private.h"
 
 /* Work on workers that leave. A worker reports the minimum time until it leaves, and is gone soon
- * after. A task that does not end in that time would be lost with the worker, without a report: it
- * would start again only when its lease has expired, many seconds later, and without a checkpoint.
- * So a task that will not end in time is stopped at once. */
+ * after. A task that will not end in that time is stopped at once. Otherwise it would be lost with
+ * the worker, without a report, and start again only when its lease has expired, many seconds
+ * later, and without a checkpoint. */
 
 /** Time from a stop until it has been carried out and the checkpoint is saved, ms. A task that ends
  * less than this before the worker leaves may not end in time. */
--- a/core/outcome.c
+++ b/core/outcome.c
@@ -23,10 +23,10 @@
 }
 
 /* Guards against a job that crashes a worker every few seconds, with all jobs that run there, and
- * is retried without end: a run lost with its worker is not a failure, so it does not count against
- * the job's attempts. Jobs that only shared a worker with the crashing job must not be ended for
- * it: the reporter of the crash weighs the blame points. They are kept across a change of the
- * holder. */
+ * is retried without end: a run lost with its worker is no failure and does not count against the
+ * job's attempts. Jobs that only shared a worker with the crashing job must not be ended for it:
+ * the reporter of the crash weighs the blame points. They are kept across a change of the holder.
+ */
 bool
 dff_core_job_exceeds_blame_limit (const struct dff_core *core, const struct dff_core_job *job)
 {
--- a/core/place.c
+++ b/core/place.c
@@ -80,9 +80,9 @@
 }
 
 /* Whether a job has waited long enough, and the load is low enough, for it to use what is kept for
- * others. Without this a job may wait for ever while the pool is nearly empty: for a rack that has
+ * others. Otherwise a job may wait for ever while the pool is nearly empty: for a rack that has
  * lost a worker, or for workers kept free as headroom. Workers that get no new work for now count
- * as capacity: it is part of what callers were promised. */
+ * as capacity, because callers were promised it. */
 static bool
 may_ignore_reservations (const struct dff_core *core, const struct dff_core_job *job)
 {
--- a/core/quarantine.c
+++ b/core/quarantine.c
@@ -89,9 +89,9 @@
 }
 
 /* Whether another worker may be quarantined. Guards against a batch of a few dozen jobs that fail
- * wherever they run: each worker sees different jobs fail, as if it were at fault, and a whole
- * region would be closed, so that no team gets its guaranteed shapes for a minute or longer. A
- * quarter of the workers seldom fails at once: beyond that the jobs are blamed. */
+ * wherever they run: each worker sees different jobs fail, as if it were at fault. A whole region
+ * would be closed, and no team would get its guaranteed shapes for a minute or longer. A quarter of
+ * the workers seldom fails at once: beyond that the jobs are blamed. */
 static bool
 may_quarantine (const struct dff_core *core)
 {
@@ -102,10 +102,10 @@
 }
 
 /* Whether a failure came so early in the run that the worker is blamed alone. A faulty worker fails
- * what it starts within moments, faulty work fails along the way. Without this distinction each
- * faulty worker has to fail two jobs before its quarantine, and an urgent gang, which has two
- * attempts, may fail on such workers in both. Work that has failed elsewhere does not count: it may
- * be work that fails early anywhere. */
+ * what it starts within moments, faulty work fails along the way. Otherwise each faulty worker has
+ * to fail two jobs before its quarantine, and an urgent gang, which has two attempts, may fail on
+ * such workers in both. Work that has failed elsewhere does not count: it may fail early anywhere.
+ */
 static bool
 is_early_failure (const struct dff_core *core, const struct dff_core_job *job)
 {
@@ -165,9 +165,8 @@
 }
 
 /* A success counts only if the run began after the last failure. Otherwise a run that began before
- * a worker became faulty completes there after the quarantine began and makes the worker count as
- * healthy: it then gets dozens of tasks in a few seconds, each of which fails at once and makes
- * room for the next. */
+ * a worker became faulty would end its quarantine: it then gets dozens of tasks in a few seconds,
+ * each of which fails at once and makes room for the next. */
 void
 dff_core_note_success (struct dff_core *core, int32_t worker_index, int64_t started_ms)
 {
--- a/core/rack_reservation.c
+++ b/core/rack_reservation.c
@@ -2,9 +2,8 @@
 
 /* Rack reservations for waiting gangs. Without them small jobs take each accelerator as it comes
  * free, and a gang that needs a whole rack waits for ever. The shortest run of neighbouring racks
- * that would hold the gang is reserved, and of runs of equal length the one expected to be free
- * first. Other work is placed there only when it is expected to end before that (backfill), or has
- * precedence. */
+ * that would hold the gang is reserved; of several, the one expected to be free first. Other work
+ * is placed there only when it is expected to end before that (backfill), or has precedence. */
 
 static int64_t
 rack_clear_ms (const struct dff_core *core,
--- a/core/relative_duration.c
+++ b/core/relative_duration.c
@@ -5,13 +5,12 @@
 #include <string.h>
 
 /* Relative durations: how fast workers are compared to each other. Workers do not report their
- * speed. Tasks of one step (a peer group) take about equally long, so the duration of a task on a
- * worker, relative to the median of its peer group, shows how fast the worker is. The total
- * duration of a step does not, because declared run times are far off. Estimates are in logarithms
- * of time; a worker's relative duration is assumed to be normally distributed around the mean of
- * all workers. The variance between workers and the variance of tasks on one worker are learned
- * from the same samples, so that no worker counts as slow where all are alike, however uneven the
- * tasks are. */
+ * speed. Tasks of one step (a peer group) take about equally long, so a task's duration relative to
+ * the median of its peer group shows how fast its worker is. The total duration of a step does not,
+ * because declared run times are far off. Estimates are in logarithms of time; a worker's relative
+ * duration is assumed to be normally distributed around the mean of all workers. The variances
+ * between workers and of tasks on one worker are learned from the same samples, so that no worker
+ * counts as slow where all are alike, however uneven the tasks are. */
 
 /** Variances of the logarithms, of tasks and of workers, before there are samples, and the least
  * variance. Their quotient weighs a worker's samples against the mean. */
--- a/core/start.c
+++ b/core/start.c
@@ -26,10 +26,10 @@
 	return true;
 }
 
-/* Whether an urgent job would lose more work of others than it is worth. Without this check a small
- * interactive job stops a wide gang that has run for seconds, and the gang repeats all of it: the
- * users of the gang lose more than is gained. After evict_unlimited_after_ms a team's right to its
- * own accelerators takes precedence. */
+/* Whether an urgent job would lose more work of others than it is worth. Otherwise a small
+ * interactive job stops a wide gang that has run for seconds and has to repeat all of it: the
+ * gang's users lose more than is gained. After evict_unlimited_after_ms a team's right to its own
+ * accelerators takes precedence. */
 static bool
 evicts_too_much_work (const struct dff_core *core,
 		      const struct dff_core_job *job,
--- a/core/witness.c
+++ b/core/witness.c
@@ -3,9 +3,9 @@
 #include <string.h>
 
 /* Witness placement: every guaranteed shape has a concrete set of accelerators that are free or
- * held by work that may be preempted. Witness placements are disjoint and count as bound, so that
- * no work that may not be preempted is placed on them. That a team can always reclaim its shape is
- * thus an invariant of the tables, which dff_core_check() verifies. */
+ * held by work that may be preempted. These sets are disjoint and count as bound, so no work that
+ * may not be preempted is placed on them. So a team can always reclaim its shape, as an invariant
+ * of the tables, which dff_core_check() verifies. */
 
 /* Returns: slots of a worker that go with @count of its accelerators, rounded up. */
 static int32_t
@@ -328,9 +328,9 @@
 }
 
 /* Packs the shapes in @displaced, largest first. Returns: false when one does not fit. A witness
- * placement in pieces is not accepted here: otherwise work that may not be preempted would take a
- * rack from a team bit by bit, and the team's gang, which needs the whole rack, would wait for that
- * work to end. */
+ * placement in pieces is not accepted here: work that may not be preempted would take a rack from a
+ * team bit by bit, and the team's gang, which needs the whole rack, would wait for that work to
+ * end. */
 static bool
 pack_displaced (struct dff_core *core, const GArray *displaced)
 {
