--- a/tests/holder/site.c
+++ b/tests/holder/site.c
@@ -11,8 +11,8 @@
 
 #include "common/log.h"
 
-/* A killed process never receives the answers to its calls in progress: as in reality, the contexts
- * of these calls are lost with it. Everything else has to be freed. */
+/* A killed process never receives the answers to its calls in progress, so the contexts of these
+ * calls are lost with it, as in reality. Everything else has to be freed. */
 /* The name is defined by the sanitizer. */
 const char *__lsan_default_suppressions (void); // NOLINT(readability-identifier-naming)
 
--- a/tests/holder/test-holder-store.c
+++ b/tests/holder/test-holder-store.c
@@ -11,8 +11,8 @@
 		dff_memory_rows_client_faults (site->processes[i].rows)->silent = silent;
 }
 
-/* Asserts that a process keeps the lease of the cell for eight seconds of slow calls, and that the
- * job of four tasks that it has started completes once its calls are fast again. */
+/* Asserts that a process keeps the lease of the cell for eight seconds of slow calls, and that its
+ * job of four tasks completes once the calls are fast again. */
 static void
 assert_keeps_lease (struct site *site, int holder)
 {
@@ -30,9 +30,9 @@
 	assert_int_equal (dff_memory_runner_n_starts (site->runner, "1"), 4);
 }
 
-/* Guards against jobs that wait for seconds after the loss of the holder: its process is killed or
- * loses its path to the store. The other processes must not wait in every case until the holder's
- * row has not changed for the whole timeout. */
+/* Guards against jobs that wait for seconds after the holder is killed or loses its path to the
+ * store: the other processes must not always wait until the holder's row has been unchanged for the
+ * whole timeout. */
 static void
 test_take_over (void **state)
 {
@@ -97,10 +97,9 @@
 	}
 }
 
-/* Guards against seconds of downtime at each takeover, and a lease that passes from one process to
- * the next, in a fleet of unequal machines: a small machine acquires the lease first, takes over
- * late and falls behind, and the next one follows. It must not be left to chance which process
- * acquires the lease. */
+/* Guards against seconds of downtime at each takeover in a fleet of unequal machines: a small
+ * machine acquires the lease first, takes over late and falls behind, and the lease passes to the
+ * next process. Which process acquires the lease must not be left to chance. */
 static void
 test_fast_process_becomes_holder (void **state)
 {
@@ -116,7 +115,7 @@
 	assert_int_equal (site_submit (&site, 0, site_plan ("7", 4, false, 1)), DFF_FRONT_OK);
 	site_run (&site, 300);
 	site_kill_process (&site, 1);
-	/* The other processes wait for as long as they are slower than the fast one, and not
+	/* The other processes wait for the time by which they are slower than the fast one, and no
 	 * longer. */
 	int64_t waited_ms = 0;
 	for (; site_holder (&site) < 0 && waited_ms < 5000; waited_ms += 10)
@@ -140,8 +139,8 @@
 }
 
 /* The load: an idle fleet of small machines and a few large ones. Guards against reads of the store
- * that grow with the fleet, by three a second per machine: the reads of a process that is not among
- * the next candidates for the lease are counted. */
+ * that grow with the fleet, by three a second per machine: counts the reads of a process that is
+ * not among the next candidates for the lease. */
 static void
 test_reads_of_slow_processes (void **state)
 {
@@ -197,7 +196,7 @@
 	site_close (&site);
 }
 
-/* Guards against a holder that is not replaced because the other processes read its row rarely:
+/* Guards against a holder that is not replaced because the other processes rarely read its row:
  * whenever it ends, a slow process takes over within its wait, one more read interval and the
  * random spread. */
 static void
@@ -299,8 +298,8 @@
 #define RECOVERY_MS 300
 
 /* Guards against jobs that are accepted after an outage of the store and start a second late: the
- * holder's transaction and its reads of jobs were sent just before the store's recovery and are
- * lost. They must not be awaited until their timeouts. */
+ * holder's transaction and its reads of jobs that were sent just before the recovery are lost, and
+ * must not be awaited until their timeouts. */
 static void
 test_recovery_after_silence (void **state)
 {
@@ -324,10 +323,10 @@
 	}
 }
 
-/* Guards against a lease that passes from one process to another, so that no decisions are made,
- * for as long as the store is slow: transactions take longer than the holder's timeout, and the
- * holder reports to the other processes that it cannot record anything. They must not take a store
- * that is slow for all processes for one that only the holder has lost. */
+/* Guards against a lease that passes from process to process, so that no decisions are made, while
+ * the store is slow: transactions exceed the holder's timeout, and the holder reports to the other
+ * processes that it cannot record anything. A store that is slow for all processes must not be
+ * taken for one that only the holder has lost. */
 static void
 test_slow_store (void **state)
 {
@@ -351,11 +350,11 @@
 	}
 }
 
-/* Guards against replacing a new holder before it has made any decision, so that the runs on lost
- * workers wait once more: it is short of CPU time after a takeover, and a large transaction exceeds
- * its timeout, while the other processes' reads are fast. The timeout alone must not count as the
- * loss of the store when the store still answers the same process, and the unchanged row must not
- * count when the holder reports that it is running. */
+/* Guards against replacing a new holder before its first decision, so that the runs on lost workers
+ * wait once more: it is short of CPU time after a takeover, and a large transaction exceeds its
+ * timeout, while the other processes' reads are fast. A timeout must not count as the loss of the
+ * store while the store still answers the same process, nor an unchanged row while the holder
+ * reports that it is running. */
 static void
 test_slow_holder (void **state)
 {
@@ -377,8 +376,8 @@
 }
 
 /* Guards against a new holder that never makes decisions: the table of jobs has grown, and a full
- * page takes longer than the timeout. Each further attempt must not request as many rows with the
- * same timeout. */
+ * page takes longer than the timeout. No further attempt may request as many rows with the same
+ * timeout. */
 static void
 test_slow_pages (void **state)
 {
@@ -487,9 +486,9 @@
 }
 
 /* Guards against two concurrent runs of a task: a holder loses the store and the other processes
- * and continues to renew the lease of a worker that only it reaches; its successor is killed, and
- * the next holder detects that this successor has ended. All earlier holders have to be considered,
- * not only the last one. */
+ * but still renews the lease of a worker that only it reaches; its successor is killed, and the
+ * next holder detects the end of this successor. All earlier holders have to be considered, not
+ * only the last one. */
 static void
 test_renewals_of_an_earlier_holder (void **state)
 {
@@ -506,7 +505,7 @@
 	dff_memory_rows_client_faults (site.processes[first].rows)->silent = true;
 	for (int i = 0; i < SITE_PROCESSES; i++)
 		site_cut_worker_from (&site, reached, i, i != first);
-	/* The other workers would report the higher epoch to it. */
+	/* Otherwise the other workers would report the higher epoch to the first holder. */
 	for (int i = 0; i < SITE_WORKERS; i++)
 		site_cut_worker_from (&site, i, first, i != reached);
 	site_run (&site, 3000);
--- a/tests/platform/test-decode.c
+++ b/tests/platform/test-decode.c
@@ -111,8 +111,8 @@
 }
 
 /* Guards against sending tasks to an address that is no usable worker: another program, or a newer
- * version of one, writes an entry with an unknown state or unknown fields, and defaults are assumed
- * for what cannot be decoded. */
+ * version, writes an entry with an unknown state or unknown fields, and defaults are assumed for
+ * what cannot be decoded. */
 static void
 test_invalid_upstream_entries (void **state)
 {
--- a/tests/platform/test-http.c
+++ b/tests/platform/test-http.c
@@ -336,7 +336,7 @@
 	server_close (&server);
 }
 
-/* Guards against taking a start time that cannot be decoded for a reported one. */
+/* Guards against treating a start time that cannot be decoded as a reported one. */
 static void
 test_incarnation_start (void **state)
 {
--- a/tests/relay/test-relay.c
+++ b/tests/relay/test-relay.c
@@ -337,9 +337,9 @@
 	close_fixture (&fixture);
 }
 
-/* Guards against lost runs when a relay is isolated, frozen or gone: calls through the relay never
- * end, the leases of its workers are not renewed and expire. The calls have to end as unknown
- * within 1.3 s, and the next calls have to go through another relay. */
+/* Guards against lost runs when a relay is isolated, frozen or gone: calls through it never end,
+ * and the leases of its workers are not renewed and expire. The calls have to end as unknown within
+ * 1.3 s, and the next ones have to go through another relay. */
 static void
 test_calls_through_a_lost_relay (void **state)
 {
@@ -407,9 +407,9 @@
 	close_fixture (&fixture);
 }
 
-/* Guards against dropping all relays after a pause of the holder: it pauses for three seconds, its
- * timers run before the messages that have arrived are read, and its own pause looks like silence
- * of the relays. Every worker would be called again. */
+/* Guards against dropping all relays, and calling every worker again, after the holder was paused
+ * for three seconds: its timers run before the messages that have arrived are read, so that its own
+ * pause looks like silence of the relays. */
 static void
 test_own_pause_is_not_relay_silence (void **state)
 {
@@ -470,8 +470,7 @@
 }
 
 /* Bytes that are not a message end the connection and have no other effect: random bytes, and
- * messages of a relay that are truncated or have one byte changed. The random numbers are seeded.
- */
+ * messages of a relay that are truncated or have one byte changed. Seeded. */
 static void
 test_unreadable_message_ends_the_connection (void **state)
 {
--- a/tests/rows/test-reading.c
+++ b/tests/rows/test-reading.c
@@ -159,9 +159,8 @@
 	fixture_close (&fixture);
 }
 
-/* Guards against hundreds of calls a second to a store that refuses them: a process has just
- * acquired the lease of the cell and scans the recorded state, and a refused page is requested
- * again without a backoff. */
+/* Guards against hundreds of calls a second to a store that refuses them: a new holder scans the
+ * recorded state, and a refused page is requested again without a backoff. */
 static void
 test_refused_pages_are_spaced (void **state)
 {
