--- a/entry/attempt.c
+++ b/entry/attempt.c
@@ -160,8 +160,7 @@
 }
 
 /* Another process has the attempt, or had it and died. Waits only while that process can still end
- * the attempt. Otherwise the caller would time out, repeat its call and finally stop without an
- * outcome. */
+ * the attempt; otherwise the caller would time out, repeat its call and stop without an outcome. */
 static void
 wait_for_other_process (struct dff_request *request, const struct attempt_row *row)
 {
--- a/entry/call.c
+++ b/entry/call.c
@@ -58,9 +58,8 @@
 	g_free (call);
 }
 
-/* When a connection breaks while its request is being handled, evhttp detaches the request from the
- * connection and leaves it to the handler to free. In all other cases evhttp frees the request
- * itself. */
+/* When a connection breaks while its request is being handled, evhttp detaches the request and
+ * leaves it to the handler to free. In all other cases evhttp frees it. */
 static void
 connection_closed (struct evhttp_connection *connection, void *ctx)
 {
@@ -93,10 +92,10 @@
 	dff_call_unref (call);
 }
 
-/* evhttp does not watch the connection while its request is being handled, so that a caller that
- * disconnects would hold its connection until the answer is written. Reading therefore stays
- * enabled, to detect the end of the stream. evhttp's own read callback is disabled meanwhile: it
- * treats bytes that a client sends ahead as a broken invariant and ends the process. */
+/* evhttp does not watch a connection while its request is being handled, so that a caller that
+ * disconnects would hold it until the answer is written. Reading stays enabled to detect the end of
+ * the stream. evhttp's own read callback is disabled meanwhile: it treats bytes that a client sends
+ * ahead as a broken invariant and ends the process. */
 void
 dff_call_watch_loss (struct dff_call *call)
 {
--- a/entry/connection.c
+++ b/entry/connection.c
@@ -154,9 +154,9 @@
 		evconnlistener_disable (connections->listener);
 }
 
-/* Detects callers that disappear without closing the connection (power loss, a middlebox that
- * dropped the connection). Without keep-alive probes the connection would stay in use until the
- * call is answered. */
+/* Keep-alive probes detect callers that disappear without closing the connection (power loss, a
+ * middlebox that dropped it). Without them the connection would stay in use until the call is
+ * answered. */
 static void
 enable_keepalive (struct connection *connection)
 {
--- a/entry/dispatch.c
+++ b/entry/dispatch.c
@@ -12,9 +12,9 @@
 #define BACKOFF_MS 20
 /** A request with less time than this until its deadline is not sent, ms. */
 #define DEADLINE_MIN_MS 2
-/** Hedging: an idempotent request is also sent to a second worker when it has no answer after
- * HEDGE_MIN_MS or HEDGE_FACTOR times the average service time, whichever is longer, and at the
- * latest after half of its remaining time. */
+/** Hedging: an idempotent request without an answer is also sent to a second worker after the
+ * longer of HEDGE_MIN_MS and HEDGE_FACTOR times the average service time, and at the latest after
+ * half of its remaining time. */
 #define HEDGE_MIN_MS 500
 #define HEDGE_FACTOR 5
 /** Weight of the newest sample in the average service time. */
@@ -199,8 +199,7 @@
 
 /* A middlebox may lose track of the connection to a worker: requests sent on it are lost while new
  * connections work. Without hedging the caller would wait until its deadline although any other
- * worker would have answered. The first answer counts; the retry budget limits the number of
- * requests sent twice. */
+ * worker would have answered. The first answer counts; the retry budget limits hedging. */
 static void
 hedge_due (void *user)
 {
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -224,9 +224,8 @@
 	return NULL;
 }
 
-/* The store may answer a read or write of the entry after the entry is freed and its owner has
- * freed the metrics registry. The callbacks still count, so the counters are redirected; otherwise
- * the process crashes on shutdown. */
+/* The store may answer after the entry and its owner's metrics registry are freed. The callbacks
+ * still count, so the counters are redirected; otherwise the process crashes on shutdown. */
 static void
 redirect_counters (struct dff_entry *entry)
 {
--- a/entry/record.c
+++ b/entry/record.c
@@ -52,9 +52,9 @@
 	finish (user, outcomes[outcome], revision);
 }
 
-/* The store may not answer a commit for as long as it is down; without a timeout the caller would
- * wait for minutes. The recorder reports whether the write is proven not committed. Otherwise the
- * outcome is unknown and is reported as such. */
+/* A store that is down may not answer a commit; without a timeout the caller would wait for
+ * minutes. The recorder reports whether the write is proven not committed. Otherwise the outcome is
+ * reported as unknown. */
 static void
 write_timed_out (void *user)
 {
--- a/entry/reply.c
+++ b/entry/reply.c
@@ -159,10 +159,10 @@
 	dff_reply_problem (call, &problem);
 }
 
-/* A call that recorded nothing does not prove that nothing is recorded. When the answer to a
- * submission is lost, the caller may send it again to another process, which refuses it because the
- * store is down, the team's queue is full or the process is draining. Reporting not_run there would
- * be false: the job of the first call runs. */
+/* A call that recorded nothing does not prove that nothing is recorded. After a lost answer the
+ * caller may send a submission again to another process, which refuses it because the store is
+ * down, the team's queue is full or the process is draining. Reporting not_run there would be
+ * false: the job of the first call runs. */
 enum dff_outcome
 dff_refusal_outcome (const struct dff_call *call)
 {
--- a/entry/request.c
+++ b/entry/request.c
@@ -199,9 +199,9 @@
 	count_outcome (requests, answer->outcome);
 	dff_span_end (entry->options.tracer, &request->span, &request->id,
 		      dff_outcome_name (answer->outcome));
-	/* A not_run outcome in memory must not be reported to later submissions: the attempt's row
-	 * is deleted, and before the store has confirmed that, another process may record the same
-	 * key and run it. */
+	/* A not_run outcome in memory must not be reported to later submissions: before the store
+	 * has confirmed that the attempt's row is deleted, another process may record the same key
+	 * and run it. */
 	if (request->proven_not_run)
 		release_key (request);
 	reply_to_callers (request);
--- a/entry/request_read.c
+++ b/entry/request_read.c
@@ -65,10 +65,10 @@
 	return has_instance_prefix (&entry->options.settings->instance, origin->instance);
 }
 
-/* A process that was killed may be replaced within seconds by another one with the same name. If
- * the name alone were checked, a caller that repeats a request of the dead process would wait until
- * its deadline and be asked to retry, without end. The number that each process draws at its start
- * distinguishes the two. */
+/* A killed process may be replaced within seconds by one with the same name. If the name alone were
+ * checked, a caller that repeats a request of the dead process would wait until its deadline and be
+ * asked to retry, without end. The number that each process draws at its start distinguishes the
+ * two. */
 static bool
 is_alive (struct dff_entry *entry, const struct id_origin *origin)
 {
--- a/entry/retry_budget.h
+++ b/entry/retry_budget.h
@@ -12,7 +12,7 @@
 	int32_t hundredths;
 };
 
-/** Sets a balance of some retries, so that a process that has just started can make some. */
+/** Sets an initial balance, so that a process can retry before its first successes. */
 void dff_retry_budget_init (struct dff_retry_budget *budget);
 
 /** Handles a successful request. */
--- a/entry/slots.c
+++ b/entry/slots.c
@@ -116,9 +116,8 @@
 }
 
 /* A grant also means that a worker is back after a restart under the same id. Entries get no other
- * signal: only the holder is notified that a worker is back, and the instance list, which lags, may
- * never have dropped the worker. The holder grants no slots of a worker that has
- * reported to it that it is leaving. */
+ * signal: only the holder is notified, and the instance list, which lags, may never have dropped
+ * the worker. The holder grants no slots of a worker that has reported to it that it is leaving. */
 static void
 apply_grant (struct dff_slots *slots, const struct dff_grant *grant, int64_t now_ms)
 {
--- a/entry/slots.h
+++ b/entry/slots.h
@@ -31,8 +31,8 @@
 			      size_t n_instances);
 
 /** Holddown after a worker reported that it is leaving, ms. By its end the holder has received a
- * report as well, even if the first one was lost, and the holder's earlier grants have expired. A
- * later grant means that the worker is back. */
+ * report as well, even if the first was lost, and its earlier grants have expired. A later grant
+ * means that the worker is back. */
 #define DFF_SLOTS_LEAVING_HOLDDOWN_MS 20000
 
 /** Replaces all grants. Grants of an older @epoch than the last ones are ignored. */
@@ -43,8 +43,8 @@
 			   int64_t now_ms,
 			   int64_t expires_ms);
 
-/** Handles a worker's own report that it is leaving. The worker gets no new requests, whatever the
- * instance list says, until the list no longer has it or until it gets a new grant after
+/** Handles a worker's own report that it is leaving: it gets no new requests, whatever the instance
+ * list says, until the list no longer has it or a grant arrives after
  * DFF_SLOTS_LEAVING_HOLDDOWN_MS. */
 void dff_slots_handle_worker_leaving (struct dff_slots *slots,
 				      const struct dff_name *worker,
